--- a/internal/escrow/account.go
+++ b/internal/escrow/account.go
@@ -83,7 +83,7 @@
 			used += max(0, r.Spent-before)
 		}
 		if id != self {
-			a.others += r.Want
+			a.others += r.Demand
 		}
 	}
 	if n := int64(len(acc.Rows)) - 1; n > 1 {
--- a/internal/escrow/bench_test.go
+++ b/internal/escrow/bench_test.go
@@ -31,7 +31,7 @@
 		id := fmt.Sprintf("front-zone-%d/01j%023d", h, h)
 		p.Holders[id] = Report{Node: fmt.Sprintf("front-zone-%d", h), Boot: "2b1f0c5e-0c1e-4b5f-8f57-3b1f6f0c5e0c", Clock: 1, Count: 2, Wall: 3}
 		for c := range 24 {
-			p.account(fmt.Sprintf("customer-%d", c)).Rows[id] = Row{Granted: 1000, Spent: int64(h * c), Want: 5, Burst: 70, Rate: 30}
+			p.account(fmt.Sprintf("customer-%d", c)).Rows[id] = Row{Granted: 1000, Spent: int64(h * c), Demand: 5, Burst: 70, Rate: 30}
 		}
 	}
 	raw, err := p.Encode()
@@ -60,7 +60,7 @@
 	for c := range customers {
 		name := fmt.Sprintf("customer-%d", c)
 		prepaid = append(prepaid, Prepaid{Customer: name, Tokens: 1 << 40})
-		rows[name] = Need{Spent: 10, Want: 1000, Burst: 100, Rate: 10}
+		rows[name] = Need{Spent: 10, Demand: 1000, Burst: 100, Rate: 10}
 	}
 	h.SetPrepaid(prepaid)
 	h.startBeat()
--- a/internal/escrow/borrow.go
+++ b/internal/escrow/borrow.go
@@ -16,7 +16,7 @@
 // role is this holder's part in keeping a customer's tokens.
 func (h *Holder) role(customer string) Role {
 	if h.fleet == nil {
-		return RoleAlone
+		return RoleStandalone
 	}
 	return h.fleet.Role(customer)
 }
@@ -27,18 +27,18 @@
 	if !ok {
 		return nil, 0
 	}
-	ctx, cancel := context.WithTimeout(ctx, h.times.Borrow)
+	ctx, cancel := context.WithTimeout(ctx, h.times.LoanTimeout)
 	defer cancel()
-	got := h.fleet.Borrow(ctx, Loan{Holder: h.id, Number: number, Customer: customer, Most: most, Rank: rank})
+	got := h.fleet.Borrow(ctx, Loan{Holder: h.id, Number: number, Customer: customer, MaxTokens: most, Rank: rank})
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, lender := range got.Unsure {
+	for _, lender := range got.Unconfirmed {
 		h.repay(lender, number, 0)
 	}
 	a := h.accounts[customer]
 	if got.Lender == "" {
 		a.dry, a.dryFor = h.now(), most
-		return nil, got.Later
+		return nil, got.RetryAfter
 	}
 	h.count(a, most)
 	return &Reservation{holder: h, customer: customer, most: most, lender: got.Lender, number: number}, 0
@@ -49,7 +49,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.accounts[customer]
-	if h.fleet == nil || (most >= a.dryFor && h.now().Sub(a.dry) < h.times.Dry) {
+	if h.fleet == nil || (most >= a.dryFor && h.now().Sub(a.dry) < h.times.ExhaustedPause) {
 		return 0, false
 	}
 	h.loanCount++
@@ -77,7 +77,7 @@
 
 // Run implements kernel.Service.
 func (r *repayments) Run(ctx context.Context) error {
-	kernel.Every(ctx, r.holder.times.Repay, r.holder.repayAll)
+	kernel.Every(ctx, r.holder.times.RepayInterval, r.holder.repayAll)
 	return nil
 }
 
@@ -94,7 +94,7 @@
 
 // repayOne returns loans to one lender. What did not arrive is tried again until the lender has written it off.
 func (h *Holder) repayOne(ctx context.Context, lender string, used map[int64]int64) {
-	ctx, cancel := context.WithTimeout(ctx, h.times.Borrow)
+	ctx, cancel := context.WithTimeout(ctx, h.times.LoanTimeout)
 	defer cancel()
 	if h.fleet.Return(ctx, lender, Repayment{Holder: h.id, Used: used}) == nil {
 		delete(h.unpaid, lender)
--- a/internal/escrow/copy.go
+++ b/internal/escrow/copy.go
@@ -20,7 +20,7 @@
 	if fresh {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyDraw), h.times.Call)
+	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyDraw), h.times.CallTimeout)
 	defer cancel()
 	entry, _, err := h.store.Read(ctx, p.key)
 	if err != nil {
--- a/internal/escrow/draw.go
+++ b/internal/escrow/draw.go
@@ -59,7 +59,7 @@
 }
 
 // rests reports whether a call has failed just now: the next one is not worth its price yet. The caller holds mu.
-func (h *Holder) rests() bool { return h.now().Sub(h.failed) < h.times.Rest }
+func (h *Holder) rests() bool { return h.now().Sub(h.failed) < h.times.Backoff }
 
 // pause waits for the next beat or for a request that waits; false means that ctx has ended.
 func (h *Holder) pause(ctx context.Context, last time.Time) bool {
@@ -89,17 +89,17 @@
 	follows := h.follows()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	least = h.times.Gap * h.crowd()
+	least = h.times.MinGap * h.crowd()
 	for _, p := range h.pages {
 		if !p.joined && len(h.accounts) > 0 {
-			return h.times.Gap + rand.N(h.times.Gap*joinSpread*h.crowd()), least
+			return h.times.MinGap + rand.N(h.times.MinGap*joinSpread*h.crowd()), least
 		}
 		if len(p.pending) > 0 {
-			return h.times.Hasty, least
+			return h.times.UrgentGatherWindow, least
 		}
 	}
 	if follows {
-		return h.times.Follow, least
+		return h.times.SubmitInterval, least
 	}
 	return h.interval() * 3 / 2, least
 }
@@ -137,10 +137,10 @@
 	if p.unsure >= 0 || h.restatesNow(p) {
 		return len(h.accounts) > 0
 	}
-	if p.unsettled && !h.start().Later {
+	if p.unsettled && !h.start().FleetTimePending {
 		return true
 	}
-	regular = regular && h.now().Sub(p.drawn) >= h.times.Beat*6/10
+	regular = regular && h.now().Sub(p.drawn) >= h.times.RefreshInterval*6/10
 	if regular && h.now().Sub(p.drawn) >= max(quietRefresh, 2*h.interval()) {
 		return true
 	}
--- a/internal/escrow/fuzz_test.go
+++ b/internal/escrow/fuzz_test.go
@@ -28,7 +28,7 @@
 		for _, a := range p.Accounts {
 			_, _ = a.Spent(), a.Committed()
 		}
-		p.Fold("node-1/2", Report{Node: "node-1"})
+		p.SettlePredecessors("node-1/2", Report{Node: "node-1"})
 		out, err := p.Encode()
 		if err != nil {
 			return // what is not known cannot be written back: the page is left alone
--- a/internal/escrow/granting.go
+++ b/internal/escrow/granting.go
@@ -7,12 +7,12 @@
 }
 
 func (s sums) add(r Row) sums {
-	s.spent, s.granted, s.want = s.spent+r.Spent, s.granted+r.Granted, s.want+r.Want
+	s.spent, s.granted, s.want = s.spent+r.Spent, s.granted+r.Granted, s.want+r.Demand
 	return s
 }
 
 func (s sums) minus(r Row) sums {
-	s.spent, s.granted, s.want = s.spent-r.Spent, s.granted-r.Granted, s.want-r.Want
+	s.spent, s.granted, s.want = s.spent-r.Spent, s.granted-r.Granted, s.want-r.Demand
 	return s
 }
 
@@ -50,8 +50,8 @@
 }
 
 // fold settles the rows of a node's earlier holders; see Page.Fold.
-func (g *granting) fold(successor string, begun Report) []Folded {
-	out := g.page.Fold(successor, begun)
+func (g *granting) fold(successor string, begun Report) []Settlement {
+	out := g.page.SettlePredecessors(successor, begun)
 	if len(out) > 0 {
 		g.reset()
 	}
--- a/internal/escrow/granting_test.go
+++ b/internal/escrow/granting_test.go
@@ -24,7 +24,7 @@
 				g.fold(holder, Report{Node: node})
 			default:
 				before := *p.account(customer)
-				n := Need{Want: rapid.Int64Range(0, prepaid).Draw(t, "want"), Spent: before.Rows[holder].Spent}
+				n := Need{Demand: rapid.Int64Range(0, prepaid).Draw(t, "want"), Spent: before.Rows[holder].Spent}
 				exact := before.share(n, prepaid, before.sums().minus(before.Rows[holder]))
 				if _, target := g.grant(customer, holder, n, prepaid); target != exact {
 					t.Fatalf("the target of %s is %d, not %d", holder, target, exact)
--- a/internal/escrow/group.go
+++ b/internal/escrow/group.go
@@ -11,7 +11,7 @@
 func (h *Holder) reachesStore() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.answered.IsZero() || h.now().Sub(h.answered) < 2*h.times.Lost
+	return h.answered.IsZero() || h.now().Sub(h.answered) < 2*h.times.ContactTimeout
 }
 
 const (
@@ -28,7 +28,7 @@
 	hasty   bool // the holder cannot serve before it is written
 	relayed bool // the leader of another zone has passed it on
 	receipt PartReceipt
-	folded  []Folded
+	folded  []Settlement
 	done    chan struct{} // closed once the receipt stands
 }
 
@@ -80,7 +80,7 @@
 	defer h.mu.Unlock()
 	now := h.now()
 	if !s.Relayed {
-		h.asked[s.Holder] = asked{rates: s.Asked, at: now}
+		h.asked[s.Holder] = asked{rates: s.DemandRates, at: now}
 	}
 	out := make([]*pending, 0, len(s.Parts))
 	for _, part := range s.Parts {
@@ -105,16 +105,16 @@
 		return false
 	}
 	now := h.now()
-	group := h.times.Group
+	group := h.times.MinGroupGap
 	for _, x := range p.pending {
-		if x.hasty && now.Sub(x.came) >= h.times.Hasty {
+		if x.hasty && now.Sub(x.came) >= h.times.UrgentGatherWindow {
 			return true
 		}
 		if x.relayed {
-			group = h.times.Relayed
+			group = h.times.MinRelayedGap
 		}
 	}
-	return now.Sub(p.pending[0].came) >= h.times.Gather && now.Sub(p.drawn) >= group
+	return now.Sub(p.pending[0].came) >= h.times.GatherWindow && now.Sub(p.drawn) >= group
 }
 
 // expire drops parts whose holders have stopped waiting. The caller holds mu.
@@ -182,8 +182,8 @@
 func (h *Holder) grantAll(x *pending, g *granting, targets map[string]int64) {
 	report := x.part.Report
 	x.folded = nil
-	if x.part.Begun.Node != "" {
-		x.folded = g.fold(x.holder, x.part.Begun)
+	if x.part.Start.Node != "" {
+		x.folded = g.fold(x.holder, x.part.Start)
 	}
 	g.report(x.holder, report)
 	for name, need := range x.part.Rows {
@@ -200,8 +200,8 @@
 	page := g.page
 	report, present := page.Holders[x.holder]
 	r := PartReceipt{
-		Page: x.part.Page, Present: present, Unsettled: g.unsettled(x.holder, x.part.Report.Node), Report: report, Holders: len(page.Holders), Rate: h.all.rate(),
-		Epoch: page.Epoch, Rows: make(map[string]Held, len(x.part.Rows)),
+		Page: x.part.Page, Present: present, Unsettled: g.unsettled(x.holder, x.part.Report.Node), Report: report, Holders: len(page.Holders), FleetRate: h.all.rate(),
+		Epoch: page.Epoch, Rows: make(map[string]AccountReceipt, len(x.part.Rows)),
 	}
 	for name := range x.part.Rows {
 		a, acc := h.accounts[name], page.Accounts[name]
@@ -209,9 +209,9 @@
 			continue
 		}
 		rest, free := g.rest(name, a.prepaid)
-		r.Rows[name] = Held{
-			Row: acc.Rows[x.holder], Target: targets[name], Rest: rest, Free: free,
-			Others: a.others, Rate: a.all.rate(), Zone: a.zoneRate, Unproven: acc.Unproven,
+		r.Rows[name] = AccountReceipt{
+			Row: acc.Rows[x.holder], Target: targets[name], Remaining: rest, Ungranted: free,
+			OthersDemand: a.others, FleetRate: a.all.rate(), ZoneRate: a.zoneRate, Unproven: acc.Unproven,
 		}
 	}
 	return r
@@ -249,10 +249,10 @@
 func (h *Holder) lend(ctx context.Context, l Loan) (*Reservation, error) {
 	var r *Reservation
 	var err error
-	if l.AtHand || h.follows() {
-		r, _, err = h.try(l.Customer, l.Most, l.Rank, true)
+	if l.HeldOnly || h.follows() {
+		r, _, err = h.try(l.Customer, l.MaxTokens, l.Rank, true)
 	} else {
-		r, err = h.draws(ctx, l.Customer, l.Most, l.Rank, true)
+		r, err = h.draws(ctx, l.Customer, l.MaxTokens, l.Rank, true)
 	}
 	if r != nil && r.holder != nil {
 		return r, nil
@@ -261,7 +261,7 @@
 	defer h.mu.Unlock()
 	after := retryLater
 	if a := h.accounts[l.Customer]; a != nil {
-		after = h.comeBack(a, l.Most)
+		after = h.comeBack(a, l.MaxTokens)
 	}
 	return nil, verdict.New(verdict.NotRun, verdict.CodeBudgetUnready, "nothing to lend", verdict.WithRetryAfter(after), verdict.WithCause(err))
 }
--- a/internal/escrow/group_test.go
+++ b/internal/escrow/group_test.go
@@ -79,10 +79,10 @@
 			member.link = linkLate
 			w.use(member, north, 10)
 			w.draw(member)
-			least := h.View(north).Left
+			least := h.View(north).Available
 			w.draw(w.nodes[2])
 			w.observe(member)
-			So(h.View(north).Left, ShouldEqual, least)
+			So(h.View(north).Available, ShouldEqual, least)
 			w.draw(leads)
 			w.observe(member)
 			So(h.pageOf(north).submitted, ShouldBeFalse)
@@ -91,15 +91,15 @@
 
 		Convey("goes on with what it has where no leader has seen its rows", func() {
 			w.use(member, north, 10)
-			before := h.View(north).Left
+			before := h.View(north).Available
 			member.link = linkBroke
 			w.draw(member)
-			So(h.View(north).Left, ShouldBeGreaterThanOrEqualTo, before)
+			So(h.View(north).Available, ShouldBeGreaterThanOrEqualTo, before)
 			So(h.pageOf(north).submitted, ShouldBeFalse)
 		})
 
 		Convey("is told at once that the leader does not reach the store", func() {
-			w.elapsed += 3 * leads.holder.times.Lost
+			w.elapsed += 3 * leads.holder.times.ContactTimeout
 			_, err := leads.holder.Submit(context.Background(), h.submission(true))
 			So(verdict.Of(err), ShouldEqual, verdict.NotRun)
 		})
@@ -113,7 +113,7 @@
 			w.use(member, north, 10)
 			leads.holder.pageOf(north).known = false
 			w.draw(member)
-			So(h.View(north).Left, ShouldBeLessThanOrEqualTo, 0)
+			So(h.View(north).Available, ShouldBeLessThanOrEqualTo, 0)
 		})
 	})
 
@@ -151,7 +151,7 @@
 		})
 
 		Convey("passes them on with each of its own, however often it has some", func() {
-			head.holder.times.Group = time.Hour
+			head.holder.times.MinGroupGap = time.Hour
 			for range 3 {
 				w.use(head, north, 10)
 				w.use(member, north, 10)
@@ -185,27 +185,27 @@
 	Convey("A loan", t, func() {
 		w, leads, member := ledWorld()
 		ctx := context.Background()
-		loan := Loan{Holder: member.holder.id, Number: 1, Customer: north, Most: 100}
+		loan := Loan{Holder: member.holder.id, Number: 1, Customer: north, MaxTokens: 100}
 
 		Convey("is a part of the leader's grant until it is returned, and what was used of it is spent there", func() {
-			before := leads.holder.View(north).Left
+			before := leads.holder.View(north).Available
 			So(leads.holder.Lend(ctx, loan), ShouldBeNil)
-			So(leads.holder.View(north).Left, ShouldEqual, before-100)
+			So(leads.holder.View(north).Available, ShouldEqual, before-100)
 			leads.holder.Repaid(Repayment{Holder: loan.Holder, Used: map[int64]int64{1: 30}})
-			So(leads.holder.View(north).Left, ShouldEqual, before-30)
+			So(leads.holder.View(north).Available, ShouldEqual, before-30)
 			leads.holder.Repaid(Repayment{Holder: loan.Holder, Used: map[int64]int64{1: 30}})
-			So(leads.holder.View(north).Left, ShouldEqual, before-30)
+			So(leads.holder.View(north).Available, ShouldEqual, before-30)
 		})
 
 		Convey("that was returned before it was given is not given", func() {
-			before := leads.holder.View(north).Left
+			before := leads.holder.View(north).Available
 			leads.holder.Repaid(Repayment{Holder: loan.Holder, Used: map[int64]int64{1: 0}})
 			So(verdict.Of(leads.holder.Lend(ctx, loan)), ShouldEqual, verdict.NotRun)
-			So(leads.holder.View(north).Left, ShouldEqual, before)
+			So(leads.holder.View(north).Available, ShouldEqual, before)
 		})
 
 		Convey("that nobody returns counts as used in the end", func() {
-			before := leads.holder.View(north).Left
+			before := leads.holder.View(north).Available
 			So(leads.holder.Lend(ctx, loan), ShouldBeNil)
 			w.elapsed += loanLife + time.Second
 			leads.holder.writeOff()
@@ -217,14 +217,14 @@
 		Convey("whose answer was lost is returned, and the request refused as not run", func() {
 			w.use(member, north, 8000)
 			member.link = linkLost
-			most := member.holder.View(north).Left + 10
-			before := leads.holder.View(north).Left
+			most := member.holder.View(north).Available + 10
+			before := leads.holder.View(north).Available
 			So(before, ShouldBeGreaterThan, most)
 			_, err := member.holder.Reserve(ctx, north, most, 0)
 			So(verdict.Of(err), ShouldEqual, verdict.NotRun)
 			member.link = linkPass
 			member.holder.repayAll(ctx)
-			So(leads.holder.View(north).Left, ShouldEqual, before)
+			So(leads.holder.View(north).Available, ShouldEqual, before)
 		})
 	})
 }
--- a/internal/escrow/holder.go
+++ b/internal/escrow/holder.go
@@ -24,33 +24,33 @@
 
 // Times are a holder's intervals.
 type Times struct {
-	Beat time.Duration // between reports
-	Gap  time.Duration // least time between reports that are asked for by a request that waits
-	Call time.Duration // limit of one call to the store
-	Rest time.Duration // after a call that failed
-	Wait time.Duration // how long a reservation waits for a draw
-	Lost time.Duration // without an answer for this long, no reservation waits
-	Dry  time.Duration // after a draw that brought too little, no reservation of the customer waits for this long
+	RefreshInterval time.Duration // between reports
+	MinGap          time.Duration // least time between reports that are asked for by a request that waits
+	CallTimeout     time.Duration // limit of one call to the store
+	Backoff         time.Duration // after a call that failed
+	ReserveWait     time.Duration // how long a reservation waits for a draw
+	ContactTimeout  time.Duration // without an answer for this long, no reservation waits
+	ExhaustedPause  time.Duration // after a draw that brought too little, no reservation of the customer waits for this long
 
 	// Of zones that are led.
-	Follow time.Duration // from a leader's receipt to the next submission
-	Gather time.Duration // the rows of others wait for more of them so long
-	Hasty  time.Duration // the same, where one of them cannot serve before
-	Group  time.Duration // least time between writes of a page for others
-	// Relayed is the same, where the leaders of other zones wait too: they hold back their zones' next rows meanwhile.
-	Relayed time.Duration
-	Relay   time.Duration // limit of a leader's call to the leader of another zone
-	Borrow  time.Duration // limit of a loan; the lender may have to draw for it
-	Repay   time.Duration // between returns of loans
+	SubmitInterval     time.Duration // from a leader's receipt to the next submission
+	GatherWindow       time.Duration // the rows of others wait for more of them so long
+	UrgentGatherWindow time.Duration // the same, where one of them cannot serve before
+	MinGroupGap        time.Duration // least time between writes of a page for others
+	// MinRelayedGap is the same, where the leaders of other zones wait too: they hold back their zones' next rows meanwhile.
+	MinRelayedGap time.Duration
+	RelayTimeout  time.Duration // limit of a leader's call to the leader of another zone
+	LoanTimeout   time.Duration // limit of a loan; the lender may have to draw for it
+	RepayInterval time.Duration // between returns of loans
 }
 
 // DefaultTimes suit a store that answers in milliseconds.
 func DefaultTimes() Times {
 	return Times{
-		Beat: time.Second, Gap: 30 * time.Millisecond, Call: 900 * time.Millisecond, Rest: 250 * time.Millisecond,
-		Wait: 90 * time.Millisecond, Lost: 1500 * time.Millisecond, Dry: 300 * time.Millisecond,
-		Follow: 800 * time.Millisecond, Gather: 120 * time.Millisecond, Hasty: 40 * time.Millisecond, Group: 700 * time.Millisecond,
-		Relayed: 500 * time.Millisecond, Relay: 900 * time.Millisecond, Borrow: 180 * time.Millisecond, Repay: 200 * time.Millisecond,
+		RefreshInterval: time.Second, MinGap: 30 * time.Millisecond, CallTimeout: 900 * time.Millisecond, Backoff: 250 * time.Millisecond,
+		ReserveWait: 90 * time.Millisecond, ContactTimeout: 1500 * time.Millisecond, ExhaustedPause: 300 * time.Millisecond,
+		SubmitInterval: 800 * time.Millisecond, GatherWindow: 120 * time.Millisecond, UrgentGatherWindow: 40 * time.Millisecond, MinGroupGap: 700 * time.Millisecond,
+		MinRelayedGap: 500 * time.Millisecond, RelayTimeout: 900 * time.Millisecond, LoanTimeout: 180 * time.Millisecond, RepayInterval: 200 * time.Millisecond,
 	}
 }
 
@@ -75,7 +75,7 @@
 	times  Times
 	log    zerolog.Logger
 
-	onFolded func(Folded)
+	onFolded func(Settlement)
 	epochs   *external.Epochs
 	restored atomic.Pointer[time.Time] // when the store's last restoration was learnt; nil: it was not restored
 
@@ -150,8 +150,8 @@
 // WithFleet sets the way to the other holders.
 func WithFleet(f Fleet) Option { return func(h *Holder) { h.fleet = f } }
 
-// OnFolded is notified of each earlier holder whose grants are settled; it must not call the Holder.
-func OnFolded(f func(Folded)) Option { return func(h *Holder) { h.onFolded = f } }
+// OnSettlement is notified of each earlier holder whose grants are settled; it must not call the Holder.
+func OnSettlement(f func(Settlement)) Option { return func(h *Holder) { h.onFolded = f } }
 
 // WithEpochs sets what knows the store's epoch.
 func WithEpochs(e *external.Epochs) Option { return func(h *Holder) { h.epochs = e } }
@@ -163,7 +163,7 @@
 func New(store external.KV, prefix string, pages int, node, id string, opts ...Option) *Holder {
 	h := &Holder{
 		id: id, node: node, store: store, clock: MachineClock(), now: time.Now, wall: time.Now, random: rand.Float64,
-		policy: DefaultPolicy(), times: DefaultTimes(), log: zerolog.Nop(), onFolded: func(Folded) {}, epochs: external.NewEpochs(),
+		policy: DefaultPolicy(), times: DefaultTimes(), log: zerolog.Nop(), onFolded: func(Settlement) {}, epochs: external.NewEpochs(),
 		accounts: make(map[string]*account), changed: make(chan struct{}), kicks: make(chan struct{}, 1),
 		asked: make(map[string]asked), loans: make(map[loanKey]lent), returned: make(map[loanKey]time.Time),
 		owed: make(map[string]map[int64]int64), unpaid: make(map[string]time.Time),
@@ -214,9 +214,9 @@
 	}
 }
 
-// Tick tells the holder that the store has just answered: the best moment for a regular draw. own reports that all pages that have
+// StoreAnswered tells the holder that the store has just answered: the best moment for a regular draw. own reports that all pages that have
 // changed were observed, so that a write can stand on them.
-func (h *Holder) Tick(own bool) {
+func (h *Holder) StoreAnswered(own bool) {
 	told := h.follows() || h.relays() // by a leader that has heard the store
 	h.mu.Lock()
 	now := h.now()
@@ -238,7 +238,7 @@
 // interval is the time between regular draws: a large fleet draws more rarely, since all write the same pages. The caller holds
 // mu.
 func (h *Holder) interval() time.Duration {
-	return h.times.Beat * h.crowd()
+	return h.times.RefreshInterval * h.crowd()
 }
 
 // crowd is by how much draws are rarer than in a small fleet. Where zones are led few holders write. The caller holds mu.
@@ -268,8 +268,8 @@
 	return max(1, h.holders)
 }
 
-// Shrink asks for less from now on: the process is about to stop.
-func (h *Holder) Shrink() {
+// ReduceDemand asks for less from now on: the process is about to stop.
+func (h *Holder) ReduceDemand() {
 	h.mu.Lock()
 	h.stopping = true
 	h.mu.Unlock()
--- a/internal/escrow/leave.go
+++ b/internal/escrow/leave.go
@@ -23,7 +23,7 @@
 				return eris.Wrapf(err, "giving back the escrow on %s", p.key)
 			}
 			if !errors.Is(err, external.ErrConflict) {
-				time.Sleep(h.times.Gap)
+				time.Sleep(h.times.MinGap)
 			}
 		}
 	}
--- a/internal/escrow/loss_test.go
+++ b/internal/escrow/loss_test.go
@@ -65,7 +65,7 @@
 
 // reserveAtOnce reserves as requests do, but waits for no draw.
 func reserveAtOnce(h *Holder, customer string, tokens int64) *Reservation {
-	h.times.Wait = 0
+	h.times.ReserveWait = 0
 	r, _ := h.Reserve(context.Background(), customer, tokens, 0)
 	return r
 }
@@ -179,7 +179,7 @@
 		a := p.account(north)
 		for _, spent := range []int64{0, 20_000, 40_000, 60_000, 60_000} {
 			for i := range lossHolders {
-				a.Grant(fmt.Sprintf("node-%d", i), Need{Spent: spent, Want: 400_000}, prepaid)
+				a.Grant(fmt.Sprintf("node-%d", i), Need{Spent: spent, Demand: 400_000}, prepaid)
 			}
 		}
 		out := a.Committed() - a.Spent()
@@ -187,7 +187,7 @@
 		So(float64(out), ShouldBeLessThanOrEqualTo, mostOut*float64(prepaid-a.Spent()))
 
 		Convey("and goes to requests that wait", func() {
-			row := a.Grant("node-0", Need{Spent: 60_000, Want: 400_000, Urgent: 300_000}, prepaid)
+			row := a.Grant("node-0", Need{Spent: 60_000, Demand: 400_000, Urgent: 300_000}, prepaid)
 			So(row.Granted-row.Spent, ShouldEqual, 300_000)
 			So(a.Committed(), ShouldBeLessThanOrEqualTo, prepaid)
 		})
@@ -197,10 +197,10 @@
 func TestStoppingHoldsItsMean(t *testing.T) {
 	Convey("A holder that is about to stop asks for its mean use and nothing beside: its callers come to others", t, func() {
 		const each, perSecond = 5_000, 4
-		h, a := askedHolder(RoleAlone, each, perSecond)
-		running := h.need("north", a, 3).Want
-		h.Shrink()
-		stopping := float64(h.need("north", a, 3).Want)
+		h, a := askedHolder(RoleStandalone, each, perSecond)
+		running := h.need("north", a, 3).Demand
+		h.ReduceDemand()
+		stopping := float64(h.need("north", a, 3).Demand)
 		mean := each * perSecond * DefaultPolicy().Surge * stoppingHorizon.Seconds()
 		So(stopping, ShouldBeBetween, mean/2, mean*1.01)
 		So(float64(running), ShouldBeGreaterThan, 4*stopping)
--- a/internal/escrow/need.go
+++ b/internal/escrow/need.go
@@ -10,7 +10,7 @@
 	role := h.role(name)
 	horizon := h.policy.Horizon
 	if role == RolePooled {
-		horizon = h.policy.Near
+		horizon = h.policy.PooledHorizon
 	}
 	if h.stopping {
 		horizon = min(horizon, stoppingHorizon)
@@ -24,11 +24,11 @@
 	if role == RolePooled || h.stopping {
 		// The pool makes up for unevenness; callers of an instance that stops come to others. Where the store is away at the stop's end
 		// all that this holder has is lost to the budget.
-		policy.Spread, policy.Burst, policy.Reserve = 0, 0, 1
+		policy.Deviations, policy.BurstDeviations, policy.ReserveFactor = 0, 0, 1
 	}
-	n.Want, n.Burst, n.Rate = policy.size(f, horizon, policy.plenty(a.unspent(), a.prepaid))
-	if role == RolePooled && float64(n.Want) < f.grain {
-		n.Want, n.Burst, n.Rate = 0, 0, 0 // too little for a single request
+	n.Demand, n.Burst, n.Rate = policy.size(f, horizon, policy.plenty(a.unspent(), a.prepaid))
+	if role == RolePooled && float64(n.Demand) < f.grain {
+		n.Demand, n.Burst, n.Rate = 0, 0, 0 // too little for a single request
 	}
 	if h.fresh() && !h.stopping && role != RolePooled {
 		share := h.startShare(a, role, max(1, holders))
@@ -36,7 +36,7 @@
 		if h.fleet != nil && h.fleet.Large() {
 			burst, rate = policy.release(share) // it is a part for a whole zone
 		}
-		n.Want, n.Burst, n.Rate = max(n.Want, share), max(n.Burst, burst), max(n.Rate, rate)
+		n.Demand, n.Burst, n.Rate = max(n.Demand, share), max(n.Burst, burst), max(n.Rate, rate)
 	}
 	n.Burst = max(n.Burst, n.Urgent)
 	return n
@@ -68,11 +68,11 @@
 	rest := float64(max(0, a.rest))
 	switch {
 	case role == RolePool:
-		return int64(rest * h.policy.Pools * min(1, float64(h.fleet.ZoneSize())/float64(holders)))
-	case a.others > 0 && role == RoleAlone:
+		return int64(rest * h.policy.PoolStartShare * min(1, float64(h.fleet.ZoneSize())/float64(holders)))
+	case a.others > 0 && role == RoleStandalone:
 		return a.others
 	}
-	return int64(rest * h.policy.Start / float64(holders))
+	return int64(rest * h.policy.StartShare / float64(holders))
 }
 
 // flow is a customer's use here: as measured here, the more so the more of its requests were seen, and for the rest this holder's part of
--- a/internal/escrow/page.go
+++ b/internal/escrow/page.go
@@ -20,7 +20,7 @@
 type Row struct {
 	Granted int64 `cbor:"1,keyasint,omitempty"` // never spent beyond this
 	Spent   int64 `cbor:"2,keyasint,omitempty"` // spent or reserved when the holder reported
-	Want    int64 `cbor:"3,keyasint,omitempty"` // what the holder would like to hold unspent
+	Demand  int64 `cbor:"3,keyasint,omitempty"` // what the holder would like to hold unspent
 	Burst   int64 `cbor:"4,keyasint,omitempty"` // spendable beyond Spent at once
 	Rate    int64 `cbor:"5,keyasint,omitempty"` // spendable beyond that, for each second from Grace after the report on
 }
@@ -58,22 +58,22 @@
 	Clock int64  `cbor:"3,keyasint,omitempty"` // steady clock, ms
 	Count int64  `cbor:"4,keyasint,omitempty"` // writes of this holder
 	Wall  int64  `cbor:"5,keyasint,omitempty"` // time of day, ms
-	// Fleet is a bound of the fleet's time of day in ms, 0 where it is not known: the lower one in a holder's report, the upper one
+	// FleetTime is a bound of the fleet's time of day in ms, 0 where it is not known: the lower one in a holder's report, the upper one
 	// in what a successor reports its start.
-	Fleet int64 `cbor:"6,keyasint,omitempty"`
-	// Later says, of a successor's start, that Fleet will be known soon.
-	Later bool `cbor:"7,keyasint,omitempty"`
+	FleetTime int64 `cbor:"6,keyasint,omitempty"`
+	// FleetTimePending says, of a successor's start, that Fleet will be known soon.
+	FleetTimePending bool `cbor:"7,keyasint,omitempty"`
 	// Epoch is the store's epoch as the holder knew it when it stated its rows; 0: the store names none.
 	Epoch int64 `cbor:"8,keyasint,omitempty"`
 }
 
 // Page holds the accounts of some customers in one value of the store.
 type Page struct {
-	Accounts map[string]*Account `cbor:"1,keyasint,omitempty"`
-	Holders  map[string]Report   `cbor:"2,keyasint,omitempty"`
-	Epoch    int64               `cbor:"3,keyasint,omitempty"` // of the store, when the page was last written; 0: it named none
-	Restored int64               `cbor:"4,keyasint,omitempty"` // the first epoch of the store after its last restoration; 0: there was none
-	Since    int64               `cbor:"5,keyasint,omitempty"` // time of day, ms, of the page's first write in that epoch
+	Accounts      map[string]*Account `cbor:"1,keyasint,omitempty"`
+	Holders       map[string]Report   `cbor:"2,keyasint,omitempty"`
+	Epoch         int64               `cbor:"3,keyasint,omitempty"` // of the store, when the page was last written; 0: it named none
+	RestoredEpoch int64               `cbor:"4,keyasint,omitempty"` // the first epoch of the store after its last restoration; 0: there was none
+	RestoredAt    int64               `cbor:"5,keyasint,omitempty"` // time of day, ms, of the page's first write in that epoch
 
 	unknown compat.Unknown // what a later build has put there
 }
@@ -105,21 +105,21 @@
 	return p, nil
 }
 
-// ErrForeignPage reports that no holder has written a page: it must neither stop an instance nor free a token.
-var ErrForeignPage = errors.New("the escrow page is none of a holder's")
+// ErrInvalidPage reports that no holder has written a page: it must neither stop an instance nor free a token.
+var ErrInvalidPage = errors.New("the escrow page is none of a holder's")
 
 // check reports what in a page cannot be a holder's: an account without a value, or an amount below 0.
 func (p *Page) check() error {
 	for name, a := range p.Accounts {
 		if a == nil {
-			return eris.Wrapf(ErrForeignPage, "the account of %s has no value", name)
+			return eris.Wrapf(ErrInvalidPage, "the account of %s has no value", name)
 		}
 		if a.Settled < 0 || a.Unproven < 0 {
-			return eris.Wrapf(ErrForeignPage, "the account of %s has settled %d, of it %d unproven", name, a.Settled, a.Unproven)
+			return eris.Wrapf(ErrInvalidPage, "the account of %s has settled %d, of it %d unproven", name, a.Settled, a.Unproven)
 		}
 		for holder, r := range a.Rows {
-			if min(r.Granted, r.Spent, r.Want, r.Burst, r.Rate) < 0 {
-				return eris.Wrapf(ErrForeignPage, "the row of %s in the account of %s has an amount below 0", holder, name)
+			if min(r.Granted, r.Spent, r.Demand, r.Burst, r.Rate) < 0 {
+				return eris.Wrapf(ErrInvalidPage, "the row of %s in the account of %s has an amount below 0", holder, name)
 			}
 		}
 	}
@@ -148,23 +148,23 @@
 	return a
 }
 
-// Folded tells what became of an earlier holder's grants, in tokens.
-type Folded struct {
-	Holder  string
-	Known   bool          // one clock tells its last report and now
-	Age     time.Duration // from that report to the start of the successor
-	Spent   int64         // as last reported
-	Granted int64
-	Settled int64 // taken as spent; the rest is free again
+// Settlement tells what became of an earlier holder's grants, in tokens.
+type Settlement struct {
+	Holder   string
+	AgeKnown bool          // one clock tells its last report and now
+	Age      time.Duration // from that report to the start of the successor
+	Spent    int64         // as last reported
+	Granted  int64
+	Settled  int64 // taken as spent; the rest is free again
 }
 
 // Unproven is what was taken as spent beyond the last report, in tokens.
-func (f Folded) Unproven() int64 { return f.Settled - f.Spent }
+func (f Settlement) Unproven() int64 { return f.Settled - f.Spent }
 
-// Fold settles the rows of a node's earlier holders. They had ended when the successor's process began, which begun tells: where
+// SettlePredecessors settles the rows of a node's earlier holders. They had ended when the successor's process began, which begun tells: where
 // that comes from the same clock, no more than Ceiling can have been spent; else all that was granted counts as spent. Rows that wait
 // for begun.Fleet stay.
-func (p *Page) Fold(successor string, begun Report) []Folded {
+func (p *Page) SettlePredecessors(successor string, begun Report) []Settlement {
 	var gone []string
 	for id, r := range p.Holders {
 		if r.Node == begun.Node && id != successor {
@@ -172,7 +172,7 @@
 		}
 	}
 	sort.Strings(gone)
-	out := make([]Folded, 0, len(gone))
+	out := make([]Settlement, 0, len(gone))
 	for _, id := range gone {
 		if !p.Holders[id].waitsFor(begun) {
 			out = append(out, p.fold(id, begun))
@@ -183,19 +183,19 @@
 
 // waitsFor reports whether the age of a report at a successor's start will be known better soon.
 func (r Report) waitsFor(begun Report) bool {
-	return begun.Later && begun.Fleet == 0 && r.Fleet != 0 && !sameRun(r, begun)
+	return begun.FleetTimePending && begun.FleetTime == 0 && r.FleetTime != 0 && !sameRun(r, begun)
 }
 
-func (p *Page) fold(id string, begun Report) Folded {
-	f, doubtful := Folded{Holder: id}, p.doubtful(id)
-	f.Age, f.Known = ageOf(p.Holders[id], begun)
+func (p *Page) fold(id string, begun Report) Settlement {
+	f, doubtful := Settlement{Holder: id}, p.doubtful(id)
+	f.Age, f.AgeKnown = ageOf(p.Holders[id], begun)
 	for _, a := range p.Accounts {
 		row, ok := a.Rows[id]
 		if !ok {
 			continue
 		}
 		spent := row.Granted
-		if f.Known && !doubtful {
+		if f.AgeKnown && !doubtful {
 			spent = row.Ceiling(f.Age)
 		}
 		f.Spent += row.Spent
@@ -211,8 +211,8 @@
 
 // How far clocks may be off between two readings.
 const (
-	ClockError = 3 * time.Second        // one machine's time of day, by steps and drift
-	FleetError = 600 * time.Millisecond // the bounds of the fleet's time, by the delay of messages
+	ClockError     = 3 * time.Second        // one machine's time of day, by steps and drift
+	FleetTimeError = 600 * time.Millisecond // the bounds of the fleet's time, by the delay of messages
 )
 
 // ageOf is the longest time that can have passed between two reports of one machine. Within one run of the machine the steady
@@ -228,9 +228,9 @@
 	if wall < -ClockError {
 		return 0, false
 	}
-	fleet := time.Duration(now.Fleet-then.Fleet) * time.Millisecond
-	if then.Fleet != 0 && now.Fleet != 0 && fleet >= 0 {
-		return max(wall, fleet+FleetError), true
+	fleet := time.Duration(now.FleetTime-then.FleetTime) * time.Millisecond
+	if then.FleetTime != 0 && now.FleetTime != 0 && fleet >= 0 {
+		return max(wall, fleet+FleetTimeError), true
 	}
 	return wall + ClockError, true
 }
--- a/internal/escrow/page_test.go
+++ b/internal/escrow/page_test.go
@@ -89,7 +89,7 @@
 			b, err := cbor.Marshal(page)
 			So(err, ShouldBeNil)
 			_, err = DecodePage(b)
-			So(errors.Is(err, ErrForeignPage), ShouldBeTrue)
+			So(errors.Is(err, ErrInvalidPage), ShouldBeTrue)
 		}
 		b, err := cbor.Marshal(row(1, 7))
 		So(err, ShouldBeNil)
@@ -143,7 +143,7 @@
 	Convey("What a dead holder may have spent", t, func() {
 		Convey("is told by the time from its report to the start of its successor", func() {
 			p := page()
-			f := p.Fold("node/2", report(10*time.Second+Grace+time.Second))
+			f := p.SettlePredecessors("node/2", report(10*time.Second+Grace+time.Second))
 			So(f[0].Settled, ShouldEqual, 100+50+200)
 			So(f[0].Unproven(), ShouldEqual, 50+200)
 			So(p.Accounts[north].Unproven, ShouldEqual, 50+200)
@@ -153,45 +153,45 @@
 
 		Convey("is all that was granted where no clock tells that time", func() {
 			p := page()
-			So(p.Fold("node/2", Report{Node: "node"})[0].Settled, ShouldEqual, 1000)
+			So(p.SettlePredecessors("node/2", Report{Node: "node"})[0].Settled, ShouldEqual, 1000)
 		})
 
 		Convey("is taken to be more across a loss of power, by as much as a time of day may step", func() {
 			p := page()
 			other := report(10*time.Second + Grace)
 			other.Boot, other.Clock = "two", 5
-			So(p.Fold("node/2", other)[0].Settled, ShouldEqual, 100+50+200*int64(ClockError/time.Second))
+			So(p.SettlePredecessors("node/2", other)[0].Settled, ShouldEqual, 100+50+200*int64(ClockError/time.Second))
 		})
 	})
 
 	Convey("Across a loss of power the fleet's time tells more than one machine's", t, func() {
 		p := page()
 		then := report(10 * time.Second)
-		then.Fleet = 5_000_000
+		then.FleetTime = 5_000_000
 		p.Holders["node/1"] = then
 		begun := report(10*time.Second + Grace)
 		begun.Boot, begun.Clock = "two", 5
 		const seconds = 4
-		begun.Fleet = then.Fleet + Grace.Milliseconds() + seconds*1000
+		begun.FleetTime = then.FleetTime + Grace.Milliseconds() + seconds*1000
 		spent := func(age time.Duration) int64 {
 			return Row{Granted: 1000, Spent: 100, Burst: 50, Rate: 200}.Ceiling(age)
 		}
 
 		Convey("where its own time of day was set back", func() {
-			So(p.Fold("node/2", begun)[0].Settled, ShouldEqual, spent(Grace+seconds*time.Second+FleetError))
+			So(p.SettlePredecessors("node/2", begun)[0].Settled, ShouldEqual, spent(Grace+seconds*time.Second+FleetTimeError))
 		})
 
 		Convey("unless its own says more", func() {
 			begun.Wall = then.Wall + (Grace + 2*seconds*time.Second).Milliseconds()
-			So(p.Fold("node/2", begun)[0].Settled, ShouldEqual, spent(Grace+2*seconds*time.Second))
+			So(p.SettlePredecessors("node/2", begun)[0].Settled, ShouldEqual, spent(Grace+2*seconds*time.Second))
 		})
 
 		Convey("and is waited for where it will be known soon", func() {
-			begun.Fleet, begun.Later = 0, true
-			So(p.Fold("node/2", begun), ShouldBeEmpty)
+			begun.FleetTime, begun.FleetTimePending = 0, true
+			So(p.SettlePredecessors("node/2", begun), ShouldBeEmpty)
 			So(newGranting(p).unsettled("node/2", "node"), ShouldBeTrue)
-			begun.Later = false
-			So(p.Fold("node/2", begun)[0].Settled, ShouldEqual, spent(Grace+ClockError))
+			begun.FleetTimePending = false
+			So(p.SettlePredecessors("node/2", begun)[0].Settled, ShouldEqual, spent(Grace+ClockError))
 			So(newGranting(p).unsettled("node/2", "node"), ShouldBeFalse)
 		})
 	})
--- a/internal/escrow/pooled_test.go
+++ b/internal/escrow/pooled_test.go
@@ -45,7 +45,7 @@
 		Convey("holds none where it does not expect several requests: what it holds is lost with its power", func() {
 			const each = 50_000
 			n := asking(RolePooled, each, 0)
-			So(n.Want, ShouldEqual, 0)
+			So(n.Demand, ShouldEqual, 0)
 			So(n.Burst, ShouldEqual, 0)
 			So(n.Rate, ShouldEqual, 0)
 		})
@@ -53,10 +53,10 @@
 		Convey("holds what it expects and nothing beside, as the pool makes up for its unevenness", func() {
 			const each, perSecond = 100, 50
 			n := asking(RolePooled, each, perSecond)
-			mean := float64(each*perSecond) * policy.Surge * policy.Near.Seconds()
-			So(n.Want, ShouldBeGreaterThan, each)
-			So(float64(n.Want), ShouldBeLessThanOrEqualTo, mean)
-			So(asking(RoleAlone, each, perSecond).Want, ShouldBeGreaterThan, 2*n.Want)
+			mean := float64(each*perSecond) * policy.Surge * policy.PooledHorizon.Seconds()
+			So(n.Demand, ShouldBeGreaterThan, each)
+			So(float64(n.Demand), ShouldBeLessThanOrEqualTo, mean)
+			So(asking(RoleStandalone, each, perSecond).Demand, ShouldBeGreaterThan, 2*n.Demand)
 		})
 	})
 }
@@ -77,13 +77,13 @@
 	const north = "north"
 	Convey("A draw brings what all requests need that wait for one, not what the largest needs", t, func() {
 		policy := DefaultPolicy()
-		policy.Start, policy.Pools = 0, 0
+		policy.StartShare, policy.PoolStartShare = 0, 0
 		w := newWorld(policy)
 		n := w.nodes[0]
 		w.draw(n)
 		h := n.holder
 		const each, many = 200, 5
-		So(h.View(north).Left, ShouldBeLessThan, each)
+		So(h.View(north).Available, ShouldBeLessThan, each)
 		for range many {
 			r, _, err := h.try(north, each, 0, false)
 			So(r, ShouldBeNil)
@@ -111,7 +111,7 @@
 		n.gate.cut = true
 		h.draw(context.Background(), p)
 		So(h.due(p, false), ShouldBeFalse)
-		w.elapsed += h.times.Rest
+		w.elapsed += h.times.Backoff
 		So(h.due(p, false), ShouldBeTrue)
 	})
 }
--- a/internal/escrow/property_test.go
+++ b/internal/escrow/property_test.go
@@ -109,7 +109,7 @@
 
 func (f *simFleet) Submit(_ context.Context, s Submission) (Receipt, error) {
 	if f.node.link == linkBroke {
-		return Receipt{}, ErrNotTaken
+		return Receipt{}, ErrNotDelivered
 	}
 	leads := f.world.leaderOf(f.node)
 	lists := [][]*pending{leads.holder.enqueue(s)}
@@ -145,17 +145,17 @@
 	return written(context.Background(), list)
 }
 
-func (f *simFleet) Borrow(ctx context.Context, loan Loan) Borrowed {
+func (f *simFleet) Borrow(ctx context.Context, loan Loan) LoanResult {
 	leads := f.world.nodes[0]
 	switch {
 	case f.node == leads, f.node.link == linkBroke, f.node.link == linkNone:
-		return Borrowed{}
+		return LoanResult{}
 	case leads.holder.Lend(ctx, loan) != nil:
-		return Borrowed{}
+		return LoanResult{}
 	case f.node.link != linkPass:
-		return Borrowed{Unsure: []string{leads.holder.id}}
+		return LoanResult{Unconfirmed: []string{leads.holder.id}}
 	}
-	return Borrowed{Lender: leads.holder.id}
+	return LoanResult{Lender: leads.holder.id}
 }
 
 func (f *simFleet) Return(_ context.Context, lender string, r Repayment) error {
@@ -240,7 +240,7 @@
 	w.ended = w.store.Number()
 	now := func() time.Time { return time.Unix(1_000_000, 0).Add(w.elapsed + n.step) }
 	times := DefaultTimes()
-	times.Gather, times.Group, times.Relayed = 0, 0, 0 // time stands still while rows are handed on
+	times.GatherWindow, times.MinGroupGap, times.MinRelayedGap = 0, 0, 0 // time stands still while rows are handed on
 	n.epochs = external.NewEpochs(external.WithEpochClock(now))
 	n.kv = external.Fence(n.gate, "", n.epochs)
 	n.holder = New(n.kv, propertyPrefix, 2, n.name, fmt.Sprintf("%s/%d", n.name, n.starts), WithClock(n.clock), WithNow(now), WithWall(now),
@@ -306,7 +306,7 @@
 
 // burn spends all that the holder believes it may spend.
 func (w *world) burn(n *simNode, customer string) {
-	if left := n.holder.View(customer).Left; left > 0 {
+	if left := n.holder.View(customer).Available; left > 0 {
 		w.reserve(n, customer, left)
 		w.die(n)
 	}
@@ -338,7 +338,7 @@
 func TestNothingIsOverspent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := DefaultPolicy()
-		policy.Start = rapid.SampledFrom([]float64{policy.Start, 1, 3}).Draw(t, "start")
+		policy.StartShare = rapid.SampledFrom([]float64{policy.StartShare, 1, 3}).Draw(t, "start")
 		w := newWorld(policy)
 		for range propertySteps {
 			n := w.nodes[rapid.IntRange(0, propertyNodes-1).Draw(t, "node")]
@@ -382,7 +382,7 @@
 	case 16, 17:
 		n.link = rapid.IntRange(linkNone, linkModes-1).Draw(t, "link")
 		n.timed = rapid.Bool().Draw(t, "timed")
-		n.role = rapid.SampledFrom([]Role{RoleAlone, RolePooled}).Draw(t, "role")
+		n.role = rapid.SampledFrom([]Role{RoleStandalone, RolePooled}).Draw(t, "role")
 	case 18:
 		n.holder.repayAll(context.Background())
 	case 19:
@@ -507,7 +507,7 @@
 func TestNothingIsOverspentRestored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := DefaultPolicy()
-		policy.Start = rapid.SampledFrom([]float64{policy.Start, 1, 3}).Draw(t, "start")
+		policy.StartShare = rapid.SampledFrom([]float64{policy.StartShare, 1, 3}).Draw(t, "start")
 		w := newWorld(policy)
 		w.store.SetEpoch(1)
 		for range propertySteps {
--- a/internal/escrow/rank_test.go
+++ b/internal/escrow/rank_test.go
@@ -30,7 +30,7 @@
 
 		Convey("keeps a quarter of the grant for first ranks in a cut", func() {
 			begin(1_000_000)
-			now = now.Add(2 * h.times.Lost)
+			now = now.Add(2 * h.times.ContactTimeout)
 			held := h.View("north").Granted
 			_, err := h.Reserve(ctx, "north", held*3/5, lastRank)
 			So(err, ShouldBeNil)
@@ -54,7 +54,7 @@
 
 		Convey("says at a budget's end how much of it counts as spent by instances that were lost", func() {
 			begin(10_000)
-			So(h.View("north").Out, ShouldEqual, h.View("north").Granted)
+			So(h.View("north").Outstanding, ShouldEqual, h.View("north").Granted)
 			_, err := h.Reserve(ctx, "north", 10_001, 0)
 			So(verdict.From(err).Detail(), ShouldEqual, "what remains of the budget cannot hold the request")
 			h.accounts["north"].unproven = 700
@@ -89,7 +89,7 @@
 
 		Convey("by a lender too", func() {
 			w.elapsed += Grace + 500*time.Millisecond
-			err := h.Lend(context.Background(), Loan{Holder: "other", Number: 1, Customer: "north", Most: 500, AtHand: true})
+			err := h.Lend(context.Background(), Loan{Holder: "other", Number: 1, Customer: "north", MaxTokens: 500, HeldOnly: true})
 			So(verdict.From(err).RetryAfter(), ShouldEqual, 1500*time.Millisecond)
 		})
 	})
--- a/internal/escrow/relay.go
+++ b/internal/escrow/relay.go
@@ -16,7 +16,7 @@
 	if len(s.Parts) == 0 && len(list) == 0 {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, h.times.Relay)
+	ctx, cancel := context.WithTimeout(ctx, h.times.RelayTimeout)
 	defer cancel()
 	receipt, err := h.fleet.Submit(ctx, s)
 	if err == nil && len(receipt.Zone) != len(list) {
@@ -81,7 +81,7 @@
 	for _, r := range list {
 		for name, held := range r.Rows {
 			if a := h.accounts[name]; a != nil {
-				held.Zone = a.zoneRate
+				held.ZoneRate = a.zoneRate
 				r.Rows[name] = held
 			}
 		}
--- a/internal/escrow/remote/remote.go
+++ b/internal/escrow/remote/remote.go
@@ -71,7 +71,7 @@
 	case pooled:
 		return escrow.RolePooled
 	}
-	return escrow.RoleAlone
+	return escrow.RoleStandalone
 }
 
 // ZoneSize implements escrow.Fleet.
@@ -89,27 +89,27 @@
 			return r, err
 		}
 	}
-	return escrow.Receipt{}, escrow.ErrNotTaken
+	return escrow.Receipt{}, escrow.ErrNotDelivered
 }
 
 // Borrow implements escrow.Fleet. It asks one holder after another until one lends, or the time is up.
-func (f *Fleet) Borrow(ctx context.Context, loan escrow.Loan) escrow.Borrowed {
-	var out escrow.Borrowed
+func (f *Fleet) Borrow(ctx context.Context, loan escrow.Loan) escrow.LoanResult {
+	var out escrow.LoanResult
 	if !f.loans {
 		return out
 	}
 	large := f.dir.Large()
 	for _, p := range f.dir.Lenders(loan.Customer) {
-		loan.AtHand = !large || !f.dir.Near(p)
+		loan.HeldOnly = !large || !f.dir.Near(p)
 		_, err := peers.Call[escrow.Loan, mesh.Empty](ctx, f.dir, p, KindBorrow, loan)
 		switch {
 		case err == nil:
 			out.Lender = p.Addr
 			return out
 		case verdict.Of(err) != verdict.NotRun && !errors.Is(err, mesh.ErrUnreachable):
-			out.Unsure = append(out.Unsure, p.Addr)
+			out.Unconfirmed = append(out.Unconfirmed, p.Addr)
 		default:
-			out.Later = sooner(out.Later, verdict.From(err).RetryAfter())
+			out.RetryAfter = sooner(out.RetryAfter, verdict.From(err).RetryAfter())
 		}
 		if ctx.Err() != nil {
 			break
--- a/internal/escrow/report.go
+++ b/internal/escrow/report.go
@@ -8,7 +8,7 @@
 // report is what this holder reports of itself with a write.
 func (h *Holder) report(now time.Duration, count int64) Report {
 	low, _ := h.fleetTime()
-	return Report{Node: h.node, Boot: h.clock.Boot(), Clock: now.Milliseconds(), Wall: h.wall().UnixMilli(), Count: count, Fleet: low, Epoch: h.epochs.Current()}
+	return Report{Node: h.node, Boot: h.clock.Boot(), Clock: now.Milliseconds(), Wall: h.wall().UnixMilli(), Count: count, FleetTime: low, Epoch: h.epochs.Current()}
 }
 
 // fleetTime bounds the fleet's time of day in ms; 0 while it is not known.
@@ -28,18 +28,18 @@
 	r := h.begun
 	age := h.clock.Now() - time.Duration(r.Clock)*time.Millisecond
 	if _, high := h.fleetTime(); high != 0 {
-		r.Fleet = high - age.Milliseconds()
+		r.FleetTime = high - age.Milliseconds()
 		return r
 	}
-	r.Later = h.fleet != nil && age < fleetTimeWait
+	r.FleetTimePending = h.fleet != nil && age < fleetTimeWait
 	return r
 }
 
 // tellFolded logs and counts what became of earlier holders' grants.
-func (h *Holder) tellFolded(list []Folded, page string) {
+func (h *Holder) tellFolded(list []Settlement, page string) {
 	for _, f := range list {
 		h.onFolded(f)
-		h.log.Info().Str("event", "escrow_settled").Str("holder", f.Holder).Str("page", page).Bool("age_known", f.Known).
+		h.log.Info().Str("event", "escrow_settled").Str("holder", f.Holder).Str("page", page).Bool("age_known", f.AgeKnown).
 			Int64("age_ms", f.Age.Milliseconds()).Int64("spent", f.Spent).Int64("granted", f.Granted).Int64("settled", f.Settled).
 			Int64("unproven", f.Unproven()).
 			Msg("an earlier process's escrow is settled")
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -21,11 +21,11 @@
 
 // View is what the holder knows of a customer's budget, in tokens.
 type View struct {
-	Left    int64 // may be reserved here now
-	Granted int64 // held here
-	Spent   int64 // spent or reserved here
-	Rest    int64 // unspent by all holders, as last reported
-	Out     int64 // of Rest: granted to holders, who may have spent it unseen
+	Available   int64 // may be reserved here now
+	Granted     int64 // held here
+	Spent       int64 // spent or reserved here
+	Remaining   int64 // unspent by all holders, as last reported
+	Outstanding int64 // of Rest: granted to holders, who may have spent it unseen
 	// Unproven is what was taken as spent though no holder had reported it: holders were lost.
 	Unproven int64
 	Age      time.Duration // since the store last answered
@@ -40,8 +40,8 @@
 		return View{}
 	}
 	return View{
-		Left: a.headroom(h.clock.Now()), Granted: a.row.row.Granted, Spent: a.used(), Rest: a.unspent(), Age: h.now().Sub(h.answered),
-		Out: a.rest - a.free, Unproven: a.unproven,
+		Available: a.headroom(h.clock.Now()), Granted: a.row.row.Granted, Spent: a.used(), Remaining: a.unspent(), Age: h.now().Sub(h.answered),
+		Outstanding: a.rest - a.free, Unproven: a.unproven,
 	}
 }
 
@@ -106,7 +106,7 @@
 			if !h.worthDrawing(customer, most) {
 				return nil, errDry
 			}
-			t := time.NewTimer(h.times.Wait)
+			t := time.NewTimer(h.times.ReserveWait)
 			defer t.Stop()
 			end = t.C
 			h.await(customer, most)
@@ -180,7 +180,7 @@
 		return false
 	}
 	held := a.row.row.Granted - a.row.row.Spent
-	return float64(a.row.row.Granted-a.used()-most) < h.policy.KeptInCut*float64(held)
+	return float64(a.row.row.Granted-a.used()-most) < h.policy.OutageReserve*float64(held)
 }
 
 // count measures what is asked for. The caller holds mu.
@@ -210,7 +210,7 @@
 }
 
 // inTouch reports whether the store has answered lately. The caller holds mu.
-func (h *Holder) inTouch() bool { return h.now().Sub(h.answered) < h.times.Lost }
+func (h *Holder) inTouch() bool { return h.now().Sub(h.answered) < h.times.ContactTimeout }
 
 // comeBack is when a request that was refused may be served: at the next draw, or in a cut once the steps in which the grant is
 // released allow it. The caller holds mu.
@@ -240,5 +240,5 @@
 	if a.free+a.row.row.Granted-a.used() < most && a.unspent() >= most {
 		return false // others hold it
 	}
-	return !h.answered.IsZero() && h.inTouch() && now.Sub(a.dry) > h.times.Dry*h.crowd()
+	return !h.answered.IsZero() && h.inTouch() && now.Sub(a.dry) > h.times.ExhaustedPause*h.crowd()
 }
--- a/internal/escrow/restore.go
+++ b/internal/escrow/restore.go
@@ -35,14 +35,14 @@
 	}
 	restored := p.Epoch > 0 || lived
 	if restored {
-		p.Restored, p.Since = epoch, wall.UnixMilli()
+		p.RestoredEpoch, p.RestoredAt = epoch, wall.UnixMilli()
 	}
 	p.Epoch = epoch
 	return restored
 }
 
 // doubtful reports whether a holder has not stated its rows since the store was restored: it may have more than they show.
-func (p *Page) doubtful(holder string) bool { return p.Holders[holder].Epoch < p.Restored }
+func (p *Page) doubtful(holder string) bool { return p.Holders[holder].Epoch < p.RestoredEpoch }
 
 // doubtfuls counts the holders that have not stated their rows since the store was restored.
 func (p *Page) doubtfuls() int {
@@ -57,13 +57,13 @@
 
 // margin is what doubtful holders may have of an account beyond their rows.
 func (p *Page) margin(a *Account) int64 {
-	if p.Restored == 0 {
+	if p.RestoredEpoch == 0 {
 		return 0
 	}
 	total := int64(0)
 	for id, r := range a.Rows {
 		if p.doubtful(id) {
-			total += r.Want
+			total += r.Demand
 		}
 	}
 	return total
@@ -75,9 +75,9 @@
 	before, present := p.Holders[holder]
 	switch {
 	case r.Epoch == 0 && before.Epoch == 0:
-	case r.Epoch < p.Restored:
+	case r.Epoch < p.RestoredEpoch:
 		return false
-	case p.Restored > 0 && before.Epoch < p.Restored:
+	case p.RestoredEpoch > 0 && before.Epoch < p.RestoredEpoch:
 		return r.Count > before.Count
 	}
 	return before.Count+1 == r.Count && (present || before.Count == 0)
@@ -115,13 +115,13 @@
 
 // frozen reports whether nothing is to be granted on a page beyond what holders have. The caller holds mu.
 func (h *Holder) frozen(page *Page) bool {
-	if page.Restored == 0 || page.Restored < h.epochs.Current() {
+	if page.RestoredEpoch == 0 || page.RestoredEpoch < h.epochs.Current() {
 		return false
 	}
 	if learnt := h.restored.Load(); learnt != nil {
 		return h.now().Sub(*learnt) < restateWait
 	}
-	since := h.wall().Sub(time.UnixMilli(page.Since))
+	since := h.wall().Sub(time.UnixMilli(page.RestoredAt))
 	return since >= 0 && since < restateWait
 }
 
--- a/internal/escrow/restore_test.go
+++ b/internal/escrow/restore_test.go
@@ -58,7 +58,7 @@
 			w.draw(b)
 			w.draw(b)
 			So(w.page(north).Accounts[north].Rows[a.holder.id].Granted, ShouldEqual, granted)
-			So(w.page(north).Restored, ShouldEqual, 2)
+			So(w.page(north).RestoredEpoch, ShouldEqual, 2)
 		})
 
 		Convey("one that nobody else knows is not handed out again before its holder had time to state it", func() {
@@ -83,7 +83,7 @@
 				w.use(a, north, 1)
 				w.draw(a)
 			}
-			left := a.holder.View(north).Left
+			left := a.holder.View(north).Available
 			So(left, ShouldBeLessThan, 20_000)
 			So(w.grab(b, north, 30_000), ShouldBeTrue)
 			w.store.SetLose(true)
@@ -93,11 +93,11 @@
 			a.forget()
 			w.restoredTo(copied)
 			w.observe(a)
-			So(a.holder.View(north).Left, ShouldBeLessThanOrEqualTo, left)
+			So(a.holder.View(north).Available, ShouldBeLessThanOrEqualTo, left)
 		})
 
 		Convey("holders go on with what they have", func() {
-			left := a.holder.View(north).Left
+			left := a.holder.View(north).Available
 			w.restoredTo(0)
 			w.reserve(a, north, left)
 			So(a.open, ShouldHaveLength, 1)
@@ -118,10 +118,10 @@
 		Convey("the rows of a holder that has ended are settled whole, unless it had stated them since", func() {
 			for epoch, settled := range map[int64]int64{1: 100, 2: 15} {
 				p := &Page{
-					Restored: 2, Holders: map[string]Report{"a/1": {Node: "a", Boot: "one", Clock: 1000, Wall: 1000, Epoch: epoch}},
+					RestoredEpoch: 2, Holders: map[string]Report{"a/1": {Node: "a", Boot: "one", Clock: 1000, Wall: 1000, Epoch: epoch}},
 					Accounts: map[string]*Account{north: {Rows: map[string]Row{"a/1": {Granted: 100, Spent: 10, Burst: 5}}}},
 				}
-				p.Fold("a/2", Report{Node: "a", Boot: "one", Clock: 1001, Wall: 1001})
+				p.SettlePredecessors("a/2", Report{Node: "a", Boot: "one", Clock: 1001, Wall: 1001})
 				So(p.Accounts[north].Settled, ShouldEqual, settled)
 			}
 		})
@@ -215,7 +215,7 @@
 			{2, &Report{Count: 3}, Report{Count: 4}, true},
 			{2, &Report{Count: 3}, Report{Count: 5}, false},
 		} {
-			p := &Page{Restored: c.restored, Holders: map[string]Report{}}
+			p := &Page{RestoredEpoch: c.restored, Holders: map[string]Report{}}
 			if c.before != nil {
 				p.Holders["h"] = *c.before
 			}
--- a/internal/escrow/share_test.go
+++ b/internal/escrow/share_test.go
@@ -20,9 +20,9 @@
 			want, _, _ := p.size(flow{rate: rate / holders, whole: rate, grain: grain}, p.Horizon, 1)
 			sum += want
 		}
-		mean := rate * p.Surge * p.Reserve * p.Horizon.Seconds()
+		mean := rate * p.Surge * p.ReserveFactor * p.Horizon.Seconds()
 		So(float64(sum), ShouldBeGreaterThan, mean)
-		So(float64(sum), ShouldBeLessThanOrEqualTo, mean+p.Spread*math.Sqrt(mean*grain))
+		So(float64(sum), ShouldBeLessThanOrEqualTo, mean+p.Deviations*math.Sqrt(mean*grain))
 	})
 
 	Convey("One holder by itself holds all of both", t, func() {
@@ -44,7 +44,7 @@
 func TestShareFollowsCallers(t *testing.T) {
 	Convey("A holder at which a busy customer's callers come asks for what they use there", t, func() {
 		const each, perSecond = 5_000, 20
-		h, a := askedHolder(RoleAlone, each, perSecond)
+		h, a := askedHolder(RoleStandalone, each, perSecond)
 		f := measured(h, a, each*perSecond, 5*each*perSecond)
 		So(f.rate, ShouldBeGreaterThan, 0.9*each*perSecond)
 
@@ -57,7 +57,7 @@
 
 	Convey("Of a customer with few requests a holder keeps its part of what all use", t, func() {
 		const each, perSecond = 5_000, 20
-		h, a := askedHolder(RoleAlone, each, perSecond)
+		h, a := askedHolder(RoleStandalone, each, perSecond)
 		a.meter = meter{}
 		const little = each / 20 // tokens a second: a request in twenty seconds
 		f := measured(h, a, little, 5*each*perSecond)
@@ -68,7 +68,7 @@
 // measured is the flow of a customer that all holders use at one rate, and all customers at another, in tokens a second.
 func measured(h *Holder, a *account, use, all float64) flow {
 	a.led, a.leaderRate, h.leaderRate = true, use, all
-	return h.flow(a, RoleAlone)
+	return h.flow(a, RoleStandalone)
 }
 
 // A holder that nobody had asked divided nothing by nothing, and a stop wrote what came of it, a rate far below zero, into its row: had the
@@ -77,14 +77,14 @@
 	Convey("A holder that was never asked wants nothing as it stops, and its ceiling is never below what it has spent", t, func() {
 		w := newWorld(DefaultPolicy())
 		n := w.nodes[1]
-		n.role = RoleAlone
+		n.role = RoleStandalone
 		w.draw(n)
 		h := n.holder
 		a := h.accounts["north"]
 		a.led, a.leaderRate, h.leaderRate = true, 0, 1000
-		h.Shrink()
+		h.ReduceDemand()
 		need := h.need("north", a, 3)
-		So(need.Want, ShouldEqual, 0)
+		So(need.Demand, ShouldEqual, 0)
 		So(need.Rate, ShouldEqual, 0)
 		row := Row{Granted: need.Spent, Spent: need.Spent, Burst: need.Burst, Rate: need.Rate}
 		So(row.Ceiling(time.Minute), ShouldEqual, need.Spent)
--- a/internal/escrow/sizing.go
+++ b/internal/escrow/sizing.go
@@ -7,24 +7,24 @@
 
 // Policy sizes what a holder asks for.
 type Policy struct {
-	Horizon time.Duration // how long the holder, or the zone by its pools, shall serve without the store
-	Reserve float64       // how many times the use of the horizon is held: in a cut callers come back, and use grows
-	Near    time.Duration // how long a holder shall serve without its zone's pools, if it expects several requests meanwhile
-	Surge   float64       // how much faster than the measured rate a customer may become
-	Spread  float64       // standard deviations of the use held beside its mean
-	Burst   float64       // standard deviations spendable at once
-	Start   float64       // part of the unspent rest that all holders together ask for while nothing is measured
-	Pools   float64       // the same, for all pools together
-	Scarce  float64       // part of the prepaid figure below which an unspent rest counts as scarce, more so as it falls
-	// KeptInCut is the part of what was granted when the store was last heard that is kept for a customer's first ranks in a cut.
-	KeptInCut float64
+	Horizon         time.Duration // how long the holder, or the zone by its pools, shall serve without the store
+	ReserveFactor   float64       // how many times the use of the horizon is held: in a cut callers come back, and use grows
+	PooledHorizon   time.Duration // how long a holder shall serve without its zone's pools, if it expects several requests meanwhile
+	Surge           float64       // how much faster than the measured rate a customer may become
+	Deviations      float64       // standard deviations of the use held beside its mean
+	BurstDeviations float64       // standard deviations spendable at once
+	StartShare      float64       // part of the unspent rest that all holders together ask for while nothing is measured
+	PoolStartShare  float64       // the same, for all pools together
+	ScarceBelow     float64       // part of the prepaid figure below which an unspent rest counts as scarce, more so as it falls
+	// OutageReserve is the part of what was granted when the store was last heard that is kept for a customer's first ranks in a cut.
+	OutageReserve float64
 }
 
 // DefaultPolicy outlives a cut of ten seconds.
 func DefaultPolicy() Policy {
 	return Policy{
-		Horizon: 10 * time.Second, Reserve: 1.4, Near: 3 * time.Second, Surge: 1.1, Spread: 2, Burst: 1.2, Start: 0.15, Pools: 0.3, Scarce: 0.5,
-		KeptInCut: 0.25,
+		Horizon: 10 * time.Second, ReserveFactor: 1.4, PooledHorizon: 3 * time.Second, Surge: 1.1, Deviations: 2, BurstDeviations: 1.2, StartShare: 0.15, PoolStartShare: 0.3, ScarceBelow: 0.5,
+		OutageReserve: 0.25,
 	}
 }
 
@@ -56,18 +56,18 @@
 
 // plenty reports how far an unspent rest is from scarce: 1 is plenty, 0 is nothing.
 func (p Policy) plenty(rest, prepaid int64) float64 {
-	if prepaid <= 0 || p.Scarce <= 0 {
+	if prepaid <= 0 || p.ScarceBelow <= 0 {
 		return 1
 	}
-	return min(1, max(0, float64(rest)/(p.Scarce*float64(prepaid))))
+	return min(1, max(0, float64(rest)/(p.ScarceBelow*float64(prepaid))))
 }
 
 // size turns a measured flow into what is asked for: all of it is spendable once the horizon has passed.
 func (p Policy) size(f flow, horizon time.Duration, plenty float64) (want, burst, rate int64) {
 	soon := tight + time.Duration(float64(ahead-tight)*plenty)
 	horizon = max(soon, time.Duration(float64(horizon)*plenty))
-	b := p.amount(f, soon, p.Burst*plenty)
-	w := max(b, p.amount(f, time.Duration(p.Reserve*float64(horizon)), p.Spread*plenty))
+	b := p.amount(f, soon, p.BurstDeviations*plenty)
+	w := max(b, p.amount(f, time.Duration(p.ReserveFactor*float64(horizon)), p.Deviations*plenty))
 	if span := (horizon - Grace).Seconds(); span > 0 {
 		rate = int64((w - b) / span)
 	} else {
@@ -88,12 +88,12 @@
 
 // Need is what a holder asks for of one account.
 type Need struct {
-	Spent  int64 `cbor:"1,keyasint,omitempty"` // spent or reserved so far
-	Want   int64 `cbor:"2,keyasint,omitempty"` // to hold unspent
-	Burst  int64 `cbor:"3,keyasint,omitempty"`
-	Rate   int64 `cbor:"4,keyasint,omitempty"`
-	Urgent int64 `cbor:"5,keyasint,omitempty"` // the least that a waiting request needs unspent; 0: none waits
-	Keep   int64 `cbor:"6,keyasint,omitempty"` // the holder counts on a grant of this much already
+	Spent    int64 `cbor:"1,keyasint,omitempty"` // spent or reserved so far
+	Demand   int64 `cbor:"2,keyasint,omitempty"` // to hold unspent
+	Burst    int64 `cbor:"3,keyasint,omitempty"`
+	Rate     int64 `cbor:"4,keyasint,omitempty"`
+	Urgent   int64 `cbor:"5,keyasint,omitempty"` // the least that a waiting request needs unspent; 0: none waits
+	MinGrant int64 `cbor:"6,keyasint,omitempty"` // the holder counts on a grant of this much already
 }
 
 // Grant sets a holder's row of an account so that nothing is overspent, and returns it. prepaid < 0 is no limit.
@@ -109,9 +109,9 @@
 // set is Grant where the sums of all other rows are known, and free, which the row may reach, counted from the holder's start; target is what the
 // holder should have unspent.
 func (a *Account) set(holder string, n Need, prepaid int64, others sums, free int64) (row Row, target int64) {
-	row = Row{Spent: n.Spent, Want: n.Want, Burst: n.Burst, Rate: n.Rate}
+	row = Row{Spent: n.Spent, Demand: n.Demand, Burst: n.Burst, Rate: n.Rate}
 	target = a.share(n, prepaid, others)
-	row.Granted = max(n.Spent, n.Keep, min(n.Spent+max(target, n.Urgent), free))
+	row.Granted = max(n.Spent, n.MinGrant, min(n.Spent+max(target, n.Urgent), free))
 	if row == (Row{}) {
 		delete(a.Rows, holder) // in a large fleet most holders have nothing of most customers
 		return row, target
@@ -127,13 +127,13 @@
 // share is the part of the unspent rest that a holder may keep, beside others.
 func (a *Account) share(n Need, prepaid int64, others sums) int64 {
 	rest := prepaid - a.Settled - others.spent - n.Spent
-	wants := others.want + n.Want
+	wants := others.want + n.Demand
 	if rest <= 0 {
 		return 0
 	}
 	rest = int64(mostOut * float64(rest))
 	if rest >= wants || wants == 0 {
-		return n.Want
+		return n.Demand
 	}
-	return int64(float64(rest) * float64(n.Want) / float64(wants))
+	return int64(float64(rest) * float64(n.Demand) / float64(wants))
 }
--- a/internal/escrow/submit.go
+++ b/internal/escrow/submit.go
@@ -33,7 +33,7 @@
 		}
 		close(h.changed)
 		h.changed = make(chan struct{})
-	case errors.Is(err, ErrNotTaken):
+	case errors.Is(err, ErrNotDelivered):
 		for _, part := range s.Parts {
 			h.withdrawn(part)
 		}
@@ -42,7 +42,7 @@
 
 // submission collects what is to be written, and notes it as possibly in force.
 func (h *Holder) submission(regular bool) Submission {
-	s := Submission{Holder: h.id, Asked: h.askedHere()}
+	s := Submission{Holder: h.id, DemandRates: h.askedHere()}
 	for i, p := range h.pages {
 		if !h.due(p, regular) {
 			continue
@@ -72,16 +72,16 @@
 	now := h.clock.Now()
 	part := Part{Page: i, Report: h.report(now, p.count+1), Rows: make(map[string]Need)}
 	if !p.joined || p.unsettled || h.restates(p) {
-		part.Begun = h.start()
+		part.Start = h.start()
 	}
 	for name, a := range h.accounts {
 		if h.pageOf(name) != p || a.prepaid < 0 {
 			continue
 		}
 		need := h.need(name, a, h.holders)
-		need.Keep = a.keep(need)
+		need.MinGrant = a.keep(need)
 		part.Rows[name] = need
-		least := Row{Granted: max(need.Keep, need.Spent), Spent: need.Spent, Want: need.Want, Burst: need.Burst, Rate: need.Rate}
+		least := Row{Granted: max(need.MinGrant, need.Spent), Spent: need.Spent, Demand: need.Demand, Burst: need.Burst, Rate: need.Rate}
 		a.unsure = append(a.unsure, issued{row: least, clock: time.Duration(part.Report.Clock) * time.Millisecond})
 	}
 	p.submitted = true
@@ -127,7 +127,7 @@
 	}
 	p.count, p.submitted, p.unsure = r.Report.Count, false, -1
 	p.joined, p.unsettled, p.known, p.drawn, p.epoch = true, r.Unsettled, false, h.now(), h.epochs.Current()
-	h.holders, h.leaderRate = r.Holders, r.Rate
+	h.holders, h.leaderRate = r.Holders, r.FleetRate
 	for name, a := range h.accounts {
 		if h.pageOf(name) != p {
 			continue
@@ -138,8 +138,8 @@
 			continue
 		}
 		a.confirm(issued{row: held.Row, clock: time.Duration(r.Report.Clock) * time.Millisecond})
-		a.rest, a.free, a.others, a.target = held.Rest, held.Free, held.Others, held.Target
-		a.leaderRate, a.zoneRate, a.led, a.unproven = held.Rate, held.Zone, true, held.Unproven
+		a.rest, a.free, a.others, a.target = held.Remaining, held.Ungranted, held.OthersDemand, held.Target
+		a.leaderRate, a.zoneRate, a.led, a.unproven = held.FleetRate, held.ZoneRate, true, held.Unproven
 		p.reported[name] = held.Row.Spent
 	}
 }
--- a/internal/escrow/write.go
+++ b/internal/escrow/write.go
@@ -26,7 +26,7 @@
 	count  int64             // of this holder's writes
 	rows   map[string]issued // this holder's rows in it
 	others []*pending        // rows of others in it
-	folded []Folded
+	folded []Settlement
 	// unsettled: it leaves rows of this node's earlier holders
 	unsettled bool
 	restored  bool // it is the page's first one since the store was restored
@@ -35,7 +35,7 @@
 
 // write writes all pages of a list, or none.
 func (h *Holder) write(ctx context.Context, list []write) error {
-	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyDraw), h.times.Call)
+	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyDraw), h.times.CallTimeout)
 	defer cancel()
 	var c external.Commit
 	for _, w := range list {
@@ -60,7 +60,7 @@
 	}
 	report := h.report(h.clock.Now(), max(p.count, page.Holders[h.id].Count)+1)
 	restored, restates := page.enter(report.Epoch, h.wall(), p.joined), h.restates(p)
-	var folded []Folded
+	var folded []Settlement
 	g := newGranting(page)
 	g.frozen = h.frozen(page)
 	if !p.joined || p.unsettled || restates {
@@ -74,7 +74,7 @@
 		}
 		need := h.need(name, a, len(page.Holders))
 		if restates {
-			need.Keep = a.keep(need)
+			need.MinGrant = a.keep(need)
 		}
 		row, _ := g.grant(name, h.id, need, a.prepaid)
 		rest, free := g.rest(name, a.prepaid)
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -50,7 +50,7 @@
 }
 
 // folded counts tokens of holders that were lost: those that they had reported as spent, and those that only may have been.
-func (m *meters) folded(f escrow.Folded) {
+func (m *meters) folded(f escrow.Settlement) {
 	m.metrics.Scope().Tagged(map[string]string{"proven": "yes"}).Counter("escrow_settled_tokens_total").Inc(f.Spent)
 	m.metrics.Scope().Tagged(map[string]string{"proven": "no"}).Counter("escrow_settled_tokens_total").Inc(f.Unproven())
 }
@@ -105,9 +105,9 @@
 	e = e.Str("event", requestEnded).Str("request", o.Request.ID).Str("route", o.Route).Str("kind", o.Kind).
 		Str("service", o.Service).Str("customer", o.Customer).Int64("version", o.Version).Int("status", o.Status).
 		Str("verdict", o.Verdict.String()).Int("attempts", o.Attempts).Int64("events", o.Events).
-		Int64("reserved", o.Reserved).Int64("used", o.Used).Int64("escrow_left", o.Budget.Left).
-		Int64("escrow_granted", o.Budget.Granted).Int64("escrow_spent", o.Budget.Spent).Int64("budget_rest", o.Budget.Rest).
-		Int64("budget_out", o.Budget.Out).Int64("budget_unproven", o.Budget.Unproven).Int64("escrow_age_ms", o.Budget.Age.Milliseconds()).
+		Int64("reserved", o.Reserved).Int64("used", o.Used).Int64("escrow_left", o.Budget.Available).
+		Int64("escrow_granted", o.Budget.Granted).Int64("escrow_spent", o.Budget.Spent).Int64("budget_rest", o.Budget.Remaining).
+		Int64("budget_out", o.Budget.Outstanding).Int64("budget_unproven", o.Budget.Unproven).Int64("escrow_age_ms", o.Budget.Age.Milliseconds()).
 		Int64("first_ms", o.First.Milliseconds()).Int64("total_ms", o.Total.Milliseconds()).
 		Int64("pause_ms", o.Pause.Milliseconds()).Int64("prompt_tokens", o.Request.TokensIn)
 	if o.Late != relay.LateNot {
--- a/internal/router/experiment.go
+++ b/internal/router/experiment.go
@@ -49,10 +49,10 @@
 func (s *Settings) escrowPolicy() escrow.Policy {
 	p := escrow.DefaultPolicy()
 	if s.without(Ranks) {
-		p.KeptInCut = 0
+		p.OutageReserve = 0
 	}
 	if s.without(Scarcity) {
-		p.Scarce = 0
+		p.ScarceBelow = 0
 	}
 	return p
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -133,7 +133,7 @@
 func (r *Router) newEscrow(on Platform, links *mesh.Router, id string) {
 	set := r.set
 	r.escrow = escrow.New(on.Store, set.Store.Prefix+escrowPrefix, set.Store.pages(), set.Instance.ID, id,
-		escrow.WithLogger(r.log), escrow.WithNow(r.boot.Now), escrow.OnFolded(r.metrics.folded), escrow.WithPolicy(set.escrowPolicy()),
+		escrow.WithLogger(r.log), escrow.WithNow(r.boot.Now), escrow.OnSettlement(r.metrics.folded), escrow.WithPolicy(set.escrowPolicy()),
 		escrow.WithEpochs(on.Epochs),
 		escrow.WithFleet(remote.New(r.peers, r.clock, set.fleetOptions()...)))
 	remote.Serve(links, r.escrow)
@@ -144,7 +144,7 @@
 	r.follow = follow.New(feed.NewSource(r.peers, on.Source, feed.WithNow(r.boot.Now), feed.WithEpochs(on.Epochs)), r.pool,
 		follow.WithLogger(r.log), follow.WithNow(r.boot.Now), follow.OnRejected(r.metrics.rejected),
 		follow.OnTable(r.fundsOf), follow.OnTable(r.servicesOf),
-		follow.OnEntry(r.observe), follow.OnPolled(r.escrow.Tick), follow.WithOwn(func() bool { return !r.peers.Large() }))
+		follow.OnEntry(r.observe), follow.OnPolled(r.escrow.StoreAnswered), follow.WithOwn(func() bool { return !r.peers.Large() }))
 	feed.Serve(links, r.follow, on.Epochs)
 }
 
@@ -295,7 +295,7 @@
 	r.log.Info().Str("event", "instance_stopping").Msg("planned stop")
 	r.probes.leave()
 	r.callers.Leave()
-	r.escrow.Shrink()
+	r.escrow.ReduceDemand()
 	errPeers := r.leavePeers()
 	time.Sleep(time.Duration(float64(r.set.Stop.Within) * lingerShare))
 	open, cancel := context.WithDeadline(context.Background(), begun.Add(r.set.Stop.Within-giveBack-exitMargin))
