--- a/internal/follow/history.go
+++ b/internal/follow/history.go
@@ -59,7 +59,7 @@
 		if e.Outdated(h.endpoints[e.ID]) {
 			continue
 		}
-		if before, there := h.endpoints[e.ID]; !there || before.Tells(e) {
+		if before, there := h.endpoints[e.ID]; !there || before.ChangedBy(e) {
 			b.endpoints = append(b.endpoints, e)
 		}
 		h.endpoints[e.ID] = e
--- a/internal/gateway/endings.go
+++ b/internal/gateway/endings.go
@@ -73,7 +73,7 @@
 		return
 	}
 	u, uerr := url.Parse(t.URL)
-	if uerr != nil || t.Lease.Fate() == pool.FateLeaving {
+	if uerr != nil || t.Lease.ProcessState() == pool.ProcessLeaving {
 		return
 	}
 	digest, customer := j.asks(), j.customer
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func (j *job) noEndpoint(o pool.Opening) error {
+func (j *job) noEndpoint(o pool.Availability) error {
 	detail, after := "no endpoint of pool "+j.pool+" can take the request", retryEndpoint
 	if o.Rest > 0 {
 		detail, after = "all endpoints of pool "+j.pool+" that take work have asked for rest", o.Rest
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -141,7 +141,7 @@
 	if err := j.g.hook(ctx, step.Dispatch); err != nil {
 		return err
 	}
-	if !t.Lease.Wanted() {
+	if !t.Lease.StillValid() {
 		return verdict.New(verdict.NotRun, verdict.CodeStopping, "the endpoint takes no new work now")
 	}
 	if err := j.hold.Dispatch(); err != nil {
@@ -189,7 +189,7 @@
 // onNotice takes what the endpoint reports of itself in its answer.
 func (j *job) onNotice(t targets.Target) endpoint.OnNotice {
 	return func(w pool.Notice, status int) {
-		t.Lease.Said(w, pool.Answer{Request: j.id, Status: status})
+		t.Lease.ObserveNotice(w, pool.Answer{Request: j.id, Status: status})
 		if status < http.StatusMultipleChoices {
 			t.Lease.Accepted()
 		}
@@ -262,7 +262,7 @@
 			j.g.suspects.Well(j.asks())
 		}
 		t.Lease.Done(pool.EndGood)
-		t.Lease.Served(j.firstToken, j.slowestGap)
+		t.Lease.ObserveLatency(j.firstToken, j.slowestGap)
 		return
 	}
 	switch verdict.From(err).Code() {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -225,7 +225,7 @@
 		member.WithLogger(in.log))
 	in.feed = rollout.NewFeed(in.store, in.view, in.transport, in.router, rollout.WithPoll(in.opts.poll), rollout.WithFeedLogger(in.log))
 	in.view.OnBeat(in.feed.Heard)
-	heard, silenced := pool.LogWords(in.log)
+	heard, silenced := pool.LogNotices(in.log)
 	in.targets = targets.New(in.set.Instance.Zone, targets.WithZoneView(in.view.InFlight, func() int { return len(in.view.Zone()) }),
 		targets.OnNotice(heard), targets.OnNoticeEnded(silenced))
 	in.feed.OnChange(in.targets.SetDocument)
--- a/internal/load/bench_test.go
+++ b/internal/load/bench_test.go
@@ -22,7 +22,7 @@
 	for i := range told {
 		loads := make(pool.Loads)
 		for j := range 60 {
-			loads[uint32((i*37+j*13)%1000)] = pool.Load{Open: 1, Ended: 0.5, Harm: 0.1}
+			loads[uint32((i*37+j*13)%1000)] = pool.Load{Open: 1, Ended: 0.5, Interference: 0.1}
 		}
 		told[i] = pack(report{loads: loads}, time.Now())
 	}
--- a/internal/load/digest.go
+++ b/internal/load/digest.go
@@ -55,7 +55,7 @@
 func packLoads(loads pool.Loads) []line {
 	lines := make([]line, 0, len(loads))
 	for key, x := range loads {
-		l := line{Endpoint: key, Open: x.Open, Harm: steps(x.Harm), Ended: steps(x.Ended), Failed: steps(x.Failed), Silent: x.Silent}
+		l := line{Endpoint: key, Open: x.Open, Harm: steps(x.Interference), Ended: steps(x.Ended), Failed: steps(x.Failed), Silent: x.Silent}
 		if l.Open+l.Harm+l.Ended+l.Failed > 0 {
 			lines = append(lines, l)
 		}
@@ -79,7 +79,7 @@
 	out := report{loads: make(pool.Loads, len(d.Lines)), leaving: make(pool.Leaving, len(d.Leaving)), limits: unpackLimits(d.Limits, now)}
 	for _, l := range d.Lines {
 		out.loads[l.Endpoint] = pool.Load{
-			Open: l.Open, Harm: float64(l.Harm) / flowSteps, Ended: float64(l.Ended) / flowSteps, Failed: float64(l.Failed) / flowSteps, Silent: l.Silent,
+			Open: l.Open, Interference: float64(l.Harm) / flowSteps, Ended: float64(l.Ended) / flowSteps, Failed: float64(l.Failed) / flowSteps, Silent: l.Silent,
 		}
 	}
 	for _, l := range d.Leaving {
--- a/internal/load/digest_test.go
+++ b/internal/load/digest_test.go
@@ -17,7 +17,7 @@
 		now := time.Unix(1000, 0)
 		loads := make(pool.Loads)
 		for i := range uint32(140) {
-			loads[i<<20+7] = pool.Load{Open: int(i % 12), Harm: 0.25, Ended: 2.5, Failed: 0.07}
+			loads[i<<20+7] = pool.Load{Open: int(i % 12), Interference: 0.25, Ended: 2.5, Failed: 0.07}
 		}
 
 		Convey("tells what it was made of", func() {
@@ -53,7 +53,7 @@
 		})
 
 		Convey("leaves out endpoints with nothing under way, and those with the least where there are too many", func() {
-			loads[1] = pool.Load{Harm: 0.0001}
+			loads[1] = pool.Load{Interference: 0.0001}
 			So(len(pack(report{loads: loads}, now).Lines), ShouldEqual, 140)
 			for i := range uint32(1300) {
 				loads[i<<8+9] = pool.Load{Open: 1}
--- a/internal/load/fuzz_test.go
+++ b/internal/load/fuzz_test.go
@@ -35,7 +35,7 @@
 		}
 		p := pool.New("a")
 		p.Put(pool.Endpoint{ID: "e", Service: "s", Addr: "1:1", Zone: "a", Slots: 4})
-		p.SetOthers(r.loads)
+		p.SetPeerLoads(r.loads)
 		p.ObserveLeaving(r.leaving)
 		p.ObserveLimits(r.limits)
 		fuzzDivision(t, d)
--- a/internal/load/limits_test.go
+++ b/internal/load/limits_test.go
@@ -90,7 +90,7 @@
 		b.got = append(b.got, b.now)
 		word.Limit = b.rate
 	}
-	lease.Said(word, pool.Answer{})
+	lease.ObserveNotice(word, pool.Answer{})
 	lease.Done(pool.EndGood)
 }
 
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -26,7 +26,7 @@
 const (
 	tellEvery = 500 * time.Millisecond // between exchanges: a stream lasts some seconds, and each exchange costs a message
 	askLimit  = 250 * time.Millisecond // of one exchange
-	life      = pool.OthersLife        // what was told counts for so long
+	life      = pool.PeerLoadsTTL      // what was told counts for so long
 	sumFor    = tellEvery / 2          // a sum that is told to many is made anew after this
 )
 
@@ -166,7 +166,7 @@
 
 // observe takes what all others know.
 func (x *Exchange) observe(r report) {
-	x.pool.SetOthers(r.loads)
+	x.pool.SetPeerLoads(r.loads)
 	x.pool.ObserveLeaving(r.leaving)
 	x.pool.ObserveLimits(r.limits)
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -81,7 +81,7 @@
 
 			Convey("each instance knows what all others have under way, and its own not twice", func() {
 				for i, p := range b.pools {
-					So(open(p.Others()), ShouldEqual, all-(i+1))
+					So(open(p.PeerLoads()), ShouldEqual, all-(i+1))
 				}
 			})
 
@@ -94,14 +94,14 @@
 						x.Sync(ctx)
 					}
 				}
-				So(open(b.pools[0].Others()), ShouldEqual, all-1-4)
+				So(open(b.pools[0].PeerLoads()), ShouldEqual, all-1-4)
 			})
 
 			Convey("an instance that reaches nobody forgets what it was told", func() {
 				b.net.SetCut(func(_, _ mesh.Peer) bool { return true })
 				b.now = b.now.Add(life + time.Millisecond)
 				b.sync(ctx)
-				So(open(b.pools[3].Others()), ShouldEqual, 0)
+				So(open(b.pools[3].PeerLoads()), ShouldEqual, 0)
 			})
 		})
 	}
--- a/internal/pool/bench_test.go
+++ b/internal/pool/bench_test.go
@@ -19,7 +19,7 @@
 			for _, m := range p.byID {
 				others[m.key()] = Load{Open: 3, Ended: 2}
 			}
-			p.SetOthers(others)
+			p.SetPeerLoads(others)
 			b.ReportAllocs()
 			for b.Loop() {
 				p.Pick(Query{Service: "models", Affinity: "5c1e07a2"}).Done(EndGood)
--- a/internal/pool/born_test.go
+++ b/internal/pool/born_test.go
@@ -13,20 +13,20 @@
 	Convey("An endpoint that has seen requests", t, func() {
 		now := time.Unix(1000, 0)
 		gone := 0
-		l := New("a", WithNow(func() time.Time { return now }), OnGone(func(string) { gone++ }))
+		l := New("a", WithNow(func() time.Time { return now }), OnRemoved(func(string) { gone++ }))
 		at := func(born int64) Endpoint {
-			return Endpoint{ID: "e", Service: "s", Addr: "1:1", Zone: "a", Slots: 1, Born: born}
+			return Endpoint{ID: "e", Service: "s", Addr: "1:1", Zone: "a", Slots: 1, StartedAt: born}
 		}
 		l.Put(at(100))
 		lease := l.Pick(Query{Service: "s"})
 		So(lease, ShouldNotBeNil)
 		So(l.Pick(Query{Service: "s"}), ShouldBeNil) // its only slot is taken
-		l.SetOthers(Loads{l.byID["e"].key(): {Open: 7, Failed: 5, Ended: 5}})
+		l.SetPeerLoads(Loads{l.byID["e"].key(): {Open: 7, Failed: 5, Ended: 5}})
 
 		Convey("is another one once it tells of a later start: nothing of before counts there", func() {
 			So(l.Put(at(200)), ShouldBeTrue)
 			So(gone, ShouldEqual, 1)
-			So(lease.Fate(), ShouldEqual, FateEnded)
+			So(lease.ProcessState(), ShouldEqual, ProcessEnded)
 			m := l.byID["e"]
 			So(m.open, ShouldEqual, 0)
 			So(m.others, ShouldResemble, Load{})
@@ -44,19 +44,19 @@
 				came, went := l.Replace([]Endpoint{at(100)})
 				So(came+went, ShouldEqual, 0)
 				So(l.byID["e"], ShouldEqual, m)
-				So(m.Born, ShouldEqual, 200)
+				So(m.StartedAt, ShouldEqual, 200)
 			})
 
 			Convey("a word without a start tells nothing of it", func() {
 				So(l.Put(at(0)), ShouldBeFalse)
 				So(l.byID["e"], ShouldEqual, m)
-				So(m.Born, ShouldEqual, 200)
+				So(m.StartedAt, ShouldEqual, 200)
 			})
 		})
 
 		Convey("stays what it is while it tells of the same start, or tells of its start for the first time", func() {
 			l.Put(at(100))
-			So(lease.Fate(), ShouldEqual, FateUnknown)
+			So(lease.ProcessState(), ShouldEqual, ProcessRunning)
 			So(l.byID["e"].open, ShouldEqual, 1)
 		})
 
@@ -64,9 +64,9 @@
 			e := at(100)
 			e.Draining = true
 			l.Put(e)
-			So(lease.Fate(), ShouldEqual, FateLeaving)
+			So(lease.ProcessState(), ShouldEqual, ProcessLeaving)
 			l.Remove("e")
-			So(lease.Fate(), ShouldEqual, FateLeaving)
+			So(lease.ProcessState(), ShouldEqual, ProcessLeaving)
 		})
 	})
 }
--- a/internal/pool/cascade_test.go
+++ b/internal/pool/cascade_test.go
@@ -100,7 +100,7 @@
 					others.Add(o.Loads())
 				}
 			}
-			p.SetOthers(others)
+			p.SetPeerLoads(others)
 		}
 		c.after(cascadeTell, tell)
 	}
@@ -129,14 +129,14 @@
 		_, _ = fmt.Sscanf(lease.Endpoint().ID, "e-%d", &i)
 		if c.running[i] >= c.room(i) || (c.forced == i && c.at < c.forcedTil) {
 			c.turned++
-			lease.Said(Notice{Rest: c.rest, Limit: c.limit(i)}, Answer{})
+			lease.ObserveNotice(Notice{Rest: c.rest, Limit: c.limit(i)}, Answer{})
 			lease.Done(EndBusy)
 			continue
 		}
 		c.running[i]++
 		c.after(cascadeAnswers, func() {
 			lease.Accepted()
-			lease.Said(Notice{Limit: c.limit(i)}, Answer{})
+			lease.ObserveNotice(Notice{Limit: c.limit(i)}, Answer{})
 		})
 		c.after(cascadeRuns, func() {
 			c.running[i]--
@@ -204,7 +204,7 @@
 			}
 			return served, turned, refused
 		}
-		atOnce, turnedAtOnce, _ := play(func(p *Policy) { p.ReturnCut = 0 })
+		atOnce, turnedAtOnce, _ := play(func(p *Policy) { p.RestDecrease = 0 })
 		served, turned, refused := play(func(*Policy) {})
 		t.Logf("all at once: %d served, %d turned away; bounded: %d served, %d turned away, %d refused", atOnce, turnedAtOnce, served, turned, refused)
 		So(turned, ShouldBeLessThan, turnedAtOnce)
--- a/internal/pool/chooser.go
+++ b/internal/pool/chooser.go
@@ -176,15 +176,15 @@
 	return m
 }
 
-// Kept notes that an endpoint keeps a block of prompts.
-func (l *Pool) Kept(endpoint string, block uint64) {
+// BlockCached notes that an endpoint keeps a block of prompts.
+func (l *Pool) BlockCached(endpoint string, block uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.prompts.Add(endpoint, []uint64{block})
 }
 
-// Evicted notes that an endpoint does not keep a block of prompts any more.
-func (l *Pool) Evicted(endpoint string, block uint64) {
+// BlockEvicted notes that an endpoint does not keep a block of prompts any more.
+func (l *Pool) BlockEvicted(endpoint string, block uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.prompts.Remove(endpoint, block)
--- a/internal/pool/connections_test.go
+++ b/internal/pool/connections_test.go
@@ -36,7 +36,7 @@
 				for lease := p.Pick(Query{Service: "s"}); lease != nil; lease = p.Pick(Query{Service: "s"}) {
 					opened[lease.Endpoint().ID]++
 				}
-				So(p.Opens(Query{Service: "s"}).Open, ShouldBeFalse)
+				So(p.Availability(Query{Service: "s"}).Open, ShouldBeFalse)
 			}
 			for id, n := range opened {
 				SoMsg(id, n, ShouldBeLessThanOrEqualTo, most)
@@ -57,11 +57,11 @@
 			open int
 			want bool
 		}{{0, true}, {44, true}, {45, false}, {100, false}} {
-			p.SetOthers(Loads{runKey(e): {Open: c.open}})
-			So(p.Opens(Query{Service: "s"}).Open, ShouldEqual, c.want)
+			p.SetPeerLoads(Loads{runKey(e): {Open: c.open}})
+			So(p.Availability(Query{Service: "s"}).Open, ShouldEqual, c.want)
 		}
-		clock.pass(2 * OthersLife)
-		So(p.Opens(Query{Service: "s"}).Open, ShouldBeFalse)
+		clock.pass(2 * PeerLoadsTTL)
+		So(p.Availability(Query{Service: "s"}).Open, ShouldBeFalse)
 	})
 	Convey("A service that names no number bounds none", t, func() {
 		p := New("a", WithOwners(oneOf{size: 300}))
--- a/internal/pool/draw_test.go
+++ b/internal/pool/draw_test.go
@@ -76,7 +76,7 @@
 				others.Add(x)
 			}
 		}
-		p.SetOthers(others)
+		p.SetPeerLoads(others)
 	}
 }
 
@@ -108,9 +108,9 @@
 			return lease.Endpoint().ID
 		}
 		far := p.byID["far"].key()
-		p.SetOthers(Loads{near: {Ended: 20}, far: {Ended: 24}})
+		p.SetPeerLoads(Loads{near: {Ended: 20}, far: {Ended: 24}})
 		So(pick(), ShouldEqual, "near")
-		p.SetOthers(Loads{near: {Ended: 30}, far: {Ended: 20}})
+		p.SetPeerLoads(Loads{near: {Ended: 30}, far: {Ended: 20}})
 		So(pick(), ShouldEqual, "far")
 	})
 }
--- a/internal/pool/health.go
+++ b/internal/pool/health.go
@@ -47,7 +47,7 @@
 	if m.receivedAt.After(since) {
 		since = m.receivedAt
 	}
-	return now.Sub(since) > max(l.policy.Silence, m.patience)
+	return now.Sub(since) > max(l.policy.MinResponseTimeout, m.patience)
 }
 
 // Received notes that the endpoint has sent something.
@@ -65,28 +65,28 @@
 	return s.pool.silent(s.member, s.pool.now())
 }
 
-// Fate is what is known of the process that was picked.
-type Fate int
+// ProcessState is what is known of the process that was picked.
+type ProcessState int
 
 // The fates.
 const (
-	FateUnknown Fate = iota // nothing speaks for its end
-	FateLeaving             // its planned end is known: it has said that it drains, or its record is gone
-	FateEnded               // another process has started under its ID
+	ProcessRunning ProcessState = iota // nothing speaks for its end
+	ProcessLeaving                     // its planned end is known: it has said that it drains, or its record is gone
+	ProcessEnded                       // another process has started under its ID
 )
 
-// Fate tells what is known of the process that was picked.
-func (s *Lease) Fate() Fate {
+// ProcessState tells what is known of the process that was picked.
+func (s *Lease) ProcessState() ProcessState {
 	s.pool.mu.RLock()
 	defer s.pool.mu.RUnlock()
 	now := s.pool.byID[s.member.ID]
 	switch {
 	case now == s.member && !s.member.Draining && !s.member.announced.leaves(s.pool.now()):
-		return FateUnknown
+		return ProcessRunning
 	case now != nil && s.member.Outdated(now.Endpoint):
-		return FateEnded
+		return ProcessEnded
 	}
-	return FateLeaving
+	return ProcessLeaving
 }
 
 // End is how a request's use of an endpoint ended.
@@ -147,8 +147,8 @@
 		l.fails(m, now)
 	case EndBusy:
 		m.busyTil = now.Add(busyPause)
-		if l.policy.BusyCut > 0 && m.abstains(now) == KeptNot {
-			m.comeback = m.comeback.after(now, m.open, l.policy.BusyCut)
+		if l.policy.BusyDecrease > 0 && m.abstains(now) == NotExcluded {
+			m.comeback = m.comeback.after(now, m.open, l.policy.BusyDecrease)
 		}
 	case EndMoved:
 		l.observe(m, Notice{Moved: true}, Answer{})
@@ -176,17 +176,17 @@
 	if m.pause == 0 {
 		m.pause = l.policy.FirstPause
 	} else {
-		m.pause = min(2*m.pause, l.policy.LongPause)
+		m.pause = min(2*m.pause, l.policy.MaxPause)
 	}
 	m.pausedTil = now.Add(m.pause)
-	if l.policy.OneAtReturn {
+	if l.policy.ProbeAfterPause {
 		m.comeback = firstAgain()
 	}
 }
 
 // mayPause reports whether one more endpoint of a service may be paused: what looks like a fault of most of them is one on the way there.
 func (l *Pool) mayPause(m *member) bool {
-	if l.policy.MostPaused >= 1 {
+	if l.policy.MaxPausedShare >= 1 {
 		return true
 	}
 	paused := 1
@@ -196,5 +196,5 @@
 			paused++
 		}
 	}
-	return float64(paused) <= l.policy.MostPaused*float64(len(all))
+	return float64(paused) <= l.policy.MaxPausedShare*float64(len(all))
 }
--- a/internal/pool/limits.go
+++ b/internal/pool/limits.go
@@ -58,10 +58,10 @@
 	switch {
 	case r == before:
 	case r.Named():
-		h.Word = Notice{Limit: r}
+		h.Notice = Notice{Limit: r}
 		l.onNotice(h)
 	default:
-		l.onNoticeEnded(NoticeEnded{Endpoint: m.Endpoint, Why: WordLifted})
+		l.onNoticeEnded(NoticeEnded{Endpoint: m.Endpoint, Why: NoticeLifted})
 	}
 }
 
@@ -204,7 +204,7 @@
 	before := x.limits.known.Rate(l.now())
 	x.wall = max(x.wall, l.wall().Add(-l.now().Sub(told.Named())).UnixMilli())
 	x.limits.known.Merge(told)
-	l.turned(m, x, before, NoticeTaken{Endpoint: m.Endpoint, Told: true, Age: l.now().Sub(m.recordAt)})
+	l.turned(m, x, before, NoticeTaken{Endpoint: m.Endpoint, FromPeer: true, Age: l.now().Sub(m.recordAt)})
 }
 
 // Limited is an endpoint under a limit, as an exchange between instances sees it.
--- a/internal/pool/limits_test.go
+++ b/internal/pool/limits_test.go
@@ -36,14 +36,14 @@
 		w := newWords()
 		lease := w.lease()
 		w.clock.pass(time.Second)
-		lease.Said(two, Answer{Request: "r", Status: 200})
+		lease.ObserveNotice(two, Answer{Request: "r", Status: 200})
 		lease.Done(EndGood)
 
 		Convey("gets that from an instance that is by itself, though it is the only endpoint, and is told of once", func() {
 			So(w.takes(), ShouldBeFalse)
 			So(w.taken(10*time.Second), ShouldBeBetween, 17, 21)
 			So(len(w.heard), ShouldEqual, 1)
-			So(w.heard[0].Word, ShouldResemble, two)
+			So(w.heard[0].Notice, ShouldResemble, two)
 			So(w.Len(), ShouldEqual, 1)
 		})
 		Convey("gets an even part from one of four", func() {
@@ -58,9 +58,9 @@
 			So(w.taken(10*time.Second), ShouldBeBetween, 3, 5)
 		})
 		Convey("tells why it gets nothing, and what callers may hope for", func() {
-			So(w.Statuses()[0].Kept, ShouldEqual, KeptLimited)
-			o := w.Opens(Query{Service: "s"})
-			So(o, ShouldResemble, Opening{Limited: true, Rate: 2})
+			So(w.Statuses()[0].Exclusion, ShouldEqual, ExcludedLimited)
+			o := w.Availability(Query{Service: "s"})
+			So(o, ShouldResemble, Availability{Limited: true, Rate: 2})
 		})
 		Convey("is not counted what did not reach it", func() {
 			w.clock.pass(time.Second)
@@ -76,7 +76,7 @@
 		Convey("gets what is left of other bounds, too: they do not undo each other", func() {
 			w.clock.pass(time.Second)
 			turned := w.lease()
-			turned.Said(Notice{Rest: 3 * time.Second, Limit: two.Limit}, Answer{})
+			turned.ObserveNotice(Notice{Rest: 3 * time.Second, Limit: two.Limit}, Answer{})
 			turned.Done(EndBusy)
 			So(w.taken(2900*time.Millisecond), ShouldEqual, 0)
 			So(w.taken(10*time.Second), ShouldBeBetween, 15, 21)
@@ -95,17 +95,17 @@
 			So(w.taken(time.Second), ShouldEqual, 100)
 		})
 		Convey("is not freed by an answer to a request that was sent before", func() {
-			lease.Said(Notice{}, Answer{})
+			lease.ObserveNotice(Notice{}, Answer{})
 			So(w.takes(), ShouldBeFalse)
 		})
 		Convey("is free again once a later answer names none, and tells so", func() {
 			w.clock.pass(time.Second)
 			later := w.lease()
 			w.clock.pass(time.Second)
-			later.Said(Notice{}, Answer{})
+			later.ObserveNotice(Notice{}, Answer{})
 			later.Done(EndGood)
 			So(w.taken(time.Second), ShouldEqual, 100)
-			So(w.ended, ShouldResemble, []NoticeEnd{WordLifted})
+			So(w.ended, ShouldResemble, []NoticeEnd{NoticeLifted})
 			So(w.byID["e"].announced, ShouldBeNil)
 
 			Convey("also where another instance was told before, and tells it", func() {
@@ -120,7 +120,7 @@
 			other := newWords()
 			other.ObserveLimits(w.Limits())
 			So(other.takes(), ShouldBeFalse)
-			So(other.heard[0].Told, ShouldBeTrue)
+			So(other.heard[0].FromPeer, ShouldBeTrue)
 			So(other.Limits(), ShouldBeEmpty) // it tells only what it has observed itself
 
 			Convey("also where its record comes later", func() {
@@ -136,10 +136,10 @@
 		w := newWords()
 		first, second := w.lease(), w.lease()
 		w.clock.pass(time.Second)
-		first.Said(two, Answer{})
-		So(second.Wanted(), ShouldBeFalse)
+		first.ObserveNotice(two, Answer{})
+		So(second.StillValid(), ShouldBeFalse)
 		w.clock.pass(time.Second)
-		So(second.Wanted(), ShouldBeTrue)
+		So(second.StillValid(), ShouldBeTrue)
 		So(w.takes(), ShouldBeFalse)
 		second.Done(EndUnsent)
 		So(w.takes(), ShouldBeTrue)
@@ -152,10 +152,10 @@
 		for range 100 {
 			lease := w.Pick(Query{Service: "s", Affinity: "a"})
 			So(lease, ShouldNotBeNil)
-			lease.Said(Notice{Limit: limit.PerSecond(0)}, Answer{})
+			lease.ObserveNotice(Notice{Limit: limit.PerSecond(0)}, Answer{})
 			lease.Done(EndGood)
 			if lease.Endpoint().ID == "f" {
-				So(lease.Kept(), ShouldBeIn, KeptLimited, KeptNot)
+				So(lease.Exclusion(), ShouldBeIn, ExcludedLimited, NotExcluded)
 			}
 			w.byID["f"].announced = nil // only the first endpoint is under a limit
 		}
--- a/internal/pool/load.go
+++ b/internal/pool/load.go
@@ -10,10 +10,10 @@
 // Load is what some instances have under way at an endpoint.
 type Load struct {
 	Open int // requests
-	// Harm is how many times a second a prompt that was sent there makes the streams beside it rest for too long; see pauseChance.
-	Harm   float64
-	Ended  float64 // requests a second that ended well or badly
-	Failed float64 // those that ended badly
+	// Interference is how many times a second a prompt that was sent there makes the streams beside it rest for too long; see pauseChance.
+	Interference float64
+	Ended        float64 // requests a second that ended well or badly
+	Failed       float64 // those that ended badly
 	// Silent are the open ones of instances to which the endpoint has said nothing for longer than an answer takes.
 	Silent int
 }
@@ -29,7 +29,7 @@
 }
 
 func (x Load) plus(y Load) Load {
-	return Load{Open: x.Open + y.Open, Harm: x.Harm + y.Harm, Ended: x.Ended + y.Ended, Failed: x.Failed + y.Failed, Silent: x.Silent + y.Silent}
+	return Load{Open: x.Open + y.Open, Interference: x.Interference + y.Interference, Ended: x.Ended + y.Ended, Failed: x.Failed + y.Failed, Silent: x.Silent + y.Silent}
 }
 
 // silent reports whether an endpoint has fallen silent for all: to most of those who wait there, and to more than one instance's request,
@@ -45,10 +45,10 @@
 }
 
 // nothing reports whether there is nothing to tell.
-func (x Load) nothing() bool { return x.Open == 0 && x.Harm < leastFlow && x.Ended < leastFlow }
+func (x Load) nothing() bool { return x.Open == 0 && x.Interference < leastFlow && x.Ended < leastFlow }
 
-// OthersLife is how long what others have under way counts.
-const OthersLife = 1500 * time.Millisecond
+// PeerLoadsTTL is how long what others have under way counts.
+const PeerLoadsTTL = 1500 * time.Millisecond
 
 const (
 	flowDecay  = 10 * time.Second // the time constant with which all this is forgotten: sessions come back in some seconds
@@ -111,15 +111,15 @@
 
 // load is what this instance has under way at an endpoint. The caller holds mu.
 func (l *Pool) load(m *member, now time.Time) Load {
-	x := Load{Open: m.open, Harm: m.harm.now(now), Ended: m.ended.now(now), Failed: m.failed.now(now)}
+	x := Load{Open: m.open, Interference: m.harm.now(now), Ended: m.ended.now(now), Failed: m.failed.now(now)}
 	if l.silent(m, now) {
 		x.Silent = m.open
 	}
 	return x
 }
 
-// SetOthers takes what all other instances have under way.
-func (l *Pool) SetOthers(others Loads) {
+// SetPeerLoads takes what all other instances have under way.
+func (l *Pool) SetPeerLoads(others Loads) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.others, l.othersAt = others, l.now()
@@ -130,11 +130,11 @@
 
 // othersKnown reports whether it is known what others have under way. The caller holds mu.
 func (l *Pool) othersKnown(now time.Time) bool {
-	return l.others != nil && now.Sub(l.othersAt) < OthersLife
+	return l.others != nil && now.Sub(l.othersAt) < PeerLoadsTTL
 }
 
-// Others is what all other instances have under way, as far as it is known.
-func (l *Pool) Others() Loads {
+// PeerLoads is what all other instances have under way, as far as it is known.
+func (l *Pool) PeerLoads() Loads {
 	now := l.now()
 	l.mu.RLock()
 	defer l.mu.RUnlock()
--- a/internal/pool/notice.go
+++ b/internal/pool/notice.go
@@ -26,16 +26,16 @@
 // NoticeTaken reports an endpoint's word that was taken, for logs.
 type NoticeTaken struct {
 	Endpoint Endpoint // by its record
-	Word     Notice
+	Notice   Notice
 	Answer   Answer
-	Told     bool          // another instance has heard it
+	FromPeer bool          // another instance has heard it
 	Age      time.Duration // of the record
 }
 
 // The events of the lines about words.
 const (
-	EventWord      = "endpoint_word"
-	EventWordEnded = "endpoint_word_ended"
+	EventNotice      = "endpoint_word"
+	EventNoticeEnded = "endpoint_word_ended"
 )
 
 // Name names the word in logs and metrics.
@@ -53,9 +53,9 @@
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (h NoticeTaken) MarshalZerologObject(e *zerolog.Event) {
-	e.Str("word", h.Word.Name()).Str("endpoint", h.Endpoint.Run()).Str("service", h.Endpoint.Service).Bool("told", h.Told).
-		Str("request", h.Answer.Request).Int("status", h.Answer.Status).Int64("rest_ms", h.Word.Rest.Milliseconds()).
-		Float64("limit", h.Word.Limit.PerSecond()).Bool("record_draining", h.Endpoint.Draining).Int64("record_age_ms", h.Age.Milliseconds())
+	e.Str("word", h.Notice.Name()).Str("endpoint", h.Endpoint.Run()).Str("service", h.Endpoint.Service).Bool("told", h.FromPeer).
+		Str("request", h.Answer.Request).Int("status", h.Answer.Status).Int64("rest_ms", h.Notice.Rest.Milliseconds()).
+		Float64("limit", h.Notice.Limit.PerSecond()).Bool("record_draining", h.Endpoint.Draining).Int64("record_age_ms", h.Age.Milliseconds())
 }
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
@@ -63,14 +63,14 @@
 	e.Str("endpoint", s.Endpoint.Run()).Str("service", s.Endpoint.Service).Str("why", string(s.Why))
 }
 
-// LogWords makes what logs words: 20 lines a second at most, for endpoints that ask for rest for moments do so again and again.
-func LogWords(log zerolog.Logger) (heard func(NoticeTaken), silenced func(NoticeEnded)) {
+// LogNotices makes what logs words: 20 lines a second at most, for endpoints that ask for rest for moments do so again and again.
+func LogNotices(log zerolog.Logger) (heard func(NoticeTaken), silenced func(NoticeEnded)) {
 	lines := log.Sample(&zerolog.BurstSampler{Burst: wordLines, Period: time.Second})
 	heard = func(h NoticeTaken) {
-		lines.Info().Str("event", EventWord).EmbedObject(h).Msg("an endpoint says in an answer that it takes less work, or none")
+		lines.Info().Str("event", EventNotice).EmbedObject(h).Msg("an endpoint says in an answer that it takes less work, or none")
 	}
 	silenced = func(s NoticeEnded) {
-		lines.Info().Str("event", EventWordEnded).EmbedObject(s).Msg("an endpoint gets work again")
+		lines.Info().Str("event", EventNoticeEnded).EmbedObject(s).Msg("an endpoint gets work again")
 	}
 	return heard, silenced
 }
@@ -89,10 +89,10 @@
 
 // The reasons.
 const (
-	WordOver      NoticeEnd = "over"       // its time is over
-	WordRestarted NoticeEnd = "restarted"  // a later start of the endpoint is known
-	WordCalledOff NoticeEnd = "called-off" // the endpoint's record had said so too, and says that it is ready again
-	WordLifted    NoticeEnd = "lifted"     // it names no limit any more
+	NoticeExpired   NoticeEnd = "over"       // its time is over
+	NoticeRestarted NoticeEnd = "restarted"  // a later start of the endpoint is known
+	NoticeCanceled  NoticeEnd = "called-off" // the endpoint's record had said so too, and says that it is ready again
+	NoticeLifted    NoticeEnd = "lifted"     // it names no limit any more
 )
 
 const (
@@ -117,8 +117,8 @@
 	limits    limits
 }
 
-// Said takes what the endpoint reports of itself in an answer. That it names no limit is a word too.
-func (s *Lease) Said(w Notice, a Answer) {
+// ObserveNotice takes what the endpoint reports of itself in an answer. That it names no limit is a word too.
+func (s *Lease) ObserveNotice(w Notice, a Answer) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	if w.Leaving || w.Moved || w.Rest > 0 {
@@ -142,10 +142,10 @@
 	}
 	if w.Rest > 0 {
 		news = x.rests(now, now.Add(w.Rest+l.spread(w.Rest)+l.later(m))) || news
-		m.comeback = m.comeback.after(now, m.open, l.policy.ReturnCut)
+		m.comeback = m.comeback.after(now, m.open, l.policy.RestDecrease)
 	}
 	if news {
-		l.onNotice(NoticeTaken{Endpoint: m.Endpoint, Word: w, Answer: a, Age: now.Sub(m.recordAt)})
+		l.onNotice(NoticeTaken{Endpoint: m.Endpoint, Notice: w, Answer: a, Age: now.Sub(m.recordAt)})
 	}
 }
 
@@ -162,7 +162,7 @@
 // spread is how much later than asked this instance comes back.
 func (l *Pool) spread(rest time.Duration) time.Duration {
 	const steps = 1 << 16
-	return time.Duration(l.policy.RestSpread * float64(rest) * float64(l.random(steps)) / steps)
+	return time.Duration(l.policy.RestJitter * float64(rest) * float64(l.random(steps)) / steps)
 }
 
 // later is how much later than others this instance comes back to an endpoint, in an order that all know: as many as it has slots
@@ -233,20 +233,20 @@
 	switch {
 	case x == nil:
 		return nil
-	case x.run.Outdated(e), x.run.Born == 0 && e.Born > x.wall:
+	case x.run.Outdated(e), x.run.StartedAt == 0 && e.StartedAt > x.wall:
 		// A start that is told for the first time is that of this run only if it was before this run said something. Clocks may differ by seconds,
 		// endpoints that leave have run for longer.
 		l.announced[e.ID] = &announced{run: e} // so that the run before is known again when it is told late
-		l.onNoticeEnded(NoticeEnded{Endpoint: e, Why: WordRestarted})
+		l.onNoticeEnded(NoticeEnded{Endpoint: e, Why: NoticeRestarted})
 		return nil
 	case !sameRun(x.run, e):
 		return nil // at another address: what was said is not of this one
 	}
-	x.run.Born = max(x.run.Born, e.Born)
+	x.run.StartedAt = max(x.run.StartedAt, e.StartedAt)
 	if x.drains && !e.Draining && !x.leaving.IsZero() {
 		// The record is newer than the word, for it had said so too: the endpoint stays after all.
 		x.leaving, x.own, x.calledOff = time.Time{}, false, l.now()
-		l.onNoticeEnded(NoticeEnded{Endpoint: e, Why: WordCalledOff})
+		l.onNoticeEnded(NoticeEnded{Endpoint: e, Why: NoticeCanceled})
 	}
 	x.drains = e.Draining
 	return x
@@ -264,16 +264,16 @@
 func (x *announced) silent() bool { return x == nil || (x.leaving.IsZero() && x.resting.IsZero()) }
 
 // abstains reports why an endpoint gets no work by its own word, whatever else is left: that word is a rule, not a preference. The caller holds mu.
-func (m *member) abstains(now time.Time) Kept {
+func (m *member) abstains(now time.Time) Exclusion {
 	switch {
 	case m.announced == nil:
-		return KeptNot
+		return NotExcluded
 	case m.announced.leaves(now):
-		return KeptLeaving
+		return ExcludedLeaving
 	case before(now, m.announced.resting):
-		return KeptResting
+		return ExcludedResting
 	}
-	return KeptNot
+	return NotExcluded
 }
 
 // takenBack notes that an endpoint gets a request; what it had said counts no more then. The caller holds mu.
@@ -283,19 +283,19 @@
 			m.comeback = firstAgain()
 		}
 		x.leaving, x.own, x.resting = time.Time{}, false, time.Time{}
-		l.onNoticeEnded(NoticeEnded{Endpoint: m.Endpoint, Why: WordOver})
+		l.onNoticeEnded(NoticeEnded{Endpoint: m.Endpoint, Why: NoticeExpired})
 	}
 	m.comeback.begin(now)
 	return m.comeback
 }
 
-// Wanted reports whether the endpoint still takes the request as far as is known: it, or its record, may have said otherwise since it was picked.
-func (s *Lease) Wanted() bool {
+// StillValid reports whether the endpoint still takes the request as far as is known: it, or its record, may have said otherwise since it was picked.
+func (s *Lease) StillValid() bool {
 	l := s.pool
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.byID[s.member.ID]
-	return m != nil && sameRun(m.Endpoint, s.member.Endpoint) && !m.Draining && m.abstains(l.now()) == KeptNot && !l.evacuated[m.Zone] &&
+	return m != nil && sameRun(m.Endpoint, s.member.Endpoint) && !m.Draining && m.abstains(l.now()) == NotExcluded && !l.evacuated[m.Zone] &&
 		l.permitted(s)
 }
 
@@ -361,14 +361,14 @@
 		return
 	}
 	x.leaving, x.wall = at, l.wall().Add(-age).UnixMilli()
-	l.onNotice(NoticeTaken{Endpoint: m.Endpoint, Word: Notice{Leaving: true}, Told: true, Age: now.Sub(m.recordAt)})
+	l.onNotice(NoticeTaken{Endpoint: m.Endpoint, Notice: Notice{Leaving: true}, FromPeer: true, Age: now.Sub(m.recordAt)})
 }
 
 // toldLag bounds how much younger a word seems that others tell than it is: it waits for an exchange at each instance that passes it on.
-const toldLag = 2 * OthersLife
+const toldLag = 2 * PeerLoadsTTL
 
-// Opening reports whether any endpoint takes a request now.
-type Opening struct {
+// Availability reports whether any endpoint takes a request now.
+type Availability struct {
 	Open bool
 	Full bool          // some would, but have as much as they bear
 	Rest time.Duration // until the first that rests takes work again; 0: none rests
@@ -377,30 +377,30 @@
 	Rate    float64
 }
 
-// Opens reports whether any endpoint takes a request now.
-func (l *Pool) Opens(q Query) Opening {
+// Availability reports whether any endpoint takes a request now.
+func (l *Pool) Availability(q Query) Availability {
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var o Opening
+	var o Availability
 	for _, m := range l.services[q.Service] {
 		if !l.mayRun(m, q) {
 			continue
 		}
 		switch l.keeps(m, now) {
-		case KeptNot:
+		case NotExcluded:
 			if l.room(m, l.connected(q.Service, now), now) {
-				return Opening{Open: true}
+				return Availability{Open: true}
 			}
 			o.Full = true
-		case KeptResting:
+		case ExcludedResting:
 			if left := m.announced.resting.Sub(now); o.Rest == 0 || left < o.Rest {
 				o.Rest = left
 			}
-		case KeptLimited:
+		case ExcludedLimited:
 			o.Limited = true
 			o.Rate += l.permits(m, now)
-		case KeptEvacuated, KeptCold, KeptLeaving:
+		case ExcludedEvacuated, ExcludedCold, ExcludedLeaving:
 		}
 	}
 	return o
--- a/internal/pool/notice_test.go
+++ b/internal/pool/notice_test.go
@@ -29,7 +29,7 @@
 
 // record is the endpoint's record.
 func (*words) record(born int64, draining bool) Endpoint {
-	return Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 64, Born: born, Draining: draining}
+	return Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 64, StartedAt: born, Draining: draining}
 }
 
 // lease picks the endpoint, which must take work.
@@ -56,12 +56,12 @@
 		lease := w.lease()
 		So(w.Len(), ShouldEqual, 1)
 		w.clock.pass(time.Second)
-		lease.Said(leaving, Answer{Request: "r", Status: 200})
+		lease.ObserveNotice(leaving, Answer{Request: "r", Status: 200})
 		lease.Done(EndGood)
 		So(w.takes(), ShouldBeFalse)
 		So(w.Len(), ShouldEqual, 0)
-		So(lease.Fate(), ShouldEqual, FateLeaving)
-		So(w.heard, ShouldResemble, []NoticeTaken{{Endpoint: w.record(0, false), Word: leaving, Answer: Answer{Request: "r", Status: 200}, Age: time.Second}})
+		So(lease.ProcessState(), ShouldEqual, ProcessLeaving)
+		So(w.heard, ShouldResemble, []NoticeTaken{{Endpoint: w.record(0, false), Notice: leaving, Answer: Answer{Request: "r", Status: 200}, Age: time.Second}})
 
 		Convey("also when its record says again that it is ready: alone, among all, gone and back, or with a start that was not told before", func() {
 			for _, tell := range []func(){
@@ -81,7 +81,7 @@
 		})
 
 		Convey("says so again without another line", func() {
-			lease.Said(leaving, Answer{})
+			lease.ObserveNotice(leaving, Answer{})
 			So(len(w.heard), ShouldEqual, 1)
 		})
 
@@ -90,7 +90,7 @@
 			So(w.takes(), ShouldBeFalse)
 			w.Put(w.record(0, false))
 			So(w.takes(), ShouldBeTrue)
-			So(w.ended, ShouldResemble, []NoticeEnd{WordCalledOff})
+			So(w.ended, ShouldResemble, []NoticeEnd{NoticeCanceled})
 
 			Convey("which a word that others heard before does not undo, and one that they heard later does", func() {
 				key := w.byID["e"].key()
@@ -107,15 +107,15 @@
 			So(w.takes(), ShouldBeFalse) // the same run, which tells its start now
 			w.Put(w.record(900, false))
 			So(w.takes(), ShouldBeTrue)
-			So(w.ended, ShouldResemble, []NoticeEnd{WordRestarted})
-			lease.Said(leaving, Answer{})
+			So(w.ended, ShouldResemble, []NoticeEnd{NoticeRestarted})
+			lease.ObserveNotice(leaving, Answer{})
 			So(w.takes(), ShouldBeTrue)
 		})
 
 		Convey("until it tells of a start after that, where it told of none before", func() {
 			w.Put(w.record(wordHeard.UnixMilli()+1, false))
 			So(w.takes(), ShouldBeTrue)
-			So(w.ended, ShouldResemble, []NoticeEnd{WordRestarted})
+			So(w.ended, ShouldResemble, []NoticeEnd{NoticeRestarted})
 		})
 
 		Convey("until it is at another address", func() {
@@ -130,9 +130,9 @@
 			So(w.takes(), ShouldBeFalse)
 			w.clock.pass(time.Millisecond)
 			again := w.lease()
-			So(w.ended, ShouldResemble, []NoticeEnd{WordOver})
+			So(w.ended, ShouldResemble, []NoticeEnd{NoticeExpired})
 			So(w.takes(), ShouldBeFalse)
-			again.Said(leaving, Answer{})
+			again.ObserveNotice(leaving, Answer{})
 			again.Done(EndGood)
 			So(w.takes(), ShouldBeFalse)
 			So(len(w.heard), ShouldEqual, 2)
@@ -148,8 +148,8 @@
 
 	Convey("A request that is not sent yet is not wanted any more once its endpoint leaves, drains, rests, is gone or has started again", t, func() {
 		for _, end := range []func(*words, *Lease){
-			func(_ *words, l *Lease) { l.Said(Notice{Leaving: true}, Answer{}) },
-			func(_ *words, l *Lease) { l.Said(Notice{Rest: time.Second}, Answer{}) },
+			func(_ *words, l *Lease) { l.ObserveNotice(Notice{Leaving: true}, Answer{}) },
+			func(_ *words, l *Lease) { l.ObserveNotice(Notice{Rest: time.Second}, Answer{}) },
 			func(w *words, _ *Lease) { w.Put(w.record(7, true)) },
 			func(w *words, _ *Lease) { w.Put(w.record(8, false)) },
 			func(w *words, _ *Lease) { w.Remove("e") },
@@ -158,9 +158,9 @@
 			w := newWords()
 			w.Put(w.record(7, false))
 			other, lease := w.lease(), w.lease()
-			So(lease.Wanted(), ShouldBeTrue)
+			So(lease.StillValid(), ShouldBeTrue)
 			end(w, other)
-			So(lease.Wanted(), ShouldBeFalse)
+			So(lease.StillValid(), ShouldBeFalse)
 		}
 	})
 }
@@ -169,7 +169,7 @@
 	Convey("An instance tells which endpoints have said to it that they leave", t, func() {
 		w, other := newWords(), newWords()
 		So(w.Leaving(), ShouldBeEmpty)
-		w.lease().Said(Notice{Leaving: true}, Answer{})
+		w.lease().ObserveNotice(Notice{Leaving: true}, Answer{})
 		w.clock.pass(2 * time.Second)
 		told := w.Leaving()
 		So(told, ShouldResemble, Leaving{w.byID["e"].key(): 2 * time.Second})
@@ -184,7 +184,7 @@
 		Convey("and others that hear it send nothing there, and do not tell it on as their own", func() {
 			other.ObserveLeaving(told)
 			So(other.takes(), ShouldBeFalse)
-			So(other.heard[0].Told, ShouldBeTrue)
+			So(other.heard[0].FromPeer, ShouldBeTrue)
 			So(other.Leaving(), ShouldBeEmpty)
 			other.ObserveLeaving(told)
 			other.ObserveLeaving(nil)
@@ -222,26 +222,26 @@
 	Convey("An endpoint that has asked for rest gets nothing meanwhile, though it is the only one", t, func() {
 		w := newWords()
 		first, second := w.lease(), w.lease()
-		first.Said(Notice{Rest: 3 * time.Second}, Answer{Status: 503})
+		first.ObserveNotice(Notice{Rest: 3 * time.Second}, Answer{Status: 503})
 		first.Done(EndBusy)
 		w.clock.pass(time.Second)
 		So(w.takes(), ShouldBeFalse)
 		So(w.Len(), ShouldEqual, 1) // it is there
-		So(w.Opens(Query{Service: "s"}), ShouldResemble, Opening{Rest: 2 * time.Second})
-		So(second.Fate(), ShouldEqual, FateUnknown)
+		So(w.Availability(Query{Service: "s"}), ShouldResemble, Availability{Rest: 2 * time.Second})
+		So(second.ProcessState(), ShouldEqual, ProcessRunning)
 
 		Convey("the longest of the times that it asks for counts, in one line", func() {
-			second.Said(Notice{Rest: time.Second}, Answer{})
+			second.ObserveNotice(Notice{Rest: time.Second}, Answer{})
 			w.clock.pass(1900 * time.Millisecond)
 			So(w.takes(), ShouldBeFalse)
-			second.Said(Notice{Rest: time.Second}, Answer{})
+			second.ObserveNotice(Notice{Rest: time.Second}, Answer{})
 			w.clock.pass(900 * time.Millisecond)
 			So(w.takes(), ShouldBeFalse)
 			So(len(w.heard), ShouldEqual, 1)
 			w.clock.pass(100 * time.Millisecond)
 			second.Done(EndBusy)
 			So(w.takes(), ShouldBeTrue)
-			So(w.ended, ShouldResemble, []NoticeEnd{WordOver})
+			So(w.ended, ShouldResemble, []NoticeEnd{NoticeExpired})
 		})
 
 		Convey("also where its record goes and comes back; a later run knows nothing of it", func() {
@@ -267,7 +267,7 @@
 			}
 			all := open()
 			So(len(all), ShouldEqual, 1)
-			So(w.Opens(Query{Service: "s"}), ShouldResemble, Opening{Full: true})
+			So(w.Availability(Query{Service: "s"}), ShouldResemble, Availability{Full: true})
 			all[0].Accepted()
 			So(len(open()), ShouldEqual, 1)
 			w.clock.pass(forgotten * forgetting)
@@ -278,7 +278,7 @@
 	Convey("Instances that were told at the same time come back at different times", t, func() {
 		w := newWords()
 		w.random = func(n int) int { return n - 1 }
-		w.lease().Said(Notice{Rest: 10 * time.Second}, Answer{})
+		w.lease().ObserveNotice(Notice{Rest: 10 * time.Second}, Answer{})
 		w.clock.pass(10*time.Second + 900*time.Millisecond)
 		So(w.takes(), ShouldBeFalse)
 		w.clock.pass(100 * time.Millisecond)
@@ -291,10 +291,10 @@
 		for range 2 {
 			lease := w.lease()
 			rest := map[string]time.Duration{"e": 4 * time.Second, "f": time.Second}[lease.Endpoint().ID]
-			lease.Said(Notice{Rest: rest}, Answer{})
+			lease.ObserveNotice(Notice{Rest: rest}, Answer{})
 		}
-		So(w.Opens(Query{Service: "s"}), ShouldResemble, Opening{Rest: time.Second})
-		So(w.Opens(Query{Service: "none"}), ShouldResemble, Opening{})
+		So(w.Availability(Query{Service: "s"}), ShouldResemble, Availability{Rest: time.Second})
+		So(w.Availability(Query{Service: "none"}), ShouldResemble, Availability{})
 	})
 }
 
@@ -313,7 +313,7 @@
 			}
 			run := rapid.IntRange(first, newest+1).Draw(t, "run")
 			newest = max(newest, run)
-			return Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 4, Born: int64(run) * 100}
+			return Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 4, StartedAt: int64(run) * 100}
 		}
 		leaving, resting := make(map[int64]time.Time), make(map[int64]time.Time) // until when, by the run's start
 		var open []*Lease
@@ -330,13 +330,13 @@
 				i := rapid.IntRange(0, len(open)-1).Draw(t, "lease")
 				lease := open[i]
 				open = append(open[:i], open[i+1:]...)
-				run := lease.Endpoint().Born
+				run := lease.Endpoint().StartedAt
 				if rapid.Bool().Draw(t, "leaving") {
-					lease.Said(Notice{Leaving: true}, Answer{})
+					lease.ObserveNotice(Notice{Leaving: true}, Answer{})
 					leaving[run] = clock.at.Add(leavingFor)
 				} else {
 					rest := time.Duration(rapid.IntRange(1, 3000).Draw(t, "rest")) * time.Millisecond
-					lease.Said(Notice{Rest: rest}, Answer{})
+					lease.ObserveNotice(Notice{Rest: rest}, Answer{})
 					if until := clock.at.Add(rest); until.After(resting[run]) {
 						resting[run] = until
 					}
@@ -349,7 +349,7 @@
 					return
 				}
 				open = append(open, lease)
-				run := lease.Endpoint().Born
+				run := lease.Endpoint().StartedAt
 				if clock.at.Before(leaving[run]) || clock.at.Before(resting[run]) {
 					t.Fatalf("run %d leaves until %v, rests until %v, and got a request at %v", run, leaving[run], resting[run], clock.at)
 				}
--- a/internal/pool/pace.go
+++ b/internal/pool/pace.go
@@ -32,9 +32,9 @@
 	return old + paceSmoothing*(sample-old)
 }
 
-// Served notes, after its end, how long a whole answer took to its first token, and the longest between two. An endpoint that is far slower than the others of its
+// ObserveLatency notes, after its end, how long a whole answer took to its first token, and the longest between two. An endpoint that is far slower than the others of its
 // service gets no work for a while.
-func (s *Lease) Served(first, token time.Duration) {
+func (s *Lease) ObserveLatency(first, token time.Duration) {
 	l, m := s.pool, s.member
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/pool/pick.go
+++ b/internal/pool/pick.go
@@ -11,17 +11,17 @@
 
 // Query is what a pick is for.
 type Query struct {
-	Service  string
-	Affinity string          // requests with the same text go to the same endpoint while its load allows; empty: none
-	Prompt   int64           // tokens that are to be read where nothing of them is kept
-	Shared   int64           // those of them that an endpoint which had others of the same affinity may keep
-	Target   time.Duration   // within which the first event is wanted; 0: not known
-	Gap      time.Duration   // the longest that the answer's stream may rest; 0: not known
-	Tried    map[string]bool // endpoints that have had the request
-	Regions  []string        // in which it may run; nil: in all
-	Zones    []string        // availability zones in which it may run; nil: in all
-	Blocks   []uint64        // the beginning of the prompt: see Blocks
-	Sound    bool            // it shall rather not run than at an endpoint that something speaks against
+	Service     string
+	Affinity    string          // requests with the same text go to the same endpoint while its load allows; empty: none
+	Prompt      int64           // tokens that are to be read where nothing of them is kept
+	Shared      int64           // those of them that an endpoint which had others of the same affinity may keep
+	Target      time.Duration   // within which the first event is wanted; 0: not known
+	Gap         time.Duration   // the longest that the answer's stream may rest; 0: not known
+	Tried       map[string]bool // endpoints that have had the request
+	Regions     []string        // in which it may run; nil: in all
+	Zones       []string        // availability zones in which it may run; nil: in all
+	Blocks      []uint64        // the beginning of the prompt: see Blocks
+	HealthyOnly bool            // it shall rather not run than at an endpoint that something speaks against
 }
 
 // Reason reports why an endpoint was picked, for logs.
@@ -42,7 +42,7 @@
 	member *member
 	at     Endpoint // as it was when it was picked; its record may change meanwhile
 	reason Reason
-	kept   Kept
+	kept   Exclusion
 	ended  bool
 	back   *comeback // of the endpoint, as it was picked; nil: it did not rest lately
 	picked time.Time
@@ -58,8 +58,8 @@
 // Reason reports why it was picked.
 func (s *Lease) Reason() Reason { return s.reason }
 
-// Kept reports why the endpoint that the request's affinity names first was passed over, if it gets no work now.
-func (s *Lease) Kept() Kept { return s.kept }
+// Exclusion reports why the endpoint that the request's affinity names first was passed over, if it gets no work now.
+func (s *Lease) Exclusion() Exclusion { return s.kept }
 
 // Pick chooses an endpoint and counts the request as open there. It returns nil if none takes work or all have been tried.
 func (l *Pool) Pick(q Query) *Lease {
@@ -100,7 +100,7 @@
 		return m, ReasonLimit
 	}
 	switch {
-	case sound == 0 && q.Sound:
+	case sound == 0 && q.HealthyOnly:
 		return nil, ReasonLast
 	case sound > 0 && l.chooser != nil:
 		return l.chosen(members, q), ReasonLoad
@@ -114,7 +114,7 @@
 	if l.roams(q, now) {
 		return l.calmest(members, q, now)
 	}
-	bound := l.policy.Slack*float64(open+1)/float64(sound) + float64(l.policy.SlackRoom)
+	bound := l.policy.LoadFactor*float64(open+1)/float64(sound) + float64(l.policy.LoadMargin)
 	return l.affine(members, q, bound)
 }
 
@@ -127,7 +127,7 @@
 	calm := len(l.evacuated) == 0 && q.Regions == nil && q.Zones == nil && l.reachesAll() && (connected == nil || connected.part > 0)
 	for _, m := range members {
 		if calm && m.unmarked() {
-			m.kept, m.candidate = KeptNot, !m.Draining && !q.Tried[m.ID]
+			m.kept, m.candidate = NotExcluded, !m.Draining && !q.Tried[m.ID]
 			if m.good = m.candidate; m.good {
 				sound++
 				warm++
@@ -136,8 +136,8 @@
 		}
 		l.forgetMarks(m, now)
 		m.kept = l.keeps(m, now)
-		l.keeping = l.keeping || m.kept != KeptNot
-		m.candidate = m.kept == KeptNot && l.mayRun(m, q) && l.room(m, connected, now)
+		l.keeping = l.keeping || m.kept != NotExcluded
+		m.candidate = m.kept == NotExcluded && l.mayRun(m, q) && l.room(m, connected, now)
 		m.good = m.candidate && l.sound(m, now)
 		if !m.good {
 			continue
@@ -193,7 +193,7 @@
 		switch {
 		case !m.good:
 		case l.cold(m, now):
-			m.good, m.kept = false, KeptCold
+			m.good, m.kept = false, ExcludedCold
 		default:
 			sound++
 			open += m.open
@@ -203,9 +203,9 @@
 }
 
 // keptFirst reports why the first endpoint in the order of a request's affinity gets no work. It reports the last judgement.
-func (l *Pool) keptFirst(q Query) Kept {
+func (l *Pool) keptFirst(q Query) Exclusion {
 	if !l.keeping || q.Affinity == "" {
-		return KeptNot
+		return NotExcluded
 	}
 	key := xxhash.Sum64String(q.Affinity)
 	var first *member
@@ -216,7 +216,7 @@
 		}
 	}
 	if first == nil {
-		return KeptNot
+		return NotExcluded
 	}
 	return first.kept
 }
@@ -252,7 +252,7 @@
 		}
 		load := float64(m.open)
 		if m.Zone != l.zone {
-			load += l.policy.OwnZoneHelp
+			load += l.policy.CrossZonePenalty
 		}
 		order := m.order(key)
 		if best == nil || load < bestLoad || (load == bestLoad && order < bestOrder) {
--- a/internal/pool/place.go
+++ b/internal/pool/place.go
@@ -53,7 +53,7 @@
 func (l *Pool) cost(m *member, now time.Time) float64 {
 	x := l.total(m, now)
 	slots := m.slots()
-	cost := x.failing() + streamLife.Seconds()*x.Harm + openCost*float64(x.Open)/slots
+	cost := x.failing() + streamLife.Seconds()*x.Interference + openCost*float64(x.Open)/slots
 	if float64(x.Open) >= fullAt*slots {
 		cost++
 	}
--- a/internal/pool/place_test.go
+++ b/internal/pool/place_test.go
@@ -20,10 +20,10 @@
 		others := make(Loads)
 		for _, m := range p.byID {
 			if m != calm {
-				others[m.key()] = Load{Harm: 0.4}
+				others[m.key()] = Load{Interference: 0.4}
 			}
 		}
-		p.SetOthers(others)
+		p.SetPeerLoads(others)
 		picks := func(q func(int) Query) map[string]int {
 			seen := make(map[string]int)
 			for i := range 64 {
@@ -41,7 +41,7 @@
 		})
 
 		Convey("full endpoints get none of them while others have room", func() {
-			p.SetOthers(Loads{calm.key(): {Open: 8}})
+			p.SetPeerLoads(Loads{calm.key(): {Open: 8}})
 			So(picks(short)[calm.ID], ShouldEqual, 0)
 		})
 
@@ -55,7 +55,7 @@
 		})
 
 		Convey("short prompts stay with others of theirs once that knowledge is old", func() {
-			clock.pass(OthersLife + time.Millisecond)
+			clock.pass(PeerLoadsTTL + time.Millisecond)
 			So(len(picks(func(int) Query { return short(0) })), ShouldEqual, 1)
 		})
 	})
@@ -67,7 +67,7 @@
 		first := p.Pick(long)
 		m := first.member
 		first.Done(EndNeutral)
-		tell := func(ended, failed float64) { p.SetOthers(Loads{m.key(): {Ended: ended, Failed: failed}}) }
+		tell := func(ended, failed float64) { p.SetPeerLoads(Loads{m.key(): {Ended: ended, Failed: failed}}) }
 
 		tell(1, 0.6)
 		So(p.Pick(long).Endpoint().ID, ShouldNotEqual, m.ID)
@@ -78,7 +78,7 @@
 			So(p.Pick(long).Endpoint().ID, ShouldEqual, m.ID)
 		})
 		Convey("nor once that word is old", func() {
-			clock.pass(OthersLife + time.Millisecond)
+			clock.pass(PeerLoadsTTL + time.Millisecond)
 			So(p.Pick(long).Endpoint().ID, ShouldEqual, m.ID)
 		})
 	})
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -24,24 +24,24 @@
 	Draining bool   `cbor:"6,keyasint,omitempty"` // takes no new work
 	// Cold is how much longer it was slow from its start, or from losing what it kept, when it said so
 	Cold time.Duration `cbor:"7,keyasint,omitempty"`
-	// Born is when its process started, in Unix milliseconds of its own clock; 0: it does not say
-	Born int64 `cbor:"8,keyasint,omitempty"`
+	// StartedAt is when its process started, in Unix milliseconds of its own clock; 0: it does not say
+	StartedAt int64 `cbor:"8,keyasint,omitempty"`
 }
 
 // Run names one run of the endpoint's process: its ID, and its start if it tells it.
 func (e Endpoint) Run() string {
-	if e.Born == 0 {
+	if e.StartedAt == 0 {
 		return e.ID
 	}
-	return e.ID + "@" + strconv.FormatInt(e.Born, 10)
+	return e.ID + "@" + strconv.FormatInt(e.StartedAt, 10)
 }
 
 // Outdated reports whether a word of an endpoint comes from a process that ended before the one that started at by.
-func (e Endpoint) Outdated(by Endpoint) bool { return e.Born > 0 && by.Born > e.Born }
+func (e Endpoint) Outdated(by Endpoint) bool { return e.StartedAt > 0 && by.StartedAt > e.StartedAt }
 
-// Tells reports whether what an endpoint reports of itself now is news to an instance that knows the earlier word. That it is a little less cold
+// ChangedBy reports whether what an endpoint reports of itself now is news to an instance that knows the earlier word. That it is a little less cold
 // than before is not.
-func (e Endpoint) Tells(now Endpoint) bool {
+func (e Endpoint) ChangedBy(now Endpoint) bool {
 	if (e.Cold > 0) != (now.Cold > 0) || now.Cold > e.Cold {
 		return true
 	}
@@ -51,29 +51,29 @@
 
 // Policy holds the figures by which endpoints are judged.
 type Policy struct {
-	Silence     time.Duration // an endpoint that owes an answer and says nothing for this long is suspected
-	Patience    float64       // how many times its expected time an answer to a long prompt may take before that
-	FirstPause  time.Duration // without new work after a failure
-	LongPause   time.Duration // the most that a pause grows to
-	Slack       float64       // how far over the mean load an endpoint may be for the sake of a kept prompt
-	SlackRoom   int           // requests that it may have beyond that
-	OwnZoneHelp float64       // load, in requests, that another zone's endpoint must be better by
-	ErrorShare  float64       // failures among the last answers at which an endpoint is avoided
-	ColdLast    bool          // cold endpoints get work only where no other is sound
-	RestSpread  float64       // part of a rest by which an instance comes back later, drawn at random: all were told at the same time
-	ReturnCut   float64       // part of what an endpoint had open here when it asked for rest that it may have again; 0: any number
-	BusyCut     float64       // the same, when it had no room and asked for no rest; 0: any number
-	PauseAfter  int           // failures in a row from which an endpoint is paused
-	MostPaused  float64       // part of a service's endpoints that may be paused at once
-	OneAtReturn bool          // an endpoint that was paused gets one request at first
-	SlowFactor  float64       // times the median time to a first token of a service from which an endpoint is paused; 0: never
+	MinResponseTimeout    time.Duration // an endpoint that owes an answer and says nothing for this long is suspected
+	ResponseTimeoutFactor float64       // how many times its expected time an answer to a long prompt may take before that
+	FirstPause            time.Duration // without new work after a failure
+	MaxPause              time.Duration // the most that a pause grows to
+	LoadFactor            float64       // how far over the mean load an endpoint may be for the sake of a kept prompt
+	LoadMargin            int           // requests that it may have beyond that
+	CrossZonePenalty      float64       // load, in requests, that another zone's endpoint must be better by
+	ErrorShare            float64       // failures among the last answers at which an endpoint is avoided
+	ColdLast              bool          // cold endpoints get work only where no other is sound
+	RestJitter            float64       // part of a rest by which an instance comes back later, drawn at random: all were told at the same time
+	RestDecrease          float64       // part of what an endpoint had open here when it asked for rest that it may have again; 0: any number
+	BusyDecrease          float64       // the same, when it had no room and asked for no rest; 0: any number
+	PauseAfter            int           // failures in a row from which an endpoint is paused
+	MaxPausedShare        float64       // part of a service's endpoints that may be paused at once
+	ProbeAfterPause       bool          // an endpoint that was paused gets one request at first
+	SlowFactor            float64       // times the median time to a first token of a service from which an endpoint is paused; 0: never
 }
 
 // DefaultPolicy suits endpoints that answer within a second.
 func DefaultPolicy() Policy {
 	return Policy{
-		Silence: 700 * time.Millisecond, Patience: 4, FirstPause: 400 * time.Millisecond, LongPause: 4 * time.Second,
-		Slack: 1.5, SlackRoom: 3, OwnZoneHelp: 0.5, ErrorShare: 0.35, ColdLast: true, RestSpread: 0.1, ReturnCut: 0.5, PauseAfter: 1, MostPaused: 1,
+		MinResponseTimeout: 700 * time.Millisecond, ResponseTimeoutFactor: 4, FirstPause: 400 * time.Millisecond, MaxPause: 4 * time.Second,
+		LoadFactor: 1.5, LoadMargin: 3, CrossZonePenalty: 0.5, ErrorShare: 0.35, ColdLast: true, RestJitter: 0.1, RestDecrease: 0.5, PauseAfter: 1, MaxPausedShare: 1,
 	}
 }
 
@@ -101,9 +101,9 @@
 	hash       uint64     // of the ID
 	run        uint32     // see Loads
 	warming    warming
-	kept       Kept // within one pick: why it gets no work, whatever the request
-	candidate  bool // within one pick: it may be sent the request
-	good       bool // within one pick: and nothing speaks against it
+	kept       Exclusion // within one pick: why it gets no work, whatever the request
+	candidate  bool      // within one pick: it may be sent the request
+	good       bool      // within one pick: and nothing speaks against it
 }
 
 // Pool is the directory of endpoints. All its methods may be called at once.
@@ -168,8 +168,8 @@
 // WithRandom replaces the source of numbers from 0 up to n, not including it.
 func WithRandom(f func(n int) int) Option { return func(l *Pool) { l.random = f } }
 
-// OnGone sets what is called with the address of an endpoint that is not there any more.
-func OnGone(f func(addr string)) Option { return func(l *Pool) { l.gone = f } }
+// OnRemoved sets what is called with the address of an endpoint that is not there any more.
+func OnRemoved(f func(addr string)) Option { return func(l *Pool) { l.gone = f } }
 
 // OnNotice sets what is notified of endpoints' words that were taken. It is called while the pool is locked, so it must not call the pool.
 func OnNotice(f func(NoticeTaken)) Option { return func(l *Pool) { l.onNotice = f } }
@@ -237,7 +237,7 @@
 	// A process that started again under its ID knows nothing of before, so nothing of before counts for it.
 	if m != nil && m.Service == e.Service && m.Addr == e.Addr && !m.Outdated(e) {
 		changed := m.Draining != e.Draining
-		e.Born, m.recordAt = max(e.Born, m.Born), l.now()
+		e.StartedAt, m.recordAt = max(e.StartedAt, m.StartedAt), l.now()
 		m.run = runKey(e)
 		m.Endpoint = e
 		m.announced = l.recall(e)
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -69,7 +69,7 @@
 
 		Convey("avoids an endpoint that owes an answer and is silent", func() {
 			lease := pick("prompt")
-			clock.pass(p.policy.Silence + time.Millisecond)
+			clock.pass(p.policy.MinResponseTimeout + time.Millisecond)
 			So(lease.Silent(), ShouldBeTrue)
 			So(pick("prompt").Endpoint().ID, ShouldNotEqual, lease.Endpoint().ID)
 			lease.Received()
@@ -160,7 +160,7 @@
 	Convey("A list replaces what was known, and says whose connections to close", t, func() {
 		clock := &testClock{at: time.Unix(1000, 0)}
 		var closed []string
-		p := New("a", WithNow(clock.now), OnGone(func(addr string) { closed = append(closed, addr) }))
+		p := New("a", WithNow(clock.now), OnRemoved(func(addr string) { closed = append(closed, addr) }))
 		p.Replace([]Endpoint{{ID: "x", Service: "s", Addr: "1:1"}, {ID: "y", Service: "s", Addr: "2:2"}})
 		came, went := p.Replace([]Endpoint{{ID: "y", Service: "s", Addr: "2:2"}, {ID: "z", Service: "s", Addr: "1:1"}})
 		So(came, ShouldEqual, 1)
@@ -177,14 +177,14 @@
 		for range 10 {
 			lease := p.Pick(long)
 			clock.pass(500 * time.Millisecond)
-			lease.First(long.Prompt, 500*time.Millisecond)
+			lease.ObserveFirstEvent(long.Prompt, 500*time.Millisecond)
 			lease.Received()
 			lease.Done(EndGood)
 		}
 		lease := p.Pick(long)
 
 		Convey("may be silent for some times what such a prompt takes", func() {
-			So(lease.Patience(), ShouldEqual, 2*time.Second)
+			So(lease.ResponseTimeout(), ShouldEqual, 2*time.Second)
 			clock.pass(1900 * time.Millisecond)
 			So(lease.Silent(), ShouldBeFalse)
 			clock.pass(200 * time.Millisecond)
@@ -194,13 +194,13 @@
 		Convey("may not be silent for longer than any other once that prompt is done with", func() {
 			lease.Done(EndGood)
 			short := p.Pick(Query{Service: "models", Affinity: "prompt", Prompt: 500})
-			So(short.Patience(), ShouldEqual, p.policy.Silence)
-			clock.pass(p.policy.Silence + time.Millisecond)
+			So(short.ResponseTimeout(), ShouldEqual, p.policy.MinResponseTimeout)
+			clock.pass(p.policy.MinResponseTimeout + time.Millisecond)
 			So(short.Silent(), ShouldBeTrue)
 		})
 
 		Convey("is given up at some point, however long its prompt", func() {
-			So(p.Pick(Query{Service: "models", Prompt: 1 << 30}).Patience(), ShouldEqual, mostPatience)
+			So(p.Pick(Query{Service: "models", Prompt: 1 << 30}).ResponseTimeout(), ShouldEqual, mostPatience)
 		})
 	})
 }
@@ -213,7 +213,7 @@
 			func(_ *Pool, l *Lease) { l.Done(EndBusy) },
 			func(_ *Pool, l *Lease) { l.Done(EndFailed) },
 			func(_ *Pool, l *Lease) { l.Done(EndUnreachable) },
-			func(_ *Pool, l *Lease) { l.Said(Notice{Rest: time.Second}, Answer{}); l.Done(EndBusy) },
+			func(_ *Pool, l *Lease) { l.ObserveNotice(Notice{Rest: time.Second}, Answer{}); l.Done(EndBusy) },
 			func(p *Pool, l *Lease) { l.Done(EndGood); p.cool(p.byID["e-0"], p.now(), time.Second) },
 		} {
 			clock := &testClock{at: time.Unix(1000, 0)}
--- a/internal/pool/speed.go
+++ b/internal/pool/speed.go
@@ -22,8 +22,8 @@
 	return s.tokens / s.seconds
 }
 
-// First notes how long an endpoint took to the first event of an answer to a prompt.
-func (s *Lease) First(prompt int64, took time.Duration) {
+// ObserveFirstEvent notes how long an endpoint took to the first event of an answer to a prompt.
+func (s *Lease) ObserveFirstEvent(prompt int64, took time.Duration) {
 	if prompt < leastPrompt {
 		return
 	}
@@ -40,12 +40,12 @@
 	x.seconds = x.seconds*keep + took.Seconds()
 }
 
-// Patience is how long the endpoint may take to the first word of the answer: what reading the prompt is expected to take, some times.
-func (s *Lease) Patience() time.Duration { return s.patience }
+// ResponseTimeout is how long the endpoint may take to the first word of the answer: what reading the prompt is expected to take, some times.
+func (s *Lease) ResponseTimeout() time.Duration { return s.patience }
 
 // patience is how long an endpoint may take to the first word of an answer. The caller holds mu.
 func (l *Pool) patience(q Query) time.Duration {
-	return max(l.policy.Silence, min(mostPatience, time.Duration(l.policy.Patience*float64(l.reading(q)))))
+	return max(l.policy.MinResponseTimeout, min(mostPatience, time.Duration(l.policy.ResponseTimeoutFactor*float64(l.reading(q)))))
 }
 
 // reading is how long an endpoint is expected to take to the first word of an answer. The caller holds mu.
--- a/internal/pool/status.go
+++ b/internal/pool/status.go
@@ -3,9 +3,9 @@
 // Status is how an endpoint stands with this instance.
 type Status struct {
 	ID         string
-	Open       int  // requests of this instance
-	Paused     bool // after failures, until it has answered well again
-	Kept       Kept // why it gets no work whatever the request
+	Open       int       // requests of this instance
+	Paused     bool      // after failures, until it has answered well again
+	Exclusion  Exclusion // why it gets no work whatever the request
 	FirstToken float64
 	PerToken   float64 // seconds, as these lately were; 0: not known
 }
@@ -18,7 +18,7 @@
 	byID := make(map[string]*Status, len(l.byID))
 	for _, m := range l.byID {
 		byID[m.ID] = &Status{
-			ID: m.ID, Open: m.open, Paused: m.pause > 0, Kept: l.keeps(m, now), FirstToken: m.pace.first, PerToken: m.pace.token,
+			ID: m.ID, Open: m.open, Paused: m.pause > 0, Exclusion: l.keeps(m, now), FirstToken: m.pace.first, PerToken: m.pace.token,
 		}
 	}
 	for m := range l.leftovers {
@@ -41,7 +41,7 @@
 	defer l.mu.Unlock()
 	n := 0
 	for _, m := range l.services[q.Service] {
-		if !l.mayRun(m, q) || l.keeps(m, now) != KeptNot || !l.sound(m, now) {
+		if !l.mayRun(m, q) || l.keeps(m, now) != NotExcluded || !l.sound(m, now) {
 			continue
 		}
 		room := l.part(m)
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -32,7 +32,7 @@
 		}}
 	}
 	takes := func(p *Pool) bool {
-		lease := p.Pick(Query{Service: "s", Sound: true})
+		lease := p.Pick(Query{Service: "s", HealthyOnly: true})
 		if lease == nil {
 			return false
 		}
@@ -44,8 +44,8 @@
 		awake  func(p *Pool) bool // as it has to be after the suspension
 	}{
 		"what others have under way is old": {
-			func(p *Pool) { p.SetOthers(Loads{p.byID["e"].key(): {Open: 9}}) },
-			func(p *Pool) bool { return p.Others() == nil },
+			func(p *Pool) { p.SetPeerLoads(Loads{p.byID["e"].key(): {Open: 9}}) },
+			func(p *Pool) bool { return p.PeerLoads() == nil },
 		},
 		"a pause is over": {
 			func(p *Pool) { p.Pick(Query{Service: "s"}).Done(EndBroken) },
@@ -54,7 +54,7 @@
 		"a rest is over": {
 			func(p *Pool) {
 				lease := p.Pick(Query{Service: "s"})
-				lease.Said(Notice{Rest: 3 * time.Second}, Answer{})
+				lease.ObserveNotice(Notice{Rest: 3 * time.Second}, Answer{})
 				lease.Done(EndBusy)
 			},
 			takes,
--- a/internal/pool/warm.go
+++ b/internal/pool/warm.go
@@ -6,17 +6,17 @@
 	"github.com/ledgemount/ledgemount/internal/slowstart"
 )
 
-// Kept reports why an endpoint that would have been picked for its affinity gets no work now, for logs.
-type Kept string
+// Exclusion reports why an endpoint that would have been picked for its affinity gets no work now, for logs.
+type Exclusion string
 
 // The reasons.
 const (
-	KeptNot       Kept = ""
-	KeptEvacuated Kept = "evacuated" // the operator has evacuated its availability zone
-	KeptCold      Kept = "cold"      // it has just started, or lost what it kept, and others own its share or have room
-	KeptLeaving   Kept = "leaving"   // it has said in an answer that it leaves
-	KeptResting   Kept = "resting"   // it has asked this instance for rest in an answer
-	KeptLimited   Kept = "limited"   // it names a limit for all instances, and has had this one's part of it
+	NotExcluded       Exclusion = ""
+	ExcludedEvacuated Exclusion = "evacuated" // the operator has evacuated its availability zone
+	ExcludedCold      Exclusion = "cold"      // it has just started, or lost what it kept, and others own its share or have room
+	ExcludedLeaving   Exclusion = "leaving"   // it has said in an answer that it leaves
+	ExcludedResting   Exclusion = "resting"   // it has asked this instance for rest in an answer
+	ExcludedLimited   Exclusion = "limited"   // it names a limit for all instances, and has had this one's part of it
 )
 
 // ownersFor is how long it counts who owns a cold endpoint, before that is looked up again: instances come and go in seconds.
@@ -95,20 +95,20 @@
 }
 
 // keeps reports why an endpoint gets no work now, whatever the request. The caller holds mu.
-func (l *Pool) keeps(m *member, now time.Time) Kept {
+func (l *Pool) keeps(m *member, now time.Time) Exclusion {
 	switch {
 	case len(l.evacuated) > 0 && l.evacuated[m.Zone]:
-		return KeptEvacuated
+		return ExcludedEvacuated
 	case l.cold(m, now) && !l.admits(m, now):
-		return KeptCold
+		return ExcludedCold
 	}
-	if kept := m.abstains(now); kept != KeptNot {
+	if kept := m.abstains(now); kept != NotExcluded {
 		return kept
 	}
 	if !l.allows(m, now) {
-		return KeptLimited
+		return ExcludedLimited
 	}
-	return KeptNot
+	return NotExcluded
 }
 
 // admits reports whether this instance may send a request to a cold endpoint now. The caller holds mu.
--- a/internal/pool/warm_test.go
+++ b/internal/pool/warm_test.go
@@ -38,14 +38,14 @@
 		})
 
 		Convey("are the reason that a pick tells where affinity names one of them first", func() {
-			kept := make(map[Kept]int)
+			kept := make(map[Exclusion]int)
 			for i := range 32 {
 				lease := p.Pick(Query{Service: "models", Affinity: fmt.Sprint("topic-", i)})
-				kept[lease.Kept()]++
+				kept[lease.Exclusion()]++
 				lease.Done(EndGood)
 			}
-			So(kept[KeptEvacuated], ShouldBeGreaterThan, 8)
-			So(kept[KeptNot], ShouldBeGreaterThan, 2)
+			So(kept[ExcludedEvacuated], ShouldBeGreaterThan, 8)
+			So(kept[NotExcluded], ShouldBeGreaterThan, 2)
 		})
 
 		Convey("get work again once that is taken back", func() {
--- a/internal/relay/core.go
+++ b/internal/relay/core.go
@@ -157,9 +157,9 @@
 	tried    map[string]bool
 	attempts int
 	dials    int
-	opening  pool.Opening // as far as it was asked
-	ran      bool         // an endpoint may have run it
-	begun    bool         // the caller has seen the head
+	opening  pool.Availability // as far as it was asked
+	ran      bool              // an endpoint may have run it
+	begun    bool              // the caller has seen the head
 	events   int64
 	heard    time.Time // when the last event came
 	// wholeMetered: the caller has an answer without events, of which the tokens cannot be counted
--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -83,7 +83,7 @@
 	q := j.query()
 	lease := j.core.Pool.Pick(q)
 	if lease == nil {
-		j.opening = j.core.Pool.Opens(q)
+		j.opening = j.core.Pool.Availability(q)
 		return nil
 	}
 	j.tried[lease.Endpoint().ID] = true
@@ -92,7 +92,7 @@
 
 // opens refuses a request at once that no endpoint takes now, before anything is reserved for it.
 func (j *job) opens() error {
-	if j.opening = j.core.Pool.Opens(j.query()); j.opening.Open {
+	if j.opening = j.core.Pool.Availability(j.query()); j.opening.Open {
 		return nil
 	}
 	return j.noEndpoint()
@@ -209,7 +209,7 @@
 	}
 	lease.Done(endOf(res))
 	j.outcome.Endpoints = append(j.outcome.Endpoints, Step{
-		Endpoint: lease.Endpoint().ID, Reason: string(lease.Reason()), Kept: string(lease.Kept()), End: resultNames[res], At: began.Sub(j.req.Arrived),
+		Endpoint: lease.Endpoint().ID, Reason: string(lease.Reason()), Kept: string(lease.Exclusion()), End: resultNames[res], At: began.Sub(j.req.Arrived),
 		Ended: res == resultBroken && !watch.stalled() && j.sawEnd(lease, began, j.events > events),
 	})
 	return res, answer
@@ -255,7 +255,7 @@
 	out := j.core.Dialect.Outbound(j.req, a)
 	sent := j.core.now()
 	out.Dialed = func(took time.Duration) { j.core.dialed(e.Zone, took) }
-	out.Wanted = lease.Wanted
+	out.Wanted = lease.StillValid
 	res, err := j.core.Client.Do(ctx, e.Addr, out)
 	switch {
 	case errors.Is(err, upstream.ErrWithdrawn):
@@ -272,7 +272,7 @@
 	watch.received()
 	reading := j.core.Dialect.Read(j.req, res)
 	if reading.Genuine || (reading.NotRun && !reading.Moved) {
-		lease.Said(reading.Word, pool.Answer{Request: j.req.ID, Status: res.Status})
+		lease.ObserveNotice(reading.Word, pool.Answer{Request: j.req.ID, Status: res.Status})
 	}
 	if reading.Genuine && res.Status < http.StatusInternalServerError {
 		lease.Accepted()
--- a/internal/relay/endings.go
+++ b/internal/relay/endings.go
@@ -23,12 +23,12 @@
 // ended looks whether the endpoint of an attempt that broke off has ended with it. An endpoint whose planned end is known proves nothing.
 // What a first look does not show is looked for again beside the request, and told by late.
 func (j *job) ended(lease *pool.Lease, late func()) bool {
-	switch lease.Fate() {
-	case pool.FateLeaving:
+	switch lease.ProcessState() {
+	case pool.ProcessLeaving:
 		return false
-	case pool.FateEnded:
+	case pool.ProcessEnded:
 		return true
-	case pool.FateUnknown:
+	case pool.ProcessRunning:
 	}
 	addr := lease.Endpoint().Addr
 	if j.core.endings.look("now ", addr, j.core.Client.Refused) {
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -50,7 +50,7 @@
 		watch.received()
 		watch.begin()
 		if j.heard.IsZero() {
-			lease.First(j.req.TokensIn, j.core.now().Sub(sent))
+			lease.ObserveFirstEvent(j.req.TokensIn, j.core.now().Sub(sent))
 		}
 		id := eventID(event)
 		j.begin(res.Status, res.Header, -1)
@@ -127,7 +127,7 @@
 // watch starts a watchdog; for a request that may not be repeated it only notes what is heard.
 func (j *job) watch(lease *pool.Lease, cancel func()) *watchdog {
 	w := &watchdog{
-		lease: lease, now: j.core.now, first: max(j.core.stall, lease.Patience()), later: max(j.core.stall, stallGaps*j.route.Gap),
+		lease: lease, now: j.core.now, first: max(j.core.stall, lease.ResponseTimeout()), later: max(j.core.stall, stallGaps*j.route.Gap),
 		since: j.core.now(),
 	}
 	if !j.route.Repeatable() || j.attempts+1 >= j.route.MaxAttempts {
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -161,5 +161,5 @@
 
 // noticeTaken counts what an endpoint reports of itself in an answer.
 func (m *meters) noticeTaken(h pool.NoticeTaken) {
-	m.metrics.Scope().Tagged(map[string]string{"word": h.Word.Name()}).Counter("endpoint_words_total").Inc(1)
+	m.metrics.Scope().Tagged(map[string]string{"word": h.Notice.Name()}).Counter("endpoint_words_total").Inc(1)
 }
--- a/internal/router/experiment.go
+++ b/internal/router/experiment.go
@@ -38,10 +38,10 @@
 func (s *Settings) poolPolicy() pool.Policy {
 	p := pool.DefaultPolicy()
 	if s.without(Patience) {
-		p.Patience = 0
+		p.ResponseTimeoutFactor = 0
 	}
 	if s.without(Health) {
-		p.ErrorShare, p.FirstPause, p.LongPause = math.Inf(1), 0, 0
+		p.ErrorShare, p.FirstPause, p.MaxPause = math.Inf(1), 0, 0
 	}
 	return p
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -116,9 +116,9 @@
 	}
 	r.peers = peers.New(on.Store, set.Store.Prefix, self, links,
 		append(set.peersOptions(), peers.WithNow(now), peers.WithLogger(r.log), peers.WithEpochs(on.Epochs), peers.WithTraffic(r.metrics.sentTo))...)
-	heard, silenced := pool.LogWords(r.log)
+	heard, silenced := pool.LogNotices(r.log)
 	opts := []pool.Option{
-		pool.WithPolicy(set.poolPolicy()), pool.OnGone(r.client.Forget), pool.WithOwners(r.peers), pool.WithNow(now), pool.OnNoticeEnded(silenced),
+		pool.WithPolicy(set.poolPolicy()), pool.OnRemoved(r.client.Forget), pool.WithOwners(r.peers), pool.WithNow(now), pool.OnNoticeEnded(silenced),
 		pool.OnNotice(func(h pool.NoticeTaken) { r.metrics.noticeTaken(h); heard(h) }),
 		pool.WithRegions(set.Instance.Regions), pool.WithColdBounds(slowstart.Bounds{Overage: set.Cold.Overage, Slack: set.Cold.Slack}),
 	}
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -81,10 +81,10 @@
 // others', put one out for 2 s and more, half of a pool at most, and it comes back by single requests. Silence is the driver's matter.
 func policy() pool.Policy {
 	p := pool.DefaultPolicy()
-	p.Silence = time.Hour
-	p.PauseAfter, p.MostPaused, p.OneAtReturn, p.SlowFactor = 3, 0.5, true, 4
-	p.FirstPause, p.LongPause = 2*time.Second, 30*time.Second
-	p.BusyCut = 0.7
+	p.MinResponseTimeout = time.Hour
+	p.PauseAfter, p.MaxPausedShare, p.ProbeAfterPause, p.SlowFactor = 3, 0.5, true, 4
+	p.FirstPause, p.MaxPause = 2*time.Second, 30*time.Second
+	p.BusyDecrease = 0.7
 	return p
 }
 
@@ -121,7 +121,7 @@
 func (t *Targets) Pick(name string, blocks []uint64, tried []string) (target Target, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	q := pool.Query{Service: name, Blocks: blocks, Sound: true, Tried: make(map[string]bool, len(tried))}
+	q := pool.Query{Service: name, Blocks: blocks, HealthyOnly: true, Tried: make(map[string]bool, len(tried))}
 	for _, id := range tried {
 		q.Tried[id] = true
 	}
@@ -135,12 +135,12 @@
 }
 
 // Opens reports whether any endpoint of a pool takes a request now.
-func (t *Targets) Opens(name string) pool.Opening {
+func (t *Targets) Opens(name string) pool.Availability {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var o pool.Opening
+	var o pool.Availability
 	for _, zones := range t.zones(name) {
-		o = t.endpoints.Opens(pool.Query{Service: name, Zones: zones})
+		o = t.endpoints.Availability(pool.Query{Service: name, Zones: zones})
 		if o.Open {
 			break
 		}
@@ -164,9 +164,9 @@
 	}
 	for _, e := range events {
 		if e.Evicted {
-			t.endpoints.Evicted(endpoint, e.Block)
+			t.endpoints.BlockEvicted(endpoint, e.Block)
 		} else {
-			t.endpoints.Kept(endpoint, e.Block)
+			t.endpoints.BlockCached(endpoint, e.Block)
 		}
 	}
 }
@@ -206,7 +206,7 @@
 	out := make([]Status, 0, len(list))
 	for _, s := range list {
 		out = append(out, Status{
-			ID: s.ID, InFlight: s.Open, Ejected: s.Paused, KeptOff: string(s.Kept), FirstToken: s.FirstToken, PerToken: s.PerToken,
+			ID: s.ID, InFlight: s.Open, Ejected: s.Paused, KeptOff: string(s.Exclusion), FirstToken: s.FirstToken, PerToken: s.PerToken,
 		})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -63,18 +63,18 @@
 				So(pick(), ShouldNotBeNil)
 			}
 			So(pick(), ShouldBeNil)
-			So(b.Opens("p"), ShouldResemble, pool.Opening{Full: true})
+			So(b.Opens("p"), ShouldResemble, pool.Availability{Full: true})
 			share = 2
 			So(b.Capacity("p"), ShouldEqual, 8)
 		})
 
 		Convey("a draining endpoint gets nothing, and an older document does not bring it back", func() {
 			lease := pick()
-			So(lease.Wanted(), ShouldBeTrue)
+			So(lease.StillValid(), ShouldBeTrue)
 			b.SetDocument(document(3, 4, declare.StateDraining))
 			b.SetDocument(document(2, 4, declare.StateActive))
 			So(pick(), ShouldBeNil)
-			So(lease.Wanted(), ShouldBeFalse)
+			So(lease.StillValid(), ShouldBeFalse)
 			So(b.InFlight(), ShouldResemble, map[string]int{lease.Endpoint().ID: 1})
 			So(b.Capacity("p"), ShouldEqual, 0)
 		})
@@ -143,7 +143,7 @@
 					}
 					for _, lease := range leases {
 						lease.Done(pool.EndGood)
-						lease.Served(took, time.Millisecond)
+						lease.ObserveLatency(took, time.Millisecond)
 					}
 				}
 			}
@@ -153,8 +153,8 @@
 
 		Convey("one that says that it leaves, or wants rest, gets nothing, and its status says why", func() {
 			leases := all()
-			leases["e0"][0].Said(pool.Notice{Leaving: true}, pool.Answer{})
-			leases["e1"][0].Said(pool.Notice{Rest: 2 * time.Second}, pool.Answer{})
+			leases["e0"][0].ObserveNotice(pool.Notice{Leaving: true}, pool.Answer{})
+			leases["e1"][0].ObserveNotice(pool.Notice{Rest: 2 * time.Second}, pool.Answer{})
 			for _, l := range leases {
 				end(l, pool.EndGood)
 			}
