--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -18,8 +18,8 @@
 	spareFactor  = 0.9 // a deadline is refused early if the expected wait is over this share of it
 )
 
-// Ask describes a request to be admitted.
-type Ask struct {
+// Request describes a request to be admitted.
+type Request struct {
 	Priority int // smaller is more urgent
 	Customer string
 	Long     bool
@@ -52,7 +52,7 @@
 }
 
 type waiter struct {
-	ask   Ask
+	ask   Request
 	ready chan struct{}
 	gone  bool
 }
@@ -63,7 +63,7 @@
 }
 
 // Admit waits for a place. Its errors are NotRun. The place is given back with the function it returns.
-func (g *Gate) Admit(ctx context.Context, a Ask) (leave func(), err error) {
+func (g *Gate) Admit(ctx context.Context, a Request) (leave func(), err error) {
 	g.mu.Lock()
 	if g.waiting == 0 && g.fits(a.Long) {
 		g.enter(a.Long)
@@ -82,7 +82,7 @@
 }
 
 // refuseEarly refuses what cannot be served in time, or what there is no room to queue.
-func (g *Gate) refuseEarly(a Ask) error {
+func (g *Gate) refuseEarly(a Request) error {
 	places := g.capacity()
 	if g.waiting >= max(smallestWait, queueFactor*places) && !g.displace(a.Priority) {
 		return overloaded("the queue is full", g.expectedWait(a, places))
@@ -100,7 +100,7 @@
 }
 
 // expectedWait estimates the wait from the requests ahead and the time that places are held.
-func (g *Gate) expectedWait(a Ask, places int) time.Duration {
+func (g *Gate) expectedWait(a Request, places int) time.Duration {
 	ahead := 0
 	for k, l := range g.lanes {
 		if k.priority < a.Priority || (k.priority == a.Priority && (k.long == a.Long || !k.long)) {
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -10,12 +10,12 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-func ask(priority int, customer string, long bool) Ask {
-	return Ask{Priority: priority, Customer: customer, Long: long, Deadline: time.Now().Add(time.Minute)}
+func ask(priority int, customer string, long bool) Request {
+	return Request{Priority: priority, Customer: customer, Long: long, Deadline: time.Now().Add(time.Minute)}
 }
 
 // waitIn queues a request and says its name when it gets in.
-func waitIn(t *testing.T, g *Gate, a Ask, name string, in chan<- string) {
+func waitIn(t *testing.T, g *Gate, a Request, name string, in chan<- string) {
 	t.Helper()
 	_, before := g.Counts()
 	go func() {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -139,7 +139,7 @@
 
 // checkHead holds a request's head against the limit of the configuration in force.
 func (s *Server) checkHead(r *http.Request) error {
-	most := s.core.MaxHead()
+	most := s.core.MaxHeader()
 	if most <= 0 {
 		return nil
 	}
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -90,7 +90,7 @@
 	if err := j.opens(); err != nil {
 		return err
 	}
-	leave, err := j.g.gate(j.pool).Admit(ctx, admit.Ask{Priority: j.priority, Customer: j.customer, Long: j.long, Deadline: j.deadline})
+	leave, err := j.g.gate(j.pool).Admit(ctx, admit.Request{Priority: j.priority, Customer: j.customer, Long: j.long, Deadline: j.deadline})
 	if err != nil {
 		return err
 	}
@@ -113,12 +113,12 @@
 			Verdict: e.Verdict(), Code: e.Code(), Attempt: j.attempts, Repeatable: j.repeatable,
 			Delivered: j.out.delivered(), Remaining: j.deadline.Sub(j.g.now()),
 		}
-		if ctx.Err() != nil || (e.Verdict() != verdict.NotRun && j.lone()) || !retry.Worth(f) || !j.g.retries.Spend(j.customer) || !j.out.reset() {
+		if ctx.Err() != nil || (e.Verdict() != verdict.NotRun && j.lone()) || !retry.ShouldRetry(f) || !j.g.retries.Spend(j.customer) || !j.out.reset() {
 			return err
 		}
 		j.g.metrics.retries.Inc(1)
 		select {
-		case <-time.After(retry.Pause(j.attempts, j.g.rng())):
+		case <-time.After(retry.Backoff(j.attempts, j.g.rng())):
 		case <-ctx.Done():
 			return err
 		}
--- a/internal/losses/duties.go
+++ b/internal/losses/duties.go
@@ -25,10 +25,10 @@
 
 // Read counts the calls of one log.
 func (d *Duties) Read(log io.Reader) error {
-	return router.EachCalls(log, d.add)
+	return router.EachStoreCalls(log, d.add)
 }
 
-func (d *Duties) add(l router.CallsLine) {
+func (d *Duties) add(l router.StoreCallsLine) {
 	if d.instances[l.Role] == nil {
 		d.instances[l.Role] = make(map[string]bool)
 	}
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -136,7 +136,7 @@
 }
 
 // Read counts the requests of one log.
-func (r *Reader) Read(log io.Reader) error { return router.EachEnded(log, "", r.add) }
+func (r *Reader) Read(log io.Reader) error { return router.EachRequestEnd(log, "", r.add) }
 
 func (r *Reader) add(l router.Line) {
 	cause := CauseOf(l)
--- a/internal/relay/core.go
+++ b/internal/relay/core.go
@@ -24,10 +24,10 @@
 
 // Deps are the parts that a Core works with.
 type Deps struct {
-	Tables  func() *route.Table // the configuration in force; nil: none is known
+	Table   func() *route.Table // the configuration in force; nil: none is known
 	Pool    *pool.Pool
 	Budgets Budgets
-	Retries *retry.Shared
+	Retries *retry.FleetBudget
 	Client  *upstream.Client
 	Dialect Dialect
 }
@@ -44,7 +44,7 @@
 	stall    time.Duration
 	maxBody  int64
 	apart    bool // requests of one subject are not kept together
-	late     func(LateEnd)
+	late     func(DelayedExit)
 	overdue  overdue
 	endings  endings
 	turns    turns
@@ -60,29 +60,29 @@
 // WithRandom replaces the source of numbers from 0 up to 1.
 func WithRandom(f func() float64) Option { return func(c *Core) { c.random = f } }
 
-// WithEnded sets what is notified of each request that has ended.
-func WithEnded(f func(Outcome)) Option { return func(c *Core) { c.ended = f } }
+// OnOutcome sets what is notified of each request that has ended.
+func OnOutcome(f func(Outcome)) Option { return func(c *Core) { c.ended = f } }
 
-// WithLateEnd sets what is notified of an endpoint's end that was seen late.
-func WithLateEnd(f func(LateEnd)) Option { return func(c *Core) { c.late = f } }
+// OnDelayedExit sets what is notified of an endpoint's end that was seen late.
+func OnDelayedExit(f func(DelayedExit)) Option { return func(c *Core) { c.late = f } }
 
 // WithQuarantine replaces the memory of requests that end endpoints, which is the instance's own where nothing else is set.
 func WithQuarantine(m *quarantine.Memory) Option { return func(c *Core) { c.suspects = m } }
 
-// WithDialed sets what is told how long new connections to endpoints took to come up, by the endpoint's availability zone.
-func WithDialed(f func(zone string, took time.Duration)) Option {
+// OnDial sets what is told how long new connections to endpoints took to come up, by the endpoint's availability zone.
+func OnDial(f func(zone string, took time.Duration)) Option {
 	return func(c *Core) { c.dialed = f }
 }
 
-// WithCrowded sets what reports whether this instance's link is so crowded that requests are better served elsewhere.
-func WithCrowded(f func() bool) Option { return func(c *Core) { c.crowded = f } }
+// WithCongested sets what reports whether this instance's link is so crowded that requests are better served elsewhere.
+func WithCongested(f func() bool) Option { return func(c *Core) { c.crowded = f } }
 
-// WithWoken sets what reports whether what is known may be used: a machine that was suspended hears it again first.
-func WithWoken(f func() bool) Option { return func(c *Core) { c.woken = f } }
+// WithStateFresh sets what reports whether what is known may be used: a machine that was suspended hears it again first.
+func WithStateFresh(f func() bool) Option { return func(c *Core) { c.woken = f } }
 
-// WithStall sets how long an endpoint may be silent at least before a request that may be repeated looks elsewhere; long prompts and
+// WithStallTimeout sets how long an endpoint may be silent at least before a request that may be repeated looks elsewhere; long prompts and
 // pauses that are in time make it longer.
-func WithStall(d time.Duration) Option { return func(c *Core) { c.stall = d } }
+func WithStallTimeout(d time.Duration) Option { return func(c *Core) { c.stall = d } }
 
 // WithoutAffinity sends requests wherever there is least to do, whatever they share.
 func WithoutAffinity() Option { return func(c *Core) { c.apart = true } }
@@ -103,7 +103,7 @@
 func New(deps Deps, opts ...Option) *Core {
 	c := &Core{
 		Deps: deps, now: time.Now, random: rand.Float64, ended: func(Outcome) {}, dialed: func(string, time.Duration) {},
-		late: func(LateEnd) {}, suspects: quarantine.New(),
+		late: func(DelayedExit) {}, suspects: quarantine.New(),
 		crowded: func() bool { return false }, woken: func() bool { return true }, stall: defaultStall, maxBody: defaultMaxBody,
 	}
 	for _, opt := range opts {
@@ -114,15 +114,15 @@
 
 // MaxBody is the largest body that the configuration in force lets a caller send, in bytes.
 func (c *Core) MaxBody() int64 {
-	if t := c.Tables(); t != nil && t.Limits().MaxBodyBytes > 0 {
+	if t := c.Table(); t != nil && t.Limits().MaxBodyBytes > 0 {
 		return t.Limits().MaxBodyBytes
 	}
 	return c.maxBody
 }
 
-// MaxHead is the largest head that the configuration in force lets a caller send, in bytes; 0: no limit.
-func (c *Core) MaxHead() int {
-	if t := c.Tables(); t != nil {
+// MaxHeader is the largest head that the configuration in force lets a caller send, in bytes; 0: no limit.
+func (c *Core) MaxHeader() int {
+	if t := c.Table(); t != nil {
 		return t.Limits().MaxHeaderBytes
 	}
 	return 0
@@ -202,7 +202,7 @@
 	if !j.core.woken() {
 		return refuse(verdict.CodeUnavailable, "this machine was suspended, and has not heard the configuration since", retrySoon)
 	}
-	table := j.core.Tables()
+	table := j.core.Table()
 	if table == nil {
 		return refuse(verdict.CodeUnavailable, "no configuration is known yet", retrySoon)
 	}
@@ -214,7 +214,7 @@
 	j.route = r
 	j.outcome.Route, j.outcome.Kind = r.Name, r.Kind.String()
 	if table.Keyed() && !r.Public {
-		j.customer, ok = table.CustomerOf(j.req.Key)
+		j.customer, ok = table.CustomerByKey(j.req.Key)
 		if !ok {
 			return verdict.New(verdict.NotRun, verdict.CodeUnauthenticated, "the key is not known")
 		}
@@ -226,7 +226,7 @@
 		return refuse(verdict.CodeNoEndpoint, "the route's service is not declared", retrySoon)
 	}
 	j.outcome.Service = name
-	j.core.Retries.Request(name)
+	j.core.Retries.CountRequest(name)
 	j.setEnd()
 	return nil
 }
@@ -296,13 +296,13 @@
 func (j *job) lateness() Lateness {
 	switch {
 	case !j.begun || j.route == nil:
-		return LateNot
-	case j.route.Objective > 0 && j.outcome.First > j.route.Objective:
+		return NotLate
+	case j.route.Objective > 0 && j.outcome.FirstByte > j.route.Objective:
 		return LateFirst
-	case j.route.Gap > 0 && j.outcome.Pause > j.route.Gap:
+	case j.route.Gap > 0 && j.outcome.MaxPause > j.route.Gap:
 		return LatePause
 	}
-	return LateNot
+	return NotLate
 }
 
 // left is the time that the request still has; ok is false if it has no limit.
@@ -320,6 +320,6 @@
 	}
 	j.begun = true
 	j.outcome.Status = status
-	j.outcome.First = j.core.now().Sub(j.req.Arrived)
-	j.out.Begin(status, j.core.Dialect.Answer(header), length)
+	j.outcome.FirstByte = j.core.now().Sub(j.req.Arrived)
+	j.out.Begin(status, j.core.Dialect.ResponseHeader(header), length)
 }
--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -69,9 +69,9 @@
 // query is what an endpoint is picked for.
 func (j *job) query() pool.Query {
 	q := pool.Query{
-		Service: j.service.Name, Affinity: j.req.Subject(), Prompt: j.req.TokensIn, Shared: j.req.Shared(),
+		Service: j.service.Name, Affinity: j.req.AffinityKey(), Prompt: j.req.TokensIn, Shared: j.req.SharedTokens(),
 		Target: j.route.Objective, Gap: j.route.Gap, Tried: j.tried,
-		Regions: route.RegionsOf(j.route, j.customer),
+		Regions: route.AllowedRegions(j.route, j.customer),
 	}
 	if j.core.apart {
 		q.Affinity = ""
@@ -205,12 +205,12 @@
 		res = resultLeft
 	}
 	if watch.stalled() {
-		j.core.Client.Forget(lease.Endpoint().Addr) // other kept connections there may have fallen silent too
+		j.core.Client.CloseIdle(lease.Endpoint().Addr) // other kept connections there may have fallen silent too
 	}
 	lease.Done(endOf(res))
-	j.outcome.Endpoints = append(j.outcome.Endpoints, Step{
-		Endpoint: lease.Endpoint().ID, Reason: string(lease.Reason()), Kept: string(lease.Kept()), End: resultNames[res], At: began.Sub(j.req.Arrived),
-		Ended: res == resultBroken && !watch.stalled() && j.sawEnd(lease, began, j.events > events),
+	j.outcome.Endpoints = append(j.outcome.Endpoints, AttemptOutcome{
+		Endpoint: lease.Endpoint().ID, Reason: string(lease.Reason()), SkipReason: string(lease.Kept()), Result: resultNames[res], At: began.Sub(j.req.Arrived),
+		ProcessExited: res == resultBroken && !watch.stalled() && j.sawEnd(lease, began, j.events > events),
 	})
 	return res, answer
 }
@@ -242,20 +242,20 @@
 // exchange sends the request and reads the answer's head.
 func (j *job) exchange(ctx context.Context, lease *pool.Lease, watch *watchdog) (result, *kept) {
 	e := lease.Endpoint()
-	a := Attempt{Endpoint: e.ID, After: j.last}
-	if a.After == "" {
-		a.After = j.req.After
+	a := Attempt{Endpoint: e.ID, LastEventID: j.last}
+	if a.LastEventID == "" {
+		a.LastEventID = j.req.LastEventID
 	}
 	if j.customer != nil {
 		a.Customer = j.customer.Name
 	}
 	if left, ok := j.left(); ok {
-		a.Left = max(left, time.Millisecond)
+		a.Remaining = max(left, time.Millisecond)
 	}
 	out := j.core.Dialect.Outbound(j.req, a)
 	sent := j.core.now()
-	out.Dialed = func(took time.Duration) { j.core.dialed(e.Zone, took) }
-	out.Wanted = lease.Wanted
+	out.OnDial = func(took time.Duration) { j.core.dialed(e.Zone, took) }
+	out.ShouldSend = lease.Wanted
 	res, err := j.core.Client.Do(ctx, e.Addr, out)
 	switch {
 	case errors.Is(err, upstream.ErrWithdrawn):
@@ -272,7 +272,7 @@
 	watch.received()
 	reading := j.core.Dialect.Read(j.req, res)
 	if reading.Genuine || (reading.NotRun && !reading.Moved) {
-		lease.Said(reading.Word, pool.Answer{Request: j.req.ID, Status: res.Status})
+		lease.Said(reading.Notice, pool.Answer{Request: j.req.ID, Status: res.Status})
 	}
 	if reading.Genuine && res.Status < http.StatusInternalServerError {
 		lease.Accepted()
--- a/internal/relay/endings.go
+++ b/internal/relay/endings.go
@@ -49,7 +49,7 @@
 	end := quarantine.End{Run: endpoint.Run(), Began: began, Ended: j.core.now(), Events: events}
 	ended := j.ended(lease, func() {
 		j.core.suspects.Ended(digest, customer, end)
-		j.core.late(LateEnd{Digest: digest.String(), Endpoint: endpoint.ID})
+		j.core.late(DelayedExit{Digest: digest.String(), Endpoint: endpoint.ID})
 	})
 	if ended {
 		j.core.suspects.Ended(digest, customer, end)
@@ -111,8 +111,8 @@
 	}
 }
 
-// LateEnd reports that an endpoint was seen to have ended only after the request that broke off there had been told of.
-type LateEnd struct {
+// DelayedExit reports that an endpoint was seen to have ended only after the request that broke off there had been told of.
+type DelayedExit struct {
 	Digest   string // of the request
 	Endpoint string
 }
--- a/internal/relay/late_test.go
+++ b/internal/relay/late_test.go
@@ -13,7 +13,7 @@
 	Convey("An answer is judged by its route's objective and longest pause", t, func() {
 		now := time.Unix(1000, 0)
 		j := &job{core: New(Deps{}, WithNow(func() time.Time { return now })), route: &route.Route{Objective: time.Second, Gap: 500 * time.Millisecond}}
-		So(j.lateness(), ShouldEqual, LateNot)
+		So(j.lateness(), ShouldEqual, NotLate)
 		j.begun = true
 		for _, gap := range []time.Duration{0, 100 * time.Millisecond, 600 * time.Millisecond, 20 * time.Millisecond} {
 			now = now.Add(gap)
@@ -21,11 +21,11 @@
 		}
 		So(j.events, ShouldEqual, 4)
 		So(j.last, ShouldEqual, "7")
-		So(j.outcome.Pause, ShouldEqual, 600*time.Millisecond)
+		So(j.outcome.MaxPause, ShouldEqual, 600*time.Millisecond)
 		So(j.lateness(), ShouldEqual, LatePause)
-		j.outcome.First = 2 * time.Second
+		j.outcome.FirstByte = 2 * time.Second
 		So(j.lateness(), ShouldEqual, LateFirst)
 		j.route = &route.Route{}
-		So(j.lateness(), ShouldEqual, LateNot)
+		So(j.lateness(), ShouldEqual, NotLate)
 	})
 }
--- a/internal/relay/overdue.go
+++ b/internal/relay/overdue.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// EndOverdue ends the requests whose time is up by now, however long their timers still have.
-func (c *Core) EndOverdue() { c.overdue.end(c.now()) }
+// CancelExpired ends the requests whose time is up by now, however long their timers still have.
+func (c *Core) CancelExpired() { c.overdue.end(c.now()) }
 
 // over reports whether a request ended because its time was up.
 func (j *job) over(ctx context.Context) bool {
--- a/internal/relay/overdue_test.go
+++ b/internal/relay/overdue_test.go
@@ -23,7 +23,7 @@
 		defer cancelLong()
 		doneShort, doneLong := c.overdue.add(short, cancelShort), c.overdue.add(long, cancelLong)
 		now = now.Add(8 * time.Second)
-		c.EndOverdue()
+		c.CancelExpired()
 		So(ctxShort.Err(), ShouldNotBeNil)
 		So(ctxLong.Err(), ShouldBeNil)
 
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -20,25 +20,25 @@
 
 // Request is a caller's request, read whole.
 type Request struct {
-	ID        string
-	Method    string
-	Target    string // path and query as the caller wrote them
-	Path      string
-	Host      string
-	Header    http.Header // what goes on to the endpoint, without what the instance sets itself
-	Body      []byte
-	Key       string
-	Deadline  time.Duration // from Arrived; 0: the caller names none
-	Arrived   time.Time
-	TokensIn  int64
-	TokensOut int64 // the most that may come
-	Metered   bool  // the token counts were given
-	Parts     []Part
-	After     string // the last event that the caller has; empty: none
+	ID          string
+	Method      string
+	Target      string // path and query as the caller wrote them
+	Path        string
+	Host        string
+	Header      http.Header // what goes on to the endpoint, without what the instance sets itself
+	Body        []byte
+	Key         string
+	Deadline    time.Duration // from Arrived; 0: the caller names none
+	Arrived     time.Time
+	TokensIn    int64
+	TokensOut   int64 // the most that may come
+	Metered     bool  // the token counts were given
+	Parts       []Part
+	LastEventID string // the last event that the caller has; empty: none
 }
 
-// Subject is the part of the prompt by which requests find each other's memory: the last that others share.
-func (r *Request) Subject() string {
+// AffinityKey is the part of the prompt by which requests find each other's memory: the last that others share.
+func (r *Request) AffinityKey() string {
 	switch n := len(r.Parts); n {
 	case 0:
 		return ""
@@ -49,8 +49,8 @@
 	}
 }
 
-// Shared is the number of tokens up to and with the last part that others share.
-func (r *Request) Shared() int64 {
+// SharedTokens is the number of tokens up to and with the last part that others share.
+func (r *Request) SharedTokens() int64 {
 	var n int64
 	for i := range len(r.Parts) - 1 {
 		n += r.Parts[i].Tokens
@@ -60,10 +60,10 @@
 
 // Attempt is one sending of a request to an endpoint.
 type Attempt struct {
-	Endpoint string // the endpoint's ID
-	Customer string // empty: none pays
-	Left     time.Duration
-	After    string // the last event that was passed on; empty: none
+	Endpoint    string // the endpoint's ID
+	Customer    string // empty: none pays
+	Remaining   time.Duration
+	LastEventID string // the last event that was passed on; empty: none
 }
 
 // Reading is what an endpoint's answer reports of itself.
@@ -71,7 +71,7 @@
 	Genuine bool // it answers this request, and an endpoint has signed it
 	NotRun  bool // the endpoint reports that it did not run the request
 	Moved   bool // it comes from another endpoint than the one meant
-	Word    pool.Notice
+	Notice  pool.Notice
 }
 
 // Dialect writes requests for endpoints and reads their answers.
@@ -80,8 +80,8 @@
 	Outbound(r *Request, a Attempt) *upstream.Request
 	// Read judges an answer's head.
 	Read(r *Request, res *upstream.Response) Reading
-	// Answer is the header that the caller gets of an endpoint's answer.
-	Answer(h http.Header) http.Header
+	// ResponseHeader is the header that the caller gets of an endpoint's answer.
+	ResponseHeader(h http.Header) http.Header
 }
 
 // Sink is where a caller's answer goes.
@@ -105,13 +105,13 @@
 	Verdict   verdict.Verdict
 	Detail    string
 	Attempts  int
-	Endpoints []Step
+	Endpoints []AttemptOutcome
 	Events    int64
 	Used      int64         // tokens
 	Reserved  int64         // tokens that were asked for, or refused
 	Budget    escrow.View   // after that
-	First     time.Duration // until the answer's first byte; 0: none came
-	Pause     time.Duration // the longest between two events of a stream
+	FirstByte time.Duration // until the answer's first byte; 0: none came
+	MaxPause  time.Duration // the longest between two events of a stream
 	Late      Lateness      // against the route's objective and its longest pause
 	Total     time.Duration
 	// Digest names the request by what it asks, whatever its ID; empty where no attempt broke off.
@@ -123,23 +123,23 @@
 
 // What may be late. An answer whose first event is late is not judged by its pauses.
 const (
-	LateNot   Lateness = ""
+	NotLate   Lateness = ""
 	LateFirst Lateness = "first" // the answer, or its first event
 	LatePause Lateness = "pause" // an event in the middle of a stream
 )
 
-// Step is one attempt in an Outcome.
-type Step struct {
-	Endpoint string
-	Reason   string
-	Kept     string // why the endpoint before it in the order of affinity got no work; empty: it is the first, or has work
-	End      string
-	At       time.Duration // since the request arrived
-	Ended    bool          // the attempt broke off, and the endpoint's process had ended
+// AttemptOutcome is one attempt in an Outcome.
+type AttemptOutcome struct {
+	Endpoint      string
+	Reason        string
+	SkipReason    string // why the endpoint before it in the order of affinity got no work; empty: it is the first, or has work
+	Result        string
+	At            time.Duration // since the request arrived
+	ProcessExited bool          // the attempt broke off, and the endpoint's process had ended
 }
 
-// Valid checks what every request needs. The error is a verdict.
-func (r *Request) Valid() error {
+// Validate checks what every request needs. The error is a verdict.
+func (r *Request) Validate() error {
 	if r.ID == "" {
 		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the request has no ID")
 	}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -65,7 +65,7 @@
 func (j *job) received(id string) {
 	now := j.core.now()
 	if !j.heard.IsZero() {
-		j.outcome.Pause = max(j.outcome.Pause, now.Sub(j.heard))
+		j.outcome.MaxPause = max(j.outcome.MaxPause, now.Sub(j.heard))
 	}
 	j.heard = now
 	if id != "" {
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -27,9 +27,9 @@
 	Remaining  time.Duration
 }
 
-// Worth reports whether another attempt is allowed, but for the retry budget: another endpoint may do better, nothing runs
+// ShouldRetry reports whether another attempt is allowed, but for the retry budget: another endpoint may do better, nothing runs
 // twice that may not, nothing contradicts what the caller has seen, and there is time left.
-func Worth(f Failure) bool {
+func ShouldRetry(f Failure) bool {
 	if f.Attempt >= mostAttempts || f.Delivered || f.Remaining <= firstPause {
 		return false
 	}
@@ -41,8 +41,8 @@
 	}
 }
 
-// Pause is the jittered time to wait before an attempt; attempt is the one that failed, from 1.
-func Pause(attempt int, r *rand.Rand) time.Duration {
+// Backoff is the jittered time to wait before an attempt; attempt is the one that failed, from 1.
+func Backoff(attempt int, r *rand.Rand) time.Duration {
 	d := min(firstPause<<min(attempt-1, 10), longestPause)
 	return d/2 + time.Duration(r.Int64N(int64(d/2)+1))
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -28,7 +28,7 @@
 		Convey(c.name, t, func() {
 			f := base
 			c.edit(&f)
-			So(Worth(f), ShouldEqual, c.want)
+			So(ShouldRetry(f), ShouldEqual, c.want)
 		})
 	}
 }
--- a/internal/retry/shared.go
+++ b/internal/retry/shared.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Shared bounds the requests that are sent again to a service, by this instance's part of a budget that all instances share:
+// FleetBudget bounds the requests that are sent again to a service, by this instance's part of a budget that all instances share:
 // in each window no more than ratio of the requests and a fixed number beside them. It needs no word from other instances.
-type Shared struct {
+type FleetBudget struct {
 	ratio  float64
 	slack  float64 // of all instances together
 	window time.Duration
@@ -34,13 +34,13 @@
 	sharedMargin = 0.85 // the part of the budget that is used: instances start and end, and windows differ
 )
 
-// NewShared makes a budget. fleet tells how many instances share it.
-func NewShared(ratio float64, slack int, window time.Duration, fleet func() int, now func() time.Time) *Shared {
-	return &Shared{ratio: ratio, slack: float64(slack), window: window, fleet: fleet, now: now, services: make(map[string]*usage)}
+// NewFleetBudget makes a budget. fleet tells how many instances share it.
+func NewFleetBudget(ratio float64, slack int, window time.Duration, fleet func() int, now func() time.Time) *FleetBudget {
+	return &FleetBudget{ratio: ratio, slack: float64(slack), window: window, fleet: fleet, now: now, services: make(map[string]*usage)}
 }
 
 // at finds a service's current slice. The caller holds mu.
-func (s *Shared) at(service string) (*usage, *slice, int64) {
+func (s *FleetBudget) at(service string) (*usage, *slice, int64) {
 	u := s.services[service]
 	if u == nil {
 		u = &usage{}
@@ -54,8 +54,8 @@
 	return u, sl, number
 }
 
-// Request counts a request for a service.
-func (s *Shared) Request(service string) {
+// CountRequest counts a request for a service.
+func (s *FleetBudget) CountRequest(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, sl, _ := s.at(service)
@@ -63,7 +63,7 @@
 }
 
 // Take counts a request that is to be sent again, if the budget allows it.
-func (s *Shared) Take(service string) bool {
+func (s *FleetBudget) Take(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	u, sl, number := s.at(service)
--- a/internal/retry/shared_test.go
+++ b/internal/retry/shared_test.go
@@ -10,7 +10,7 @@
 func TestShared(t *testing.T) {
 	Convey("A budget of repeats that four instances share", t, func() {
 		now := time.Unix(1000, 0)
-		s := NewShared(0.2, 40, 10*time.Second, func() int { return 4 }, func() time.Time { return now })
+		s := NewFleetBudget(0.2, 40, 10*time.Second, func() int { return 4 }, func() time.Time { return now })
 		take := func() int {
 			n := 0
 			for s.Take("models") {
@@ -24,7 +24,7 @@
 		})
 		Convey("allows a share of the requests beside it", func() {
 			for range 100 {
-				s.Request("models")
+				s.CountRequest("models")
 			}
 			So(take(), ShouldEqual, 25) // 0.85 of 10 and 20
 		})
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -11,8 +11,8 @@
 
 const header = "Retry-After"
 
-// Most is the longest time that is believed. A longer one is taken for it: it is more likely a mistake than meant.
-const Most = 24 * time.Hour
+// Max is the longest time that is believed. A longer one is taken for it: it is more likely a mistake than meant.
+const Max = 24 * time.Hour
 
 // Of reads the Retry-After field of an answer's head: a number of seconds, fractions too, or a date (RFC 9110, 10.2.3). Of several
 // values the longest time counts. ok is false where there is none that can be read, or none that lies ahead. now is the time of day, for a
@@ -28,14 +28,14 @@
 
 func parse(v string, h http.Header, now time.Time) (time.Duration, bool) {
 	if at, err := http.ParseTime(v); err == nil {
-		return min(Most, at.Sub(sent(h, now))), true
+		return min(Max, at.Sub(sent(h, now))), true
 	}
 	s, err := strconv.ParseFloat(v, 64)
 	if err != nil || math.IsNaN(s) || math.IsInf(s, 0) || s <= 0 {
 		return 0, false
 	}
-	if s >= Most.Seconds() {
-		return Most, true
+	if s >= Max.Seconds() {
+		return Max, true
 	}
 	return time.Duration(s * float64(time.Second)), true
 }
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -25,9 +25,9 @@
 		{"a date that is over", []string{in(-time.Second)}, "", 0},
 		{"a date in another zone than UTC's name", []string{"Sunday, 01-Mar-26 12:00:04 GMT"}, "", 4 * time.Second},
 		{"a number that some client libraries round", []string{"0.0004"}, "", 400 * time.Microsecond},
-		{"over a day", []string{"1e9"}, "", Most},
-		{"more than a duration holds", []string{"1e300"}, "", Most},
-		{"a date over a day ahead", []string{in(48 * time.Hour)}, "", Most},
+		{"over a day", []string{"1e9"}, "", Max},
+		{"more than a duration holds", []string{"1e300"}, "", Max},
+		{"a date over a day ahead", []string{in(48 * time.Hour)}, "", Max},
 		{"twice: the longest", []string{"1", "4", "2"}, "", 4 * time.Second},
 		{"twice, one of which cannot be read", []string{"soon", "4"}, "", 4 * time.Second},
 		{"none", nil, "", 0},
@@ -59,7 +59,7 @@
 	}
 	f.Fuzz(func(t *testing.T, v, date string) {
 		d, ok := Of(http.Header{"Retry-After": {v}, "Date": {date}}, time.Unix(1e9, 0))
-		if ok != (d > 0) || d < 0 || d > Most {
+		if ok != (d > 0) || d < 0 || d > Max {
 			t.Fatalf("%q at %q: %v, %v", v, date, d, ok)
 		}
 	})
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -87,9 +87,9 @@
 	Regions  []string // in which its requests may run; nil: in all
 }
 
-// RegionsOf are the regions in which a customer's requests of a route may run: those that both allow. nil: all; empty: none. The customer may
+// AllowedRegions are the regions in which a customer's requests of a route may run: those that both allow. nil: all; empty: none. The customer may
 // be nil.
-func RegionsOf(r *Route, c *Customer) []string {
+func AllowedRegions(r *Route, c *Customer) []string {
 	switch {
 	case c == nil || c.Regions == nil:
 		return r.Regions
@@ -238,8 +238,8 @@
 	return s, ok
 }
 
-// CustomerOf finds the holder of a key.
-func (t *Table) CustomerOf(key string) (*Customer, bool) {
+// CustomerByKey finds the holder of a key.
+func (t *Table) CustomerByKey(key string) (*Customer, bool) {
 	c, ok := t.keys[key]
 	return c, ok
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -44,11 +44,11 @@
 
 		Convey("knows a customer by each of its keys", func() {
 			for _, key := range []string{"k1", "k2"} {
-				c, ok := table.CustomerOf(key)
+				c, ok := table.CustomerByKey(key)
 				So(ok, ShouldBeTrue)
 				So(c.Name, ShouldEqual, "north")
 			}
-			_, ok := table.CustomerOf("")
+			_, ok := table.CustomerByKey("")
 			So(ok, ShouldBeFalse)
 		})
 
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -82,12 +82,12 @@
 	}
 	m.metrics.Scope().Tagged(map[string]string{"reason": reason, "kind": o.Kind}).Counter("relay_requests_total").Inc(1)
 	for _, step := range o.Endpoints {
-		if step.Kept != "" {
-			m.metrics.Scope().Tagged(map[string]string{"cause": step.Kept}).Counter("relay_kept_off_total").Inc(1)
+		if step.SkipReason != "" {
+			m.metrics.Scope().Tagged(map[string]string{"cause": step.SkipReason}).Counter("relay_kept_off_total").Inc(1)
 		}
 	}
-	if o.First > 0 {
-		m.first.RecordDuration(o.First)
+	if o.FirstByte > 0 {
+		m.first.RecordDuration(o.FirstByte)
 	}
 	m.total.RecordDuration(o.Total)
 }
@@ -108,9 +108,9 @@
 		Int64("reserved", o.Reserved).Int64("used", o.Used).Int64("escrow_left", o.Budget.Left).
 		Int64("escrow_granted", o.Budget.Granted).Int64("escrow_spent", o.Budget.Spent).Int64("budget_rest", o.Budget.Rest).
 		Int64("budget_out", o.Budget.Out).Int64("budget_unproven", o.Budget.Unproven).Int64("escrow_age_ms", o.Budget.Age.Milliseconds()).
-		Int64("first_ms", o.First.Milliseconds()).Int64("total_ms", o.Total.Milliseconds()).
-		Int64("pause_ms", o.Pause.Milliseconds()).Int64("prompt_tokens", o.Request.TokensIn)
-	if o.Late != relay.LateNot {
+		Int64("first_ms", o.FirstByte.Milliseconds()).Int64("total_ms", o.Total.Milliseconds()).
+		Int64("pause_ms", o.MaxPause.Milliseconds()).Int64("prompt_tokens", o.Request.TokensIn)
+	if o.Late != relay.NotLate {
 		e = e.Str("late", string(o.Late))
 	}
 	if age := r.restored.age(); age > 0 {
@@ -129,24 +129,24 @@
 }
 
 // steps writes attempts into a log line.
-type steps []relay.Step
+type steps []relay.AttemptOutcome
 
 // MarshalZerologArray implements zerolog.LogArrayMarshaler.
 func (s steps) MarshalZerologArray(a *zerolog.Array) {
 	for _, x := range s {
-		d := zerolog.Dict().Str("endpoint", x.Endpoint).Str("reason", x.Reason).Str("end", x.End).Int64("at_ms", x.At.Milliseconds())
-		if x.Ended {
+		d := zerolog.Dict().Str("endpoint", x.Endpoint).Str("reason", x.Reason).Str("end", x.Result).Int64("at_ms", x.At.Milliseconds())
+		if x.ProcessExited {
 			d = d.Bool("ended", true)
 		}
-		if x.Kept != "" {
-			d = d.Str("kept_off", x.Kept)
+		if x.SkipReason != "" {
+			d = d.Str("kept_off", x.SkipReason)
 		}
 		a.Dict(d)
 	}
 }
 
 // lateEnd logs that an endpoint ended under a request, seen after the request's own line.
-func (r *Router) lateEnd(l relay.LateEnd) {
+func (r *Router) lateEnd(l relay.DelayedExit) {
 	quarantine.LogEnd(r.log, l.Endpoint, l.Digest)
 }
 
--- a/internal/router/explain.go
+++ b/internal/router/explain.go
@@ -50,11 +50,11 @@
 
 // AttemptLine is one sending of a request in a Line.
 type AttemptLine struct {
-	Endpoint string `json:"endpoint"`
-	Reason   string `json:"reason"`
-	End      string `json:"end"`
-	AtMs     int64  `json:"at_ms"`
-	KeptOff  string `json:"kept_off"` // why the first endpoint in the order of affinity got no work; empty: it has work, or is this one
+	Endpoint   string `json:"endpoint"`
+	Reason     string `json:"reason"`
+	End        string `json:"end"`
+	AtMs       int64  `json:"at_ms"`
+	SkipReason string `json:"kept_off"` // why the first endpoint in the order of affinity got no work; empty: it has work, or is this one
 }
 
 // longestLine is the longest line of a log that is read, in bytes.
@@ -63,9 +63,9 @@
 // requestEnded is the event of the line that reports a request's end.
 const requestEnded = "request_ended"
 
-// EachEnded hands the lines about requests that have ended to f, those that hold a text. What stands before a line's JSON, as a time
+// EachRequestEnd hands the lines about requests that have ended to f, those that hold a text. What stands before a line's JSON, as a time
 // or a name, is passed over, and so are lines that are none of ours.
-func EachEnded(r io.Reader, text string, f func(Line)) error {
+func EachRequestEnd(r io.Reader, text string, f func(Line)) error {
 	return eachLine(r, text, func(l Line) {
 		if l.Event == requestEnded {
 			f(l)
@@ -73,17 +73,17 @@
 	})
 }
 
-// CallsLine is a line of an instance's log that tells how often it called the store since the line before.
-type CallsLine struct {
+// StoreCallsLine is a line of an instance's log that tells how often it called the store since the line before.
+type StoreCallsLine struct {
 	Event    string         `json:"event"`
 	Instance string         `json:"instance"`
 	Role     Role           `json:"role"`
 	Calls    map[string]int `json:"calls"` // by what they were for and how they ended; see callCounts.add
 }
 
-// EachCalls hands the lines about calls to the store to f.
-func EachCalls(r io.Reader, f func(CallsLine)) error {
-	return eachLine(r, storeCalls, func(l CallsLine) {
+// EachStoreCalls hands the lines about calls to the store to f.
+func EachStoreCalls(r io.Reader, f func(StoreCallsLine)) error {
+	return eachLine(r, storeCalls, func(l StoreCallsLine) {
 		if l.Event == storeCalls {
 			f(l)
 		}
@@ -111,7 +111,7 @@
 // ReadLines finds the lines about a request in a log.
 func ReadLines(r io.Reader, request string) ([]Line, error) {
 	var out []Line
-	err := EachEnded(r, request, func(l Line) {
+	err := EachRequestEnd(r, request, func(l Line) {
 		if l.Request == request {
 			out = append(out, l)
 		}
@@ -152,10 +152,10 @@
 }
 
 func (e AttemptLine) keptOff() string {
-	if e.KeptOff == "" {
+	if e.SkipReason == "" {
 		return ""
 	}
-	return " (the first by affinity gets no work: " + e.KeptOff + ")"
+	return " (the first by affinity gets no work: " + e.SkipReason + ")"
 }
 
 func (l Line) ending() string {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -118,7 +118,7 @@
 		append(set.peersOptions(), peers.WithNow(now), peers.WithLogger(r.log), peers.WithEpochs(on.Epochs), peers.WithTraffic(r.metrics.sentTo))...)
 	heard, silenced := pool.LogWords(r.log)
 	opts := []pool.Option{
-		pool.WithPolicy(set.poolPolicy()), pool.OnGone(r.client.Forget), pool.WithOwners(r.peers), pool.WithNow(now), pool.OnNoticeEnded(silenced),
+		pool.WithPolicy(set.poolPolicy()), pool.OnGone(r.client.CloseIdle), pool.WithOwners(r.peers), pool.WithNow(now), pool.OnNoticeEnded(silenced),
 		pool.OnNotice(func(h pool.NoticeTaken) { r.metrics.noticeTaken(h); heard(h) }),
 		pool.WithRegions(set.Instance.Regions), pool.WithColdBounds(slowstart.Bounds{Overage: set.Cold.Overage, Slack: set.Cold.Slack}),
 	}
@@ -161,11 +161,11 @@
 // newCore makes what serves requests.
 func (r *Router) newCore(on Platform) {
 	ratio, slack := r.set.retryBudget()
-	retries := retry.NewShared(ratio, slack, r.set.Retry.Window, r.fleetSize, r.boot.Now)
+	retries := retry.NewFleetBudget(ratio, slack, r.set.Retry.Window, r.fleetSize, r.boot.Now)
 	r.core = relay.New(relay.Deps{
-		Tables: r.follow.Table, Pool: r.pool, Budgets: r.escrow, Retries: retries, Client: r.client, Dialect: on.Dialect,
-	}, append(r.set.relayOptions(), relay.WithNow(r.boot.Now), relay.WithEnded(r.ended), relay.WithLateEnd(r.lateEnd),
-		relay.WithQuarantine(r.suspects), relay.WithWoken(r.waking.over), relay.WithDialed(r.dialed), relay.WithCrowded(r.pressure.Crowded))...)
+		Table: r.follow.Table, Pool: r.pool, Budgets: r.escrow, Retries: retries, Client: r.client, Dialect: on.Dialect,
+	}, append(r.set.relayOptions(), relay.WithNow(r.boot.Now), relay.OnOutcome(r.ended), relay.OnDelayedExit(r.lateEnd),
+		relay.WithQuarantine(r.suspects), relay.WithStateFresh(r.waking.over), relay.OnDial(r.dialed), relay.WithCongested(r.pressure.Crowded))...)
 }
 
 // fleetSize is among how many instances is divided what all may do together. An instance that has just started knows few holders of budgets, and
--- a/internal/router/wake.go
+++ b/internal/router/wake.go
@@ -49,7 +49,7 @@
 	r.log.Warn().Str("event", "machine_woke").Int64("suspended_ms", suspended.Milliseconds()).
 		Msg("the machine was suspended: what was heard before is old until it is heard again")
 	r.metrics.metrics.Scope().Counter("machine_suspensions_total").Inc(1)
-	r.client.ForgetAll()
-	r.core.EndOverdue()
+	r.client.CloseAllIdle()
+	r.core.CancelExpired()
 	r.follow.Kick()
 }
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -192,12 +192,12 @@
 
 // Status is one endpoint as this instance sees it; times are in seconds.
 type Status struct {
-	ID         string  `json:"id"`
-	InFlight   int     `json:"in_flight"`
-	Ejected    bool    `json:"ejected"`
-	KeptOff    string  `json:"kept_off,omitempty"` // why it gets no work by its own word
-	FirstToken float64 `json:"first_token_s"`
-	PerToken   float64 `json:"per_token_s"`
+	ID              string  `json:"id"`
+	InFlight        int     `json:"in_flight"`
+	Ejected         bool    `json:"ejected"`
+	ExclusionReason string  `json:"kept_off,omitempty"` // why it gets no work by its own word
+	FirstToken      float64 `json:"first_token_s"`
+	PerToken        float64 `json:"per_token_s"`
 }
 
 // Statuses lists every endpoint, ordered by id.
@@ -206,7 +206,7 @@
 	out := make([]Status, 0, len(list))
 	for _, s := range list {
 		out = append(out, Status{
-			ID: s.ID, InFlight: s.Open, Ejected: s.Paused, KeptOff: string(s.Kept), FirstToken: s.FirstToken, PerToken: s.PerToken,
+			ID: s.ID, InFlight: s.Open, Ejected: s.Paused, ExclusionReason: string(s.Kept), FirstToken: s.FirstToken, PerToken: s.PerToken,
 		})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -159,8 +159,8 @@
 				end(l, pool.EndGood)
 			}
 			So(b.Capacity("p"), ShouldEqual, 8)
-			So(b.Statuses()[0].KeptOff, ShouldEqual, "leaving")
-			So(b.Statuses()[1].KeptOff, ShouldEqual, "resting")
+			So(b.Statuses()[0].ExclusionReason, ShouldEqual, "leaving")
+			So(b.Statuses()[1].ExclusionReason, ShouldEqual, "resting")
 			left := all()
 			So(left["e0"], ShouldBeEmpty)
 			So(left["e1"], ShouldBeEmpty)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -20,13 +20,13 @@
 
 // Request is what goes to an endpoint. The body has a length, whatever the caller sent.
 type Request struct {
-	Method string
-	Target string // path and query as the caller wrote them
-	Host   string
-	Header http.Header
-	Body   []byte
-	Dialed func(took time.Duration) // told how long a new connection took to come up, or to be given up; nil: nobody is
-	Wanted func() bool              // asked when a connection is there: false: nothing is sent; nil: it is sent
+	Method     string
+	Target     string // path and query as the caller wrote them
+	Host       string
+	Header     http.Header
+	Body       []byte
+	OnDial     func(took time.Duration) // told how long a new connection took to come up, or to be given up; nil: nobody is
+	ShouldSend func() bool              // asked when a connection is there: false: nothing is sent; nil: it is sent
 }
 
 // Response is an endpoint's answer. Close ends the exchange; a body that was not read to its end costs the connection.
@@ -47,7 +47,7 @@
 const (
 	DefaultDialTimeout = 300 * time.Millisecond
 	DefaultMaxIdle     = 8                // connections kept for an address
-	DefaultIdle        = 10 * time.Second // how long a connection is kept where the endpoint names no time
+	DefaultIdleTimeout = 10 * time.Second // how long a connection is kept where the endpoint names no time
 	keepMargin         = 700 * time.Millisecond
 	readBuffer         = 2 << 10
 	inlineBody         = 8 << 10 // a body up to this size is written before the answer is read
@@ -81,8 +81,8 @@
 // WithMaxIdle bounds the connections that are kept for an address.
 func WithMaxIdle(n int) Option { return func(c *Client) { c.maxIdle = n } }
 
-// WithIdle sets how long a connection is kept where the endpoint names no time.
-func WithIdle(d time.Duration) Option { return func(c *Client) { c.idleFor = d } }
+// WithIdleTimeout sets how long a connection is kept where the endpoint names no time.
+func WithIdleTimeout(d time.Duration) Option { return func(c *Client) { c.idleFor = d } }
 
 // WithWrap sets what is put around each connection.
 func WithWrap(f func(net.Conn) net.Conn) Option { return func(c *Client) { c.wrap = f } }
@@ -98,7 +98,7 @@
 			KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeAfter, Count: int(silentFor / probeAfter)},
 		},
 		maxIdle: DefaultMaxIdle,
-		idleFor: DefaultIdle,
+		idleFor: DefaultIdleTimeout,
 		now:     time.Now,
 		wrap:    func(c net.Conn) net.Conn { return c },
 		idle:    make(map[string][]*conn),
@@ -120,11 +120,11 @@
 // Do sends a request and returns the head of the answer. The exchange ends with ctx, even in the middle of the body.
 // An error that matches ErrNotSent promises that nothing was sent; after any other the request may have run.
 func (c *Client) Do(ctx context.Context, addr string, req *Request) (*Response, error) {
-	cn, err := c.take(ctx, addr, req.Dialed)
+	cn, err := c.take(ctx, addr, req.OnDial)
 	if err != nil {
 		return nil, err
 	}
-	if req.Wanted != nil && !req.Wanted() {
+	if req.ShouldSend != nil && !req.ShouldSend() {
 		_ = cn.Close()
 		return nil, eris.Wrapf(errors.Join(ErrNotSent, ErrWithdrawn), "sending to %s", addr)
 	}
@@ -212,8 +212,8 @@
 	return 0, false
 }
 
-// Forget closes the kept connections to an address.
-func (c *Client) Forget(addr string) {
+// CloseIdle closes the kept connections to an address.
+func (c *Client) CloseIdle(addr string) {
 	c.mu.Lock()
 	list := c.idle[addr]
 	delete(c.idle, addr)
@@ -223,8 +223,8 @@
 	}
 }
 
-// ForgetAll closes all kept connections.
-func (c *Client) ForgetAll() {
+// CloseAllIdle closes all kept connections.
+func (c *Client) CloseAllIdle() {
 	c.mu.Lock()
 	all := c.idle
 	c.idle = make(map[string][]*conn)
@@ -271,6 +271,6 @@
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
-	c.ForgetAll()
+	c.CloseAllIdle()
 	return nil
 }
