--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -22,7 +22,7 @@
 
 // Notice reads the word in a head with a status. A time for which the endpoint wants nothing counts where it turns a request away.
 func Notice(status int, h http.Header, names Headers) pool.Notice {
-	w := pool.Notice{Leaving: slices.Contains(h.Values(names.Leaving), yes), Limit: limit.Of(h.Values(names.Limit))}
+	w := pool.Notice{Leaving: slices.Contains(h.Values(names.Leaving), yes), Limit: limit.FromHeader(h.Values(names.Limit))}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		w.Rest, _ = retryafter.Of(h, time.Now())
 	}
--- a/internal/gateway/endings.go
+++ b/internal/gateway/endings.go
@@ -64,7 +64,7 @@
 
 // lone reports whether only its caller may send the request again: two endpoints in a row did not outlive it.
 func (j *job) lone() bool {
-	return j.g.suspects.Suspects(j.customer) && j.g.suspects.Lone(j.asks())
+	return j.g.suspects.Suspects(j.customer) && j.g.suspects.NoRetry(j.asks())
 }
 
 // sawEnd notes that the endpoint of an attempt that broke off has ended with it.
@@ -77,7 +77,7 @@
 		return
 	}
 	digest, customer := j.asks(), j.customer
-	end := quarantine.End{Run: t.ID, Began: began, Ended: j.g.now(), Events: j.begun}
+	end := quarantine.Crash{Run: t.ID, Began: began, Ended: j.g.now(), Streamed: j.begun}
 	if j.g.looker.Refused(ctx, u.Host) {
 		j.g.endedUnder(digest, customer, end)
 		return
@@ -90,14 +90,14 @@
 }
 
 // endedUnder notes that an endpoint has ended under a request.
-func (g *Gateway) endedUnder(digest quarantine.Digest, customer string, end quarantine.End) {
-	quarantine.LogEnd(g.log, end.Run, digest.String())
-	g.suspects.Ended(digest, customer, end)
+func (g *Gateway) endedUnder(digest quarantine.Digest, customer string, end quarantine.Crash) {
+	quarantine.LogCrash(g.log, end.Run, digest.String())
+	g.suspects.RecordCrash(digest, customer, end)
 }
 
 // quarantined logs and counts that a request is kept from endpoints from now on, or logs that it is not any more.
 func (g *Gateway) quarantined(c quarantine.Change) {
-	if c.Held {
+	if c.Quarantined {
 		g.metrics.held.Inc(1)
 	}
 	quarantine.LogChanges(g.log)(c)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -75,7 +75,7 @@
 	members  once.Members
 	caller   mesh.Caller
 	targets  *targets.Targets
-	suspects *quarantine.Memory
+	suspects *quarantine.Tracker
 	looker   Looker
 	budgets  *budget.Client
 	keys     *once.Keys
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -259,7 +259,7 @@
 func (j *job) judge(t targets.Target, err error) {
 	if err == nil {
 		if j.g.suspects.Suspects(j.customer) {
-			j.g.suspects.Well(j.asks())
+			j.g.suspects.RecordSuccess(j.asks())
 		}
 		t.Lease.Done(pool.EndGood)
 		t.Lease.Served(j.firstToken, j.slowestGap)
--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -78,17 +78,17 @@
 	}
 }
 
-// Give takes a request back that was counted and not sent.
-func (b *Bucket) Give() { b.level++ }
+// Return takes a request back that was counted and not sent.
+func (b *Bucket) Return() { b.level++ }
 
 // unusedFor is how long a request may be sent that no session of the endpoint's own asks for, before one of others is to take its place.
 const unusedFor = 500 * time.Millisecond
 
-// Draws reports whether the instance is to send any request there that it has, since one may be sent that nobody uses: it is one of few that are lent a
+// Underused reports whether the instance is to send any request there that it has, since one may be sent that nobody uses: it is one of few that are lent a
 // part, so what they send by themselves is not what all would send. It draws no more than an endpoint's even share of what all have, so that a high
 // limit draws nothing: even is that part of all requests for the service. Without, an endpoint of hundreds would get next to nothing, and nobody would
 // hear that it takes more again.
-func (b *Bucket) Draws(r Rate, even float64, now time.Time) bool {
+func (b *Bucket) Underused(r Rate, even float64, now time.Time) bool {
 	if !b.lease.few || !b.Has(r, now) || now.Sub(b.ready) < unusedFor {
 		return false
 	}
--- a/internal/limit/division.go
+++ b/internal/limit/division.go
@@ -14,33 +14,33 @@
 	givenUpFor = 5 * time.Second
 	// countsFor is how long what an instance has said counts: it says it again twice a second.
 	countsFor = 800 * time.Millisecond
-	// LeaseTime is how long a granted rate may be used.
-	LeaseTime = 1500 * time.Millisecond
+	// LeaseDuration is how long a granted rate may be used.
+	LeaseDuration = 1500 * time.Millisecond
 	// keeping is by how much more others must have to send for a lease to move to them: an instance that is given one begins with nothing.
 	keeping = 1.5
 )
 
-// Settle is how long an instance that has started again has no part of its own: the process before it may have given it up.
-const Settle = givenUpFor
+// SettleTime is how long an instance that has started again has no part of its own: the process before it may have given it up.
+const SettleTime = givenUpFor
 
-// Ask is what an instance, or a group of them, says of one endpoint.
-type Ask struct {
+// Claim is what an instance, or a group of them, says of one endpoint.
+type Claim struct {
 	Demand float64 // requests a second that it would send there
 	Offer  float64 // requests a second that are its own part, and that it gives up for some seconds
 }
 
 // Grant is what is lent for an Ask.
 type Grant struct {
-	Limit     float64 // under which, in requests a second
-	PerSecond float64
-	For       time.Duration // from when the instance asked
-	Holders   int           // among how many instances it may be divided
-	Fleet     float64       // requests a second that all instances have for the endpoint's service
-	Few       bool          // other instances that have requests were lent nothing
+	Limit       float64 // under which, in requests a second
+	PerSecond   float64
+	For         time.Duration // from when the instance asked
+	Holders     int           // among how many instances it may be divided
+	FleetDemand float64       // requests a second that all instances have for the endpoint's service
+	Partial     bool          // other instances that have requests were lent nothing
 }
 
-// Asks are by endpoint, as an exchange between instances names it.
-type Asks map[uint32]Ask
+// Claims are by endpoint, as an exchange between instances names it.
+type Claims map[uint32]Claim
 
 // Grants are by endpoint, like Asks.
 type Grants map[uint32]Grant
@@ -48,9 +48,9 @@
 // own is the name under which an instance asks itself.
 const own = ""
 
-// Division lends the limits of endpoints to the instances that have requests for them, as far as they have given up their parts to this one.
+// Allocator lends the limits of endpoints to the instances that have requests for them, as far as they have given up their parts to this one.
 // It passes both on to an instance above it, if there is one. It is not safe for concurrent use.
-type Division struct {
+type Allocator struct {
 	above     string    // to which this instance's parts, and those given up to it, were last given up
 	given     time.Time // until when they are
 	asked     time.Time // when another instance was last asked
@@ -58,8 +58,8 @@
 	endpoints map[uint32]*shares
 }
 
-// NewDivision makes a Division.
-func NewDivision() *Division { return &Division{endpoints: make(map[uint32]*shares)} }
+// NewAllocator makes a Division.
+func NewAllocator() *Allocator { return &Allocator{endpoints: make(map[uint32]*shares)} }
 
 // shares are the parts of one endpoint's limit.
 type shares struct {
@@ -70,7 +70,7 @@
 // asker is one that asks.
 type asker struct {
 	name   string
-	ask    Ask
+	ask    Claim
 	at     time.Time
 	leases []Lease // that may still be in use: an answer may be lost, so that an earlier one is
 }
@@ -88,11 +88,11 @@
 	return x
 }
 
-// Own takes what this instance would send, and its own parts.
-func (d *Division) Own(asks Asks, now time.Time) { d.Observe(own, asks, now) }
+// SetLocal takes what this instance would send, and its own parts.
+func (d *Allocator) SetLocal(asks Claims, now time.Time) { d.Observe(own, asks, now) }
 
 // Observe takes what an instance asks.
-func (d *Division) Observe(from string, asks Asks, now time.Time) {
+func (d *Allocator) Observe(from string, asks Claims, now time.Time) {
 	for key, ask := range asks {
 		s := d.endpoints[key]
 		if s == nil {
@@ -109,19 +109,19 @@
 }
 
 // clean makes what another instance says safe to add up.
-func clean(a Ask) Ask {
+func clean(a Claim) Claim {
 	fit := func(x float64) float64 {
 		if math.IsNaN(x) {
 			return 0
 		}
 		return min(max(0, x), most)
 	}
-	return Ask{Demand: fit(a.Demand), Offer: fit(a.Offer)}
+	return Claim{Demand: fit(a.Demand), Offer: fit(a.Offer)}
 }
 
-// Above is what to ask of an instance, for all who ask this one. All parts are given up to it, unless they are given up to another one for some
+// Aggregate is what to ask of an instance, for all who ask this one. All parts are given up to it, unless they are given up to another one for some
 // seconds more, or are lent.
-func (d *Division) Above(to string, now time.Time) Asks {
+func (d *Allocator) Aggregate(to string, now time.Time) Claims {
 	d.asked = now
 	if now.Before(d.lent) || (to != d.above && now.Before(d.given)) {
 		return d.sums(now, false)
@@ -133,10 +133,10 @@
 	return out
 }
 
-func (d *Division) sums(now time.Time, offering bool) Asks {
-	out := make(Asks, len(d.endpoints))
+func (d *Allocator) sums(now time.Time, offering bool) Claims {
+	out := make(Claims, len(d.endpoints))
 	for key, s := range d.endpoints {
-		var sum Ask
+		var sum Claim
 		for _, a := range s.askers {
 			if !a.counts(now) {
 				continue
@@ -151,8 +151,8 @@
 	return out
 }
 
-// Take takes what was lent from above for what was asked at a moment.
-func (d *Division) Take(grants Grants, asked time.Time) {
+// AcceptGrants takes what was lent from above for what was asked at a moment.
+func (d *Allocator) AcceptGrants(grants Grants, asked time.Time) {
 	for key, g := range grants {
 		if s := d.endpoints[key]; s != nil {
 			s.lease = g.lease(asked)
@@ -162,15 +162,15 @@
 
 // lease is what a grant means to the instance that asked for it at a moment.
 func (g Grant) lease(asked time.Time) Lease {
-	fit := clean(Ask{Demand: g.PerSecond, Offer: g.Fleet})
+	fit := clean(Claim{Demand: g.PerSecond, Offer: g.FleetDemand})
 	return Lease{
-		limit: max(asking, g.Limit), perSecond: fit.Demand, until: asked.Add(min(max(0, g.For), LeaseTime)), holders: max(1, g.Holders),
-		fleet: fit.Offer, few: g.Few,
+		limit: max(asking, g.Limit), perSecond: fit.Demand, until: asked.Add(min(max(0, g.For), LeaseDuration)), holders: max(1, g.Holders),
+		fleet: fit.Offer, few: g.Partial,
 	}
 }
 
-// OwnLeases are the leases of this instance itself, of endpoints whose limits are given.
-func (d *Division) OwnLeases(limits map[uint32]Rate, now time.Time) map[uint32]Lease {
+// LocalLeases are the leases of this instance itself, of endpoints whose limits are given.
+func (d *Allocator) LocalLeases(limits map[uint32]Rate, now time.Time) map[uint32]Lease {
 	out := make(map[uint32]Lease, len(limits))
 	for key, g := range d.Lend(own, limits, now) {
 		out[key] = g.lease(now)
@@ -179,7 +179,7 @@
 }
 
 // Lend grants an instance its share, of endpoints whose limits are given. What others may be using is not granted twice.
-func (d *Division) Lend(to string, limits map[uint32]Rate, now time.Time) Grants {
+func (d *Allocator) Lend(to string, limits map[uint32]Rate, now time.Time) Grants {
 	out := make(Grants, len(limits))
 	for key, r := range limits {
 		s := d.endpoints[key]
@@ -201,13 +201,13 @@
 }
 
 // led reports whether this instance lends only what it is lent: it has given its parts up, or is about to.
-func (d *Division) led(now time.Time) bool {
+func (d *Allocator) led(now time.Time) bool {
 	return now.Before(d.given) || now.Sub(d.asked) < countsFor
 }
 
 // whole is what this instance may lend, and until when: of what it is lent itself, or of what was given up to it.
-func (d *Division) whole(s *shares, r Rate, now time.Time) Lease {
-	until := now.Add(LeaseTime)
+func (d *Allocator) whole(s *shares, r Rate, now time.Time) Lease {
+	until := now.Add(LeaseDuration)
 	if d.led(now) {
 		whole := s.lease
 		whole.limit, whole.perSecond = r.Bound(), s.lease.under(r)
@@ -216,7 +216,7 @@
 		}
 		return whole
 	}
-	var sum Ask
+	var sum Claim
 	for _, a := range s.askers {
 		if a.counts(now) {
 			sum.Demand += a.ask.Demand
@@ -254,7 +254,7 @@
 	}
 	return Grant{
 		Limit: whole.limit, PerSecond: max(0, min(whole.perSecond*mine/sum, whole.perSecond-others)), For: whole.until.Sub(now),
-		Holders: countOf(list, a), Fleet: whole.fleet, Few: whole.few || few,
+		Holders: countOf(list, a), FleetDemand: whole.fleet, Partial: whole.few || few,
 	}
 }
 
@@ -310,8 +310,8 @@
 	return out, few
 }
 
-// Forget drops the endpoints that name no limit any more, and askers that are silent and have nothing.
-func (d *Division) Forget(limits map[uint32]Rate, now time.Time) {
+// Prune drops the endpoints that name no limit any more, and askers that are silent and have nothing.
+func (d *Allocator) Prune(limits map[uint32]Rate, now time.Time) {
 	for key, s := range d.endpoints {
 		for name, a := range s.askers {
 			if !a.counts(now) && a.held(now) == 0 {
--- a/internal/limit/division_test.go
+++ b/internal/limit/division_test.go
@@ -36,7 +36,7 @@
 type simNode struct {
 	name      string
 	zone      int
-	div       *Division
+	div       *Allocator
 	bucket    Bucket
 	demand    float64
 	born      time.Time
@@ -59,7 +59,7 @@
 
 func (s *sim) join() *simNode {
 	n := &simNode{
-		name: fmt.Sprint(len(s.nodes)), zone: len(s.nodes) % s.zones, div: NewDivision(), demand: 10, born: s.now, knows: len(s.nodes) + 1,
+		name: fmt.Sprint(len(s.nodes)), zone: len(s.nodes) % s.zones, div: NewAllocator(), demand: 10, born: s.now, knows: len(s.nodes) + 1,
 		next: s.now.Add(time.Duration(s.rng.Int64N(int64(simExchange)))),
 	}
 	s.nodes = append(s.nodes, n)
@@ -68,7 +68,7 @@
 
 // restart ends an instance's process and starts another one.
 func (s *sim) restart(n *simNode) {
-	n.div, n.bucket, n.born, n.restarted, n.dead = NewDivision(), Bucket{}, s.now, true, false
+	n.div, n.bucket, n.born, n.restarted, n.dead = NewAllocator(), Bucket{}, s.now, true, false
 }
 
 func (s *sim) reaches(a, b *simNode) bool {
@@ -103,7 +103,7 @@
 }
 
 func (n *simNode) rates(s *sim) map[uint32]Rate {
-	if n.part(s.now, LeaseTime) == 0 {
+	if n.part(s.now, LeaseDuration) == 0 {
 		return nil
 	}
 	return map[uint32]Rate{simEndpoint: s.limit}
@@ -111,18 +111,18 @@
 
 // exchange is what an instance does twice a second.
 func (s *sim) exchange(n *simNode) {
-	n.div.Own(Asks{simEndpoint: {Demand: n.demand, Offer: n.part(s.now, Settle) * s.limit.Bound()}}, s.now)
+	n.div.SetLocal(Claims{simEndpoint: {Demand: n.demand, Offer: n.part(s.now, SettleTime) * s.limit.Bound()}}, s.now)
 	if up := s.above(n); up != nil {
-		asks := n.div.Above(up.name, s.now)
+		asks := n.div.Aggregate(up.name, s.now)
 		if s.rng.Float64() >= s.lose {
 			up.div.Observe(n.name, asks, s.now)
 			grants := up.div.Lend(n.name, up.rates(s), s.now)
 			if s.rng.Float64() >= s.lose {
-				n.div.Take(grants, s.now)
+				n.div.AcceptGrants(grants, s.now)
 			}
 		}
 	}
-	for _, l := range n.div.OwnLeases(n.rates(s), s.now) {
+	for _, l := range n.div.LocalLeases(n.rates(s), s.now) {
 		n.bucket.Set(l, s.limit, s.now)
 	}
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -32,8 +32,8 @@
 // PerSecond makes a Rate.
 func PerSecond(x float64) Rate { return Rate{perSecond: min(max(0, x), most), named: true} }
 
-// Named reports whether a rate is named at all.
-func (r Rate) Named() bool { return r.named }
+// IsSet reports whether a rate is named at all.
+func (r Rate) IsSet() bool { return r.named }
 
 // PerSecond is the rate as it was named, in requests a second.
 func (r Rate) PerSecond() float64 { return r.perSecond }
@@ -41,8 +41,8 @@
 // Bound is the rate that is kept to, in requests a second.
 func (r Rate) Bound() float64 { return max(r.perSecond, asking) }
 
-// Of reads the rates that a head names. Of several the lowest counts; what is no number of requests a second names none.
-func Of(values []string) Rate {
+// FromHeader reads the rates that a head names. FromHeader several the lowest counts; what is no number of requests a second names none.
+func FromHeader(values []string) Rate {
 	var out Rate
 	for _, v := range values {
 		if r, ok := parse(strings.TrimSpace(v)); ok && (!out.named || r.perSecond < out.perSecond) {
@@ -60,52 +60,52 @@
 	return PerSecond(x), true
 }
 
-// Known is what is known of the limit of one run of an endpoint's process. Answers are under way in any order, and other instances tell older ones.
-type Known struct {
+// State is what is known of the limit of one run of an endpoint's process. Answers are under way in any order, and other instances tell older ones.
+type State struct {
 	rate    Rate
 	named   time.Time // when the head of an answer last named it
 	missing time.Time // when the last request was sent whose answer named none
 }
 
-// Holds reports whether the limit counts.
-func (k Known) Holds(now time.Time) bool {
+// Active reports whether the limit counts.
+func (k State) Active(now time.Time) bool {
 	return !k.named.IsZero() && !k.missing.After(k.named) && now.Sub(k.named) < life
 }
 
-// Over reports whether nothing that is known matters any more.
-func (k Known) Over(now time.Time) bool {
+// Expired reports whether nothing that is known matters any more.
+func (k State) Expired(now time.Time) bool {
 	return now.Sub(k.named) >= life && now.Sub(k.missing) >= life
 }
 
 // Rate is the limit, if it holds.
-func (k Known) Rate(now time.Time) Rate {
-	if !k.Holds(now) {
+func (k State) Rate(now time.Time) Rate {
+	if !k.Active(now) {
 		return Rate{}
 	}
 	return k.rate
 }
 
-// Named is when the limit was last named.
-func (k Known) Named() time.Time { return k.named }
+// AnnouncedAt is when the limit was last named.
+func (k State) AnnouncedAt() time.Time { return k.named }
 
-// Missing is when the last request was sent whose answer named none.
-func (k Known) Missing() time.Time { return k.missing }
+// OmittedAt is when the last request was sent whose answer named none.
+func (k State) OmittedAt() time.Time { return k.missing }
 
-// Last is the rate that was last named, whether it holds or not.
-func (k Known) Last() Rate { return k.rate }
+// LastRate is the rate that was last named, whether it holds or not.
+func (k State) LastRate() Rate { return k.rate }
 
 // Observe takes an answer's head, to a request that was sent at a moment.
 //
 // An answer that names none lifts the limit only if its request was sent after the limit had last been named: one that began before may come later.
 // Where two answers that were under way at once name two rates, the lower one holds until the next answer.
-func (k *Known) Observe(r Rate, sent, now time.Time) {
+func (k *State) Observe(r Rate, sent, now time.Time) {
 	switch {
 	case !r.named:
 		if sent.After(k.missing) {
 			k.missing = sent
 		}
 		return
-	case k.Holds(now) && !sent.After(k.named) && r.perSecond > k.rate.perSecond:
+	case k.Active(now) && !sent.After(k.named) && r.perSecond > k.rate.perSecond:
 	default:
 		k.rate = r
 	}
@@ -113,7 +113,7 @@
 }
 
 // Merge takes what another instance has observed itself. Told twice, late or in another order, it comes to the same.
-func (k *Known) Merge(other Known) {
+func (k *State) Merge(other State) {
 	if other.named.After(k.named) {
 		k.rate, k.named = other.rate, other.named
 	}
@@ -122,8 +122,8 @@
 	}
 }
 
-// Reported makes what another instance has heard from what it says: the rate that was last named and when, and when a request was sent whose answer
+// NewState makes what another instance has heard from what it says: the rate that was last named and when, and when a request was sent whose answer
 // named none. A zero time reports that there was none.
-func Reported(r Rate, named, missing time.Time) Known {
-	return Known{rate: r, named: named, missing: missing}
+func NewState(r Rate, named, missing time.Time) State {
+	return State{rate: r, named: named, missing: missing}
 }
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -34,7 +34,7 @@
 		{"a unit", []string{"3/s"}, Rate{}},
 		{"a decimal comma", []string{"1,3"}, Rate{}},
 	} {
-		Convey("A head that names "+c.name, t, func() { So(Of(c.values), ShouldResemble, c.want) })
+		Convey("A head that names "+c.name, t, func() { So(FromHeader(c.values), ShouldResemble, c.want) })
 	}
 }
 
@@ -44,8 +44,8 @@
 		f.Add(s, "2")
 	}
 	f.Fuzz(func(t *testing.T, a, b string) {
-		r := Of([]string{a, b})
-		if x := r.PerSecond(); !(x >= 0 && x <= most) || (!r.Named() && x != 0) || math.Signbit(x) {
+		r := FromHeader([]string{a, b})
+		if x := r.PerSecond(); !(x >= 0 && x <= most) || (!r.IsSet() && x != 0) || math.Signbit(x) {
 			t.Fatalf("%q and %q name %v requests a second", a, b, x)
 		}
 	})
@@ -56,23 +56,23 @@
 	at := func(s float64) time.Time { return begun.Add(time.Duration(s * float64(time.Second))) }
 	two, five := PerSecond(2), PerSecond(5)
 	Convey("A limit that an answer named", t, func() {
-		var k Known
+		var k State
 		k.Observe(two, at(0), at(1))
 		So(k.Rate(at(2)), ShouldResemble, two)
 
 		Convey("is not lifted by an answer whose request was sent before, and is by a later one", func() {
 			k.Observe(Rate{}, at(0.9), at(3))
-			So(k.Holds(at(3)), ShouldBeTrue)
+			So(k.Active(at(3)), ShouldBeTrue)
 			k.Observe(Rate{}, at(1.1), at(3))
-			So(k.Holds(at(3)), ShouldBeFalse)
+			So(k.Active(at(3)), ShouldBeFalse)
 
 			Convey("and then holds again when it is named again", func() {
 				k.Observe(five, at(1.2), at(4))
 				So(k.Rate(at(4)), ShouldResemble, five)
 			})
 			Convey("and does not come back from another instance that was told before", func() {
-				k.Merge(Reported(two, at(1.05), time.Time{}))
-				So(k.Holds(at(3)), ShouldBeFalse)
+				k.Merge(NewState(two, at(1.05), time.Time{}))
+				So(k.Active(at(3)), ShouldBeFalse)
 			})
 		})
 		Convey("changes with a later answer; of two that were under way at once the lower rate holds", func() {
@@ -84,9 +84,9 @@
 			So(k.Rate(at(3)), ShouldResemble, two)
 		})
 		Convey("is forgotten some time after it was last named", func() {
-			So(k.Holds(at(1).Add(life-time.Second)), ShouldBeTrue)
-			So(k.Holds(at(1).Add(life)), ShouldBeFalse)
-			So(k.Over(at(1).Add(life)), ShouldBeTrue)
+			So(k.Active(at(1).Add(life-time.Second)), ShouldBeTrue)
+			So(k.Active(at(1).Add(life)), ShouldBeFalse)
+			So(k.Expired(at(1).Add(life)), ShouldBeTrue)
 		})
 	})
 }
@@ -95,11 +95,11 @@
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		moment := func(t *rapid.T) time.Time { return time.Unix(int64(rapid.IntRange(0, 20).Draw(t, "s")), 0) }
-		words := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Known {
+		words := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) State {
 			named := moment(t)
-			return Reported(PerSecond(float64(named.Unix())), named, moment(t)) // one rate at a time
+			return NewState(PerSecond(float64(named.Unix())), named, moment(t)) // one rate at a time
 		}), 1, 8).Draw(t, "words")
-		var a, b Known
+		var a, b State
 		for _, w := range words {
 			a.Merge(w)
 		}
@@ -149,7 +149,7 @@
 			So(b.Has(r, now), ShouldBeTrue)
 			b.Take(now)
 			So(b.Has(r, now), ShouldBeFalse)
-			b.Give()
+			b.Return()
 			So(b.Has(r, now), ShouldBeTrue)
 		})
 		Convey("sends less at once where the endpoint names less", func() {
--- a/internal/load/digest_test.go
+++ b/internal/load/digest_test.go
@@ -23,8 +23,8 @@
 		Convey("tells what it was made of", func() {
 			leaving := pool.Leaving{7: 1500 * time.Millisecond, 8: 0}
 			limits := pool.Limits{
-				7: limit.Reported(limit.PerSecond(1.25), now.Add(-time.Second), time.Time{}),
-				8: limit.Reported(limit.PerSecond(0), now, now.Add(-2*time.Second)),
+				7: limit.NewState(limit.PerSecond(1.25), now.Add(-time.Second), time.Time{}),
+				8: limit.NewState(limit.PerSecond(0), now, now.Add(-2*time.Second)),
 			}
 			So(pack(report{loads, leaving, limits}, now).unpack(now), ShouldResemble, report{loads, leaving, limits})
 		})
@@ -42,12 +42,12 @@
 				return len(raw)
 			}
 			const many = 100
-			limits, asks, grants := make(pool.Limits), make(limit.Asks), make(limit.Grants)
+			limits, asks, grants := make(pool.Limits), make(limit.Claims), make(limit.Grants)
 			So(size(digest{Limits: packLimits(limits, now), Asks: packAsks(asks), Grants: packGrants(grants)}), ShouldEqual, size(digest{}))
 			for i := range uint32(many) {
-				limits[i<<20+7] = limit.Reported(limit.PerSecond(1.3), now.Add(-time.Second), now.Add(-time.Minute))
-				asks[i<<20+7] = limit.Ask{Demand: 12.5, Offer: 0.004}
-				grants[i<<20+7] = limit.Grant{Limit: 1.3, PerSecond: 0.4, For: time.Second, Holders: 2, Fleet: 920}
+				limits[i<<20+7] = limit.NewState(limit.PerSecond(1.3), now.Add(-time.Second), now.Add(-time.Minute))
+				asks[i<<20+7] = limit.Claim{Demand: 12.5, Offer: 0.004}
+				grants[i<<20+7] = limit.Grant{Limit: 1.3, PerSecond: 0.4, For: time.Second, Holders: 2, FleetDemand: 920}
 			}
 			So(size(digest{Limits: packLimits(limits, now), Asks: packAsks(asks), Grants: packGrants(grants)}), ShouldBeLessThan, 50*many)
 		})
@@ -67,7 +67,7 @@
 		Convey("tells nothing of a word whose age cannot be right", func() {
 			for _, age := range []int64{-1, math.MinInt64, math.MaxInt64, mostAge.Milliseconds() + 1} {
 				So(digest{Leaving: []leaving{{Endpoint: 1, AgeMs: age}}}.unpack(now).leaving, ShouldBeEmpty)
-				So(digest{Limits: []named{{Endpoint: 1, NamedMs: age, MissingMs: age}}}.unpack(now).limits[1].Holds(now), ShouldBeFalse)
+				So(digest{Limits: []named{{Endpoint: 1, NamedMs: age, MissingMs: age}}}.unpack(now).limits[1].Active(now), ShouldBeFalse)
 			}
 		})
 
@@ -76,7 +76,7 @@
 				Lines []line `cbor:"1,keyasint,omitempty"`
 				Rider []byte `cbor:"2,keyasint,omitempty"`
 			}
-			raw, err := cbor.Marshal(pack(report{loads, pool.Leaving{7: time.Second}, pool.Limits{7: limit.Reported(limit.PerSecond(1), now, now)}}, now))
+			raw, err := cbor.Marshal(pack(report{loads, pool.Leaving{7: time.Second}, pool.Limits{7: limit.NewState(limit.PerSecond(1), now, now)}}, now))
 			So(err, ShouldBeNil)
 			var o older
 			So(cbor.Unmarshal(raw, &o), ShouldBeNil)
--- a/internal/load/fuzz_test.go
+++ b/internal/load/fuzz_test.go
@@ -47,9 +47,9 @@
 func fuzzDivision(t *testing.T, d digest) {
 	now := time.Now()
 	rates := map[uint32]limit.Rate{7: limit.PerSecond(1.5)}
-	v := limit.NewDivision()
+	v := limit.NewAllocator()
 	v.Observe("x", unpackAsks(d.Asks), now)
-	v.Take(unpackGrants(d.Grants), now)
+	v.AcceptGrants(unpackGrants(d.Grants), now)
 	for _, g := range v.Lend("x", rates, now) {
 		if !(g.PerSecond <= rates[7].Bound()) {
 			t.Fatalf("%v a second were lent of %v", g.PerSecond, rates[7].Bound())
--- a/internal/load/limits.go
+++ b/internal/load/limits.go
@@ -52,7 +52,7 @@
 	}
 	out := make([]named, 0, len(limits))
 	for key, k := range limits {
-		out = append(out, named{Endpoint: key, Rate: thousandths(k.Last().PerSecond()), NamedMs: age(k.Named()), MissingMs: age(k.Missing())})
+		out = append(out, named{Endpoint: key, Rate: thousandths(k.LastRate().PerSecond()), NamedMs: age(k.AnnouncedAt()), MissingMs: age(k.OmittedAt())})
 	}
 	return capped(out, func(a, b named) int { return cmp.Compare(a.NamedMs, b.NamedMs) })
 }
@@ -67,13 +67,13 @@
 	}
 	for _, n := range list {
 		if n.Rate >= 0 {
-			out[n.Endpoint] = limit.Reported(limit.PerSecond(whole(n.Rate)), at(n.NamedMs), at(n.MissingMs))
+			out[n.Endpoint] = limit.NewState(limit.PerSecond(whole(n.Rate)), at(n.NamedMs), at(n.MissingMs))
 		}
 	}
 	return out
 }
 
-func packAsks(asks limit.Asks) []ask {
+func packAsks(asks limit.Claims) []ask {
 	out := make([]ask, 0, len(asks))
 	for key, a := range asks {
 		out = append(out, ask{Endpoint: key, Demand: thousandths(a.Demand), Offer: thousandths(a.Offer)})
@@ -81,10 +81,10 @@
 	return capped(out, func(a, b ask) int { return cmp.Compare(b.Demand, a.Demand) })
 }
 
-func unpackAsks(list []ask) limit.Asks {
-	out := make(limit.Asks, len(list))
+func unpackAsks(list []ask) limit.Claims {
+	out := make(limit.Claims, len(list))
 	for _, a := range list {
-		out[a.Endpoint] = limit.Ask{Demand: whole(a.Demand), Offer: whole(a.Offer)}
+		out[a.Endpoint] = limit.Claim{Demand: whole(a.Demand), Offer: whole(a.Offer)}
 	}
 	return out
 }
@@ -94,7 +94,7 @@
 	for key, g := range grants {
 		out = append(out, grant{
 			Endpoint: key, Limit: thousandths(g.Limit), PerSecond: thousandths(g.PerSecond), ForMs: g.For.Milliseconds(), Holders: g.Holders,
-			Fleet: thousandths(g.Fleet), Few: g.Few,
+			Fleet: thousandths(g.FleetDemand), Few: g.Partial,
 		})
 	}
 	return out
@@ -105,7 +105,7 @@
 	for _, g := range list {
 		out[g.Endpoint] = limit.Grant{
 			Limit: whole(g.Limit), PerSecond: whole(g.PerSecond), For: time.Duration(min(g.ForMs, mostAge.Milliseconds())) * time.Millisecond,
-			Holders: g.Holders, Fleet: whole(g.Fleet), Few: g.Few,
+			Holders: g.Holders, FleetDemand: whole(g.Fleet), Partial: g.Few,
 		}
 	}
 	return out
@@ -132,34 +132,34 @@
 func (x *Exchange) asking() {
 	now := x.now()
 	limited := x.pool.Limited()
-	part := x.dir.Part(limit.Settle)
-	rates, asks := make(map[uint32]limit.Rate, len(limited)), make(limit.Asks, len(limited))
+	part := x.dir.Part(limit.SettleTime)
+	rates, asks := make(map[uint32]limit.Rate, len(limited)), make(limit.Claims, len(limited))
 	for key, l := range limited {
 		rates[key] = l.Rate
-		asks[key] = limit.Ask{Demand: l.Demand, Offer: part * l.Rate.Bound()}
+		asks[key] = limit.Claim{Demand: l.Demand, Offer: part * l.Rate.Bound()}
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.dir.Part(limit.LeaseTime) == 0 {
+	if x.dir.Part(limit.LeaseDuration) == 0 {
 		clear(rates) // what the process before this one has lent may still be in use
 	}
 	x.rates, x.synced = rates, now
-	x.division.Forget(rates, now)
-	x.division.Own(asks, now)
+	x.division.Prune(rates, now)
+	x.division.SetLocal(asks, now)
 }
 
 // asks is what is asked of another instance for those who ask this one.
 func (x *Exchange) asks(to string) []ask {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return packAsks(x.division.Above(to, x.now()))
+	return packAsks(x.division.Aggregate(to, x.now()))
 }
 
 // granted takes what was lent for what was asked at a moment.
 func (x *Exchange) granted(list []grant, asked time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.division.Take(unpackGrants(list), asked)
+	x.division.AcceptGrants(unpackGrants(list), asked)
 }
 
 // grants lends to an instance what it asks for.
@@ -177,7 +177,7 @@
 // lease gives the pool what this instance itself is lent.
 func (x *Exchange) lease() {
 	x.mu.Lock()
-	leases, endpoints := x.division.OwnLeases(x.rates, x.now()), len(x.rates)
+	leases, endpoints := x.division.LocalLeases(x.rates, x.now()), len(x.rates)
 	x.mu.Unlock()
 	x.pool.SetLeases(leases)
 	perSecond := 0.0
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -17,8 +17,8 @@
 	"github.com/ledgemount/ledgemount/internal/pool"
 )
 
-// KindTell tells what the sender has under way and asks for what all others have.
-const KindTell mesh.Kind = "load.tell"
+// KindReport tells what the sender has under way and asks for what all others have.
+const KindReport mesh.Kind = "load.tell"
 
 // KindZone tells the sum of a zone and asks for that of the answering instance's zone.
 const KindZone mesh.Kind = "load.zone"
@@ -63,18 +63,18 @@
 	at       time.Time
 }
 
-// Rider has something to tell to the same instances, rarely and in few bytes. It travels with the loads: messages of its own would double what
+// Piggyback has something to tell to the same instances, rarely and in few bytes. It travels with the loads: messages of its own would double what
 // the leader of a zone handles.
-type Rider interface {
-	// Tell is what is to be told to an instance now; nil: nothing.
-	Tell(to string) []byte
+type Piggyback interface {
+	// Payload is what is to be told to an instance now; nil: nothing.
+	Payload(to string) []byte
 	// Receive takes what an instance tells.
 	Receive(from string, b []byte)
 }
 
 type noRider struct{}
 
-func (noRider) Tell(string) []byte     { return nil }
+func (noRider) Payload(string) []byte  { return nil }
 func (noRider) Receive(string, []byte) {}
 
 // Exchange is the service that tells and asks.
@@ -82,14 +82,14 @@
 	dir   *peers.Directory
 	pool  *pool.Pool
 	now   func() time.Time
-	rider Rider
+	rider Piggyback
 
 	mu      sync.Mutex
 	members map[string]received // by instance, where this one gathers
 	zones   map[string]received // by zone other than its own, likewise
 	summary summary
 
-	division *limit.Division
+	division *limit.Allocator
 	rates    map[uint32]limit.Rate // of endpoints that name limits, as of synced
 	synced   time.Time             // the last exchange began
 	limits   func(endpoints int, perSecond float64)
@@ -101,8 +101,8 @@
 // WithNow replaces the clock.
 func WithNow(now func() time.Time) Option { return func(x *Exchange) { x.now = now } }
 
-// WithRider lets something else travel with the loads.
-func WithRider(r Rider) Option { return func(x *Exchange) { x.rider = r } }
+// WithPiggyback lets something else travel with the loads.
+func WithPiggyback(r Piggyback) Option { return func(x *Exchange) { x.rider = r } }
 
 // OnLimits sets what is told, with each exchange, how many endpoints name limits, and how many requests a second this instance may send to all of
 // them.
@@ -114,12 +114,12 @@
 func New(dir *peers.Directory, p *pool.Pool, router *mesh.Router, opts ...Option) *Exchange {
 	x := &Exchange{
 		dir: dir, pool: p, now: time.Now, rider: noRider{}, members: make(map[string]received), zones: make(map[string]received),
-		division: limit.NewDivision(), limits: func(int, float64) {},
+		division: limit.NewAllocator(), limits: func(int, float64) {},
 	}
 	for _, opt := range opts {
 		opt(x)
 	}
-	mesh.Handle(router, KindTell, x.tell)
+	mesh.Handle(router, KindReport, x.tell)
 	mesh.Handle(router, KindZone, x.zone)
 	return x
 }
@@ -148,8 +148,8 @@
 	mine := pack(x.own(), x.now())
 	for _, p := range keepers {
 		asked := x.now()
-		mine.Rider, mine.Asks = x.rider.Tell(p.ID), x.asks(p.ID)
-		others, err := peers.Call[digest, digest](ctx, x.dir, p, KindTell, mine)
+		mine.Rider, mine.Asks = x.rider.Payload(p.ID), x.asks(p.ID)
+		others, err := peers.Call[digest, digest](ctx, x.dir, p, KindReport, mine)
 		if err == nil {
 			x.rider.Receive(p.ID, others.Rider)
 			x.granted(others.Grants, asked)
@@ -182,7 +182,7 @@
 	for _, p := range x.dir.Heads() {
 		wg.Go(func() {
 			asked := x.now()
-			mine := digest{Lines: mine.Lines, Leaving: mine.Leaving, Limits: mine.Limits, Rider: x.rider.Tell(p.ID)}
+			mine := digest{Lines: mine.Lines, Leaving: mine.Leaving, Limits: mine.Limits, Rider: x.rider.Payload(p.ID)}
 			if led && p.ID == top {
 				mine.Asks = x.asks(p.ID)
 			}
@@ -258,7 +258,7 @@
 // ride lets the rider hear what came with a digest, and tell with the answer; the answer has what is lent of limits, too.
 func (x *Exchange) ride(from mesh.Peer, d, out digest) digest {
 	x.rider.Receive(from.ID, d.Rider)
-	out.Rider, out.Grants = x.rider.Tell(from.ID), x.grants(from.ID, d.Asks)
+	out.Rider, out.Grants = x.rider.Payload(from.ID), x.grants(from.ID, d.Asks)
 	return out
 }
 
--- a/internal/matrix/chatedge_test.go
+++ b/internal/matrix/chatedge_test.go
@@ -131,8 +131,8 @@
 			other, _ := w.draft(n, "another prompt")
 			So(other.whole, ShouldBeTrue)
 			synctest.Wait()
-			So(strings.Count(n.log.String(), quarantine.EventEnded), ShouldEqual, 3)
-			So(strings.Count(n.log.String(), quarantine.EventHeld), ShouldEqual, 1)
+			So(strings.Count(n.log.String(), quarantine.EventCrash), ShouldEqual, 3)
+			So(strings.Count(n.log.String(), quarantine.EventQuarantined), ShouldEqual, 1)
 		})
 	})
 }
--- a/internal/pool/limits.go
+++ b/internal/pool/limits.go
@@ -8,14 +8,14 @@
 
 // limits is the limit of one run of an endpoint's process, and what this instance may send under it.
 type limits struct {
-	own    limit.Known // as this instance has heard it itself
-	known  limit.Known // as all instances have heard it, as far as this one was told
+	own    limit.State // as this instance has heard it itself
+	known  limit.State // as all instances have heard it, as far as this one was told
 	bucket limit.Bucket
 	active bool // it holds, as of the last look
 }
 
 // Limits is what endpoints have said of their limits, by the same key as Loads.
-type Limits map[uint32]limit.Known
+type Limits map[uint32]limit.State
 
 // Add adds what others have heard.
 func (l Limits) Add(other Limits) {
@@ -32,7 +32,7 @@
 // observeLimit takes the limit that an answer names, or that it names none. The caller holds mu.
 func (l *Pool) observeLimit(s *Lease, r limit.Rate, a Answer) {
 	m := s.member
-	if !r.Named() && (m.announced == nil || !m.announced.limits.active) {
+	if !r.IsSet() && (m.announced == nil || !m.announced.limits.active) {
 		return
 	}
 	x := l.saidBy(m.Endpoint)
@@ -51,13 +51,13 @@
 func (l *Pool) turned(m *member, x *announced, before limit.Rate, h NoticeTaken) {
 	now := l.now()
 	r := x.limits.known.Rate(now)
-	if x.limits.active = r.Named(); x.limits.active && !before.Named() {
+	if x.limits.active = r.IsSet(); x.limits.active && !before.IsSet() {
 		l.limited++
 		l.lend(m, r, now)
 	}
 	switch {
 	case r == before:
-	case r.Named():
+	case r.IsSet():
 		h.Word = Notice{Limit: r}
 		l.onNotice(h)
 	default:
@@ -71,7 +71,7 @@
 		return limit.Rate{}
 	}
 	r := m.announced.limits.known.Rate(now)
-	m.announced.limits.active = r.Named()
+	m.announced.limits.active = r.IsSet()
 	return r
 }
 
@@ -94,7 +94,7 @@
 // allows reports whether an endpoint takes a request of this instance under the limit that it names. The caller holds mu.
 func (l *Pool) allows(m *member, now time.Time) bool {
 	r := m.limit(now)
-	if !r.Named() {
+	if !r.IsSet() {
 		return true
 	}
 	l.lend(m, r, now)
@@ -110,7 +110,7 @@
 
 // takePermit counts a request under the limit of its endpoint; nil if it names none. The caller holds mu.
 func (l *Pool) takePermit(m *member, now time.Time) *limit.Bucket {
-	if !m.limit(now).Named() {
+	if !m.limit(now).IsSet() {
 		return nil
 	}
 	m.announced.limits.bucket.Take(now)
@@ -120,7 +120,7 @@
 // permitted reports whether a request that was picked is counted, where the endpoint names a limit by now. The caller holds mu.
 func (l *Pool) permitted(s *Lease) bool {
 	now := l.now()
-	if s.permit != nil || !s.member.limit(now).Named() {
+	if s.permit != nil || !s.member.limit(now).IsSet() {
 		return true
 	}
 	if !l.allows(s.member, now) {
@@ -140,7 +140,7 @@
 		if !m.good || m.announced == nil {
 			continue
 		}
-		if r := m.limit(now); r.Named() && m.announced.limits.bucket.Draws(r, even, now) {
+		if r := m.limit(now); r.IsSet() && m.announced.limits.bucket.Underused(r, even, now) {
 			return m
 		}
 	}
@@ -150,7 +150,7 @@
 // unsent gives back what was counted for a request that did not leave.
 func (s *Lease) unsent() {
 	if s.permit != nil {
-		s.permit.Give()
+		s.permit.Return()
 		s.permit = nil
 	}
 }
@@ -172,7 +172,7 @@
 	defer l.mu.RUnlock()
 	var out Limits
 	for _, x := range l.announced {
-		if x.limits.own == (limit.Known{}) || x.limits.own.Over(now) {
+		if x.limits.own == (limit.State{}) || x.limits.own.Expired(now) {
 			continue
 		}
 		if out == nil {
@@ -202,7 +202,7 @@
 		return
 	}
 	before := x.limits.known.Rate(l.now())
-	x.wall = max(x.wall, l.wall().Add(-l.now().Sub(told.Named())).UnixMilli())
+	x.wall = max(x.wall, l.wall().Add(-l.now().Sub(told.AnnouncedAt())).UnixMilli())
 	x.limits.known.Merge(told)
 	l.turned(m, x, before, NoticeTaken{Endpoint: m.Endpoint, Told: true, Age: l.now().Sub(m.recordAt)})
 }
@@ -222,7 +222,7 @@
 	var out map[uint32]Limited
 	for _, m := range l.byID {
 		r := m.limit(now)
-		if !r.Named() {
+		if !r.IsSet() {
 			continue
 		}
 		if out == nil {
@@ -241,7 +241,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range l.byID {
-		if lease, ok := byEndpoint[m.key()]; ok && m.limit(now).Named() {
+		if lease, ok := byEndpoint[m.key()]; ok && m.limit(now).IsSet() {
 			m.announced.limits.bucket.Set(lease, m.limit(now), now)
 		}
 	}
--- a/internal/pool/limits_test.go
+++ b/internal/pool/limits_test.go
@@ -110,9 +110,9 @@
 
 			Convey("also where another instance was told before, and tells it", func() {
 				key := runKey(w.record(0, false))
-				w.ObserveLimits(Limits{key: limit.Reported(two.Limit, w.clock.now().Add(-2500*time.Millisecond), time.Time{})})
+				w.ObserveLimits(Limits{key: limit.NewState(two.Limit, w.clock.now().Add(-2500*time.Millisecond), time.Time{})})
 				So(w.taken(time.Second), ShouldEqual, 100)
-				w.ObserveLimits(Limits{key: limit.Reported(two.Limit, w.clock.now(), time.Time{})})
+				w.ObserveLimits(Limits{key: limit.NewState(two.Limit, w.clock.now(), time.Time{})})
 				So(w.taken(time.Second), ShouldBeLessThan, 3)
 			})
 		})
--- a/internal/pressure/conn.go
+++ b/internal/pressure/conn.go
@@ -9,13 +9,13 @@
 // conn counts what a connection carries.
 type conn struct {
 	net.Conn
-	gauge *Gauge
+	gauge *Monitor
 }
 
 var errNoDescriptor = errors.New("the connection has no descriptor")
 
 // Conn counts a connection's bytes.
-func (g *Gauge) Conn(c net.Conn) net.Conn { return &conn{Conn: c, gauge: g} }
+func (g *Monitor) Conn(c net.Conn) net.Conn { return &conn{Conn: c, gauge: g} }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
@@ -43,11 +43,11 @@
 // listener counts what the connections that it takes carry.
 type listener struct {
 	net.Listener
-	gauge *Gauge
+	gauge *Monitor
 }
 
 // Listener counts the bytes of the connections that a listener takes.
-func (g *Gauge) Listener(l net.Listener) net.Listener { return &listener{Listener: l, gauge: g} }
+func (g *Monitor) Listener(l net.Listener) net.Listener { return &listener{Listener: l, gauge: g} }
 
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
--- a/internal/pressure/pressure.go
+++ b/internal/pressure/pressure.go
@@ -14,22 +14,22 @@
 
 // Policy holds the figures by which a link is judged.
 type Policy struct {
-	Window time.Duration // samples older than this say nothing
-	Least  int           // samples within the window that are needed
-	Slow   time.Duration // connections that take longer wait for the link
-	Onset  time.Duration // the link must be crowded for so long before callers are sent away
-	Share  float64       // of the link's bytes from which it is about to be crowded
-	Span   time.Duration // over which bytes are counted
-	Rest   time.Duration // callers are sent away for so long after the link was crowded last, at first
-	Most   time.Duration // the most that Rest grows to, as the link is crowded again soon after
+	Window        time.Duration // samples older than this say nothing
+	MinSamples    int           // samples within the window that are needed
+	SlowDial      time.Duration // connections that take longer wait for the link
+	Onset         time.Duration // the link must be crowded for so long before callers are sent away
+	BusyShare     float64       // of the link's bytes from which it is about to be crowded
+	CountInterval time.Duration // over which bytes are counted
+	HoldTime      time.Duration // callers are sent away for so long after the link was crowded last, at first
+	MaxHoldTime   time.Duration // the most that Rest grows to, as the link is crowded again soon after
 }
 
 // DefaultPolicy suits links on which a connection comes up in a few milliseconds.
 func DefaultPolicy() Policy {
 	return Policy{
-		Window: 700 * time.Millisecond, Least: 3, Slow: 50 * time.Millisecond, Onset: 250 * time.Millisecond,
-		Share: 0.55, Span: 500 * time.Millisecond,
-		Rest: 20 * time.Second, Most: 60 * time.Second,
+		Window: 700 * time.Millisecond, MinSamples: 3, SlowDial: 50 * time.Millisecond, Onset: 250 * time.Millisecond,
+		BusyShare: 0.55, CountInterval: 500 * time.Millisecond,
+		HoldTime: 20 * time.Second, MaxHoldTime: 60 * time.Second,
 	}
 }
 
@@ -44,8 +44,8 @@
 	in, out int64
 }
 
-// Gauge watches one instance's link.
-type Gauge struct {
+// Monitor watches one instance's link.
+type Monitor struct {
 	policy Policy
 	now    func() time.Time
 	link   float64 // bytes a second each way; 0: not known
@@ -64,34 +64,34 @@
 }
 
 // Option changes a Gauge.
-type Option func(*Gauge)
+type Option func(*Monitor)
 
 // WithPolicy replaces the figures.
-func WithPolicy(p Policy) Option { return func(g *Gauge) { g.policy = p } }
+func WithPolicy(p Policy) Option { return func(g *Monitor) { g.policy = p } }
 
 // WithNow replaces the clock.
-func WithNow(now func() time.Time) Option { return func(g *Gauge) { g.now = now } }
+func WithNow(now func() time.Time) Option { return func(g *Monitor) { g.now = now } }
 
 // WithLink sets what the link carries each way, in megabits a second.
 func WithLink(mbps float64) Option {
 	const bytesPerMegabit = 1e6 / 8
-	return func(g *Gauge) { g.link = mbps * bytesPerMegabit }
+	return func(g *Monitor) { g.link = mbps * bytesPerMegabit }
 }
 
 // OnChange sets what is told when the instance begins and ends to send callers away.
-func OnChange(f func(away bool)) Option { return func(g *Gauge) { g.changed = f } }
+func OnChange(f func(away bool)) Option { return func(g *Monitor) { g.changed = f } }
 
 // New makes a gauge of a calm link.
-func New(opts ...Option) *Gauge {
-	g := &Gauge{policy: DefaultPolicy(), now: time.Now, changed: func(bool) {}}
+func New(opts ...Option) *Monitor {
+	g := &Monitor{policy: DefaultPolicy(), now: time.Now, changed: func(bool) {}}
 	for _, opt := range opts {
 		opt(g)
 	}
 	return g
 }
 
-// Dialed takes the time that one connection took to come up, or to be given up.
-func (g *Gauge) Dialed(took time.Duration) {
+// ObserveDial takes the time that one connection took to come up, or to be given up.
+func (g *Monitor) ObserveDial(took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
@@ -99,8 +99,8 @@
 	g.judge(now)
 }
 
-// Away reports whether callers are to be sent to other instances.
-func (g *Gauge) Away() bool {
+// Diverting reports whether callers are to be sent to other instances.
+func (g *Monitor) Diverting() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
@@ -108,8 +108,8 @@
 	return g.away
 }
 
-// Crowded reports whether the link is crowded now.
-func (g *Gauge) Crowded() bool {
+// Congested reports whether the link is crowded now.
+func (g *Monitor) Congested() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
@@ -118,7 +118,7 @@
 }
 
 // judge brings the verdict up to date. The caller holds mu.
-func (g *Gauge) judge(now time.Time) {
+func (g *Monitor) judge(now time.Time) {
 	g.weigh(now)
 	crowded := g.crowded(now)
 	switch {
@@ -137,29 +137,29 @@
 }
 
 // weigh holds the bytes of the last span against the link. The caller holds mu.
-func (g *Gauge) weigh(now time.Time) {
+func (g *Monitor) weigh(now time.Time) {
 	span := now.Sub(g.mark.at)
-	if g.link <= 0 || span < g.policy.Span {
+	if g.link <= 0 || span < g.policy.CountInterval {
 		return
 	}
 	next := mark{at: now, in: g.in.Load(), out: g.out.Load()}
 	carried := max(next.in-g.mark.in, next.out-g.mark.out)
-	g.busy = !g.mark.at.IsZero() && float64(carried) > g.policy.Share*g.link*span.Seconds()
+	g.busy = !g.mark.at.IsZero() && float64(carried) > g.policy.BusyShare*g.link*span.Seconds()
 	g.mark = next
 }
 
 // extend sends callers away from now on. The caller holds mu.
-func (g *Gauge) extend(now time.Time) {
+func (g *Monitor) extend(now time.Time) {
 	if !now.Before(g.until) {
-		g.rest = max(g.policy.Rest, min(2*g.rest, g.policy.Most))
+		g.rest = max(g.policy.HoldTime, min(2*g.rest, g.policy.MaxHoldTime))
 	}
 	g.until = now.Add(g.rest)
 }
 
 // crowded reports whether even the fastest of the last connections waited for the link. The caller holds mu.
-func (g *Gauge) crowded(now time.Time) bool {
+func (g *Monitor) crowded(now time.Time) bool {
 	kept := g.samples[:0]
-	fastest := g.policy.Slow
+	fastest := g.policy.SlowDial
 	for _, s := range g.samples {
 		if now.Sub(s.at) > g.policy.Window {
 			continue
@@ -168,5 +168,5 @@
 		fastest = min(fastest, s.took)
 	}
 	g.samples = kept
-	return len(kept) >= g.policy.Least && fastest >= g.policy.Slow
+	return len(kept) >= g.policy.MinSamples && fastest >= g.policy.SlowDial
 }
--- a/internal/pressure/pressure_test.go
+++ b/internal/pressure/pressure_test.go
@@ -21,77 +21,77 @@
 		// carry lets some spans pass in which the link carries a share of what it can.
 		carry := func(spans int, share float64) {
 			for range spans {
-				pass(p.Span)
-				g.in.Add(int64(share * 1e6 * p.Span.Seconds()))
-				g.Away()
+				pass(p.CountInterval)
+				g.in.Add(int64(share * 1e6 * p.CountInterval.Seconds()))
+				g.Diverting()
 			}
 		}
 		carry(1, 0)
 
 		Convey("is calm while connections come up fast and little is carried", func() {
 			for range 20 {
-				g.Dialed(time.Millisecond)
-				carry(1, p.Share/2)
+				g.ObserveDial(time.Millisecond)
+				carry(1, p.BusyShare/2)
 			}
-			So(g.Away(), ShouldBeFalse)
+			So(g.Diverting(), ShouldBeFalse)
 			So(told, ShouldBeEmpty)
 		})
 
 		Convey("sends callers away before the link is full, and takes them again after a rest", func() {
-			carry(1, 1.1*p.Share)
-			So(g.Away(), ShouldBeTrue)
-			pass(p.Rest - p.Span)
+			carry(1, 1.1*p.BusyShare)
+			So(g.Diverting(), ShouldBeTrue)
+			pass(p.HoldTime - p.CountInterval)
 			carry(1, 0)
-			So(g.Away(), ShouldBeFalse)
+			So(g.Diverting(), ShouldBeFalse)
 			So(told, ShouldResemble, []bool{true, false})
 
 			Convey("for longer where that fills it again", func() {
-				carry(1, 1.1*p.Share)
-				pass(p.Rest + time.Second)
-				So(g.Away(), ShouldBeTrue)
-				pass(p.Rest)
-				So(g.Away(), ShouldBeFalse)
+				carry(1, 1.1*p.BusyShare)
+				pass(p.HoldTime + time.Second)
+				So(g.Diverting(), ShouldBeTrue)
+				pass(p.HoldTime)
+				So(g.Diverting(), ShouldBeFalse)
 			})
 		})
 
 		Convey("takes one fast connection among slow ones for a calm link", func() {
 			for range 10 {
 				pass(p.Onset / 4)
-				g.Dialed(300 * time.Millisecond)
-				g.Dialed(300 * time.Millisecond)
-				g.Dialed(p.Slow - 1)
+				g.ObserveDial(300 * time.Millisecond)
+				g.ObserveDial(300 * time.Millisecond)
+				g.ObserveDial(p.SlowDial - 1)
 			}
-			So(g.Away(), ShouldBeFalse)
-			So(g.Crowded(), ShouldBeFalse)
+			So(g.Diverting(), ShouldBeFalse)
+			So(g.Congested(), ShouldBeFalse)
 		})
 
 		Convey("sends callers away when even the fastest connections are slow for a while", func() {
-			for range p.Least {
-				g.Dialed(p.Slow)
+			for range p.MinSamples {
+				g.ObserveDial(p.SlowDial)
 			}
-			So(g.Crowded(), ShouldBeTrue)
-			So(g.Away(), ShouldBeFalse)
+			So(g.Congested(), ShouldBeTrue)
+			So(g.Diverting(), ShouldBeFalse)
 			pass(p.Onset)
-			g.Dialed(p.Slow)
-			So(g.Away(), ShouldBeTrue)
+			g.ObserveDial(p.SlowDial)
+			So(g.Diverting(), ShouldBeTrue)
 		})
 
 		Convey("forgets old connections", func() {
-			for range p.Least {
-				g.Dialed(p.Slow)
+			for range p.MinSamples {
+				g.ObserveDial(p.SlowDial)
 			}
 			pass(p.Window + 1)
-			So(g.Crowded(), ShouldBeFalse)
+			So(g.Congested(), ShouldBeFalse)
 		})
 	})
 
 	Convey("A link whose size is not known is judged by its connections alone", t, func() {
 		now := time.Unix(1000, 0)
 		g := New(WithNow(func() time.Time { return now }))
-		g.Away()
+		g.Diverting()
 		now = now.Add(time.Second)
 		g.out.Add(1 << 40)
-		So(g.Away(), ShouldBeFalse)
+		So(g.Diverting(), ShouldBeFalse)
 	})
 }
 
--- a/internal/quarantine/fuzz_test.go
+++ b/internal/quarantine/fuzz_test.go
@@ -10,7 +10,7 @@
 // FuzzTold looks for messages of other instances, and values of the store, that stop the process or are taken although they cannot be right.
 func FuzzTold(f *testing.F) {
 	m := New()
-	m.Ended(crashing, "north", End{Run: "e-0", Began: time.Now().Add(-time.Second), Ended: time.Now()})
+	m.RecordCrash(crashing, "north", Crash{Run: "e-0", Began: time.Now().Add(-time.Second), Ended: time.Now()})
 	if raw, err := m.packAll(time.Now()); err == nil {
 		f.Add(raw)
 	}
--- a/internal/quarantine/memory.go
+++ b/internal/quarantine/memory.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// End is one run of a request that the process of its endpoint did not outlive.
-type End struct {
-	Run    string // names one run of the endpoint's process
-	Began  time.Time
-	Ended  time.Time
-	Events bool // the run had passed events on
+// Crash is one run of a request that the process of its endpoint did not outlive.
+type Crash struct {
+	Run      string // names one run of the endpoint's process
+	Began    time.Time
+	Ended    time.Time
+	Streamed bool // the run had passed events on
 }
 
 // What ends weigh. A request that three endpoints in a row did not outlive from its first token on is kept back at the third end; one whose
@@ -35,11 +35,11 @@
 	// clockSlack is by how much moments reported by other instances may be off: the time that a message takes.
 	clockSlack = 20 * time.Millisecond
 
-	// DefaultLife is how long a request is kept back after its last end, before it is tried again once. Endpoints with a fault in their
+	// DefaultDuration is how long a request is kept back after its last end, before it is tried again once. Endpoints with a fault in their
 	// software are replaced in minutes; each try that fails ends one more.
-	DefaultLife = 10 * time.Minute
-	oldLives    = 3 // after so many without a word it counts as new
-	mostLonger  = 3 // times that the life doubles, once for each such try that ended its endpoint
+	DefaultDuration = 10 * time.Minute
+	oldLives        = 3 // after so many without a word it counts as new
+	mostLonger      = 3 // times that the life doubles, once for each such try that ended its endpoint
 
 	mostRecords  = 4096 // some 300 bytes each
 	mostCustomer = 512  // of one customer: many different requests of one do not drive out those of others
@@ -52,7 +52,7 @@
 	customer string
 	// gen counts the runs that ended well after a suspicion: what was known before them is void
 	gen    uint32
-	ends   []End // in the order in which they ended
+	ends   []Crash // in the order in which they ended
 	held   time.Time
 	probes int // tries after a life that ended their endpoints
 	at     time.Time
@@ -67,7 +67,7 @@
 	var last time.Time
 	for _, e := range r.ends {
 		w := endWeight
-		if e.Events {
+		if e.Streamed {
 			w = eventsWeight
 		}
 		if last.IsZero() || e.Began.After(last.Add(-clockSlack)) {
@@ -83,7 +83,7 @@
 func (r *record) suspected() bool { return len(r.ends) > 0 || !r.held.IsZero() }
 
 // note adds an end that is not known yet; false if it is. One end may be seen by several instances.
-func (r *record) note(e End, same time.Duration) bool {
+func (r *record) note(e Crash, same time.Duration) bool {
 	for _, known := range r.ends {
 		if known.Run == e.Run && e.Ended.Sub(known.Ended).Abs() < same {
 			return false
@@ -93,7 +93,7 @@
 		return false
 	}
 	r.ends = append(r.ends, e)
-	slices.SortFunc(r.ends, func(a, b End) int { return a.Ended.Compare(b.Ended) })
+	slices.SortFunc(r.ends, func(a, b Crash) int { return a.Ended.Compare(b.Ended) })
 	return true
 }
 
@@ -109,15 +109,15 @@
 
 // Change reports that a request is kept back from now on, or not any more.
 type Change struct {
-	Digest   Digest
-	Customer string
-	Held     bool
-	Ends     []End
-	Own      bool // it was decided here, and not told
+	Digest      Digest
+	Customer    string
+	Quarantined bool
+	Crashes     []Crash
+	Local       bool // it was decided here, and not told
 }
 
-// Memory remembers ends and decides. It does no I/O. All its methods may be called at once.
-type Memory struct {
+// Tracker remembers ends and decides. It does no I/O. All its methods may be called at once.
+type Tracker struct {
 	now     func() time.Time
 	life    time.Duration
 	prober  func(Digest) bool
@@ -133,28 +133,28 @@
 }
 
 // Option changes a Memory.
-type Option func(*Memory)
+type Option func(*Tracker)
 
 // WithNow replaces the clock.
-func WithNow(now func() time.Time) Option { return func(m *Memory) { m.now = now } }
+func WithNow(now func() time.Time) Option { return func(m *Tracker) { m.now = now } }
 
-// WithLife sets how long a request is kept back.
-func WithLife(d time.Duration) Option { return func(m *Memory) { m.life = d } }
+// WithDuration sets how long a request is kept back.
+func WithDuration(d time.Duration) Option { return func(m *Tracker) { m.life = d } }
 
 // WithProber sets what reports whether this instance is the one that tries a request again once its life is over. Where none does for another
 // life, all may.
-func WithProber(f func(Digest) bool) Option { return func(m *Memory) { m.prober = f } }
+func WithProber(f func(Digest) bool) Option { return func(m *Tracker) { m.prober = f } }
 
 // OnChange sets what is told when a request is kept back or is not any more.
-func OnChange(f func(Change)) Option { return func(m *Memory) { m.changed = f } }
+func OnChange(f func(Change)) Option { return func(m *Tracker) { m.changed = f } }
 
-// OnNews sets what is called when something was seen here that others are to know.
-func OnNews(f func()) Option { return func(m *Memory) { m.news = f } }
+// OnUpdate sets what is called when something was seen here that others are to know.
+func OnUpdate(f func()) Option { return func(m *Tracker) { m.news = f } }
 
 // New makes an empty memory.
-func New(opts ...Option) *Memory {
-	m := &Memory{
-		now: time.Now, life: DefaultLife, prober: func(Digest) bool { return true }, changed: func(Change) {}, news: func() {},
+func New(opts ...Option) *Tracker {
+	m := &Tracker{
+		now: time.Now, life: DefaultDuration, prober: func(Digest) bool { return true }, changed: func(Change) {}, news: func() {},
 		records: make(map[Digest]*record), customers: make(map[string]int),
 	}
 	for _, opt := range opts {
@@ -164,7 +164,7 @@
 }
 
 // Suspects reports whether any request of a customer is under suspicion. It costs one atomic read where none is.
-func (m *Memory) Suspects(customer string) bool {
+func (m *Tracker) Suspects(customer string) bool {
 	if m.active.Load() == 0 {
 		return false
 	}
@@ -174,7 +174,7 @@
 }
 
 // Enter decides on a request that comes, and when its caller may come back if it does not run. Leave ends what runs.
-func (m *Memory) Enter(p Digest) (Decision, time.Duration) {
+func (m *Tracker) Enter(p Digest) (Decision, time.Duration) {
 	now := m.now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -196,7 +196,7 @@
 }
 
 // Leave ends a run that Enter has let in.
-func (m *Memory) Leave(p Digest) {
+func (m *Tracker) Leave(p Digest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if r := m.records[p]; r != nil && r.open > 0 {
@@ -204,24 +204,24 @@
 	}
 }
 
-// Held reports whether a request is kept back by now, though it was let in before.
-func (m *Memory) Held(p Digest) bool {
+// Quarantined reports whether a request is kept back by now, though it was let in before.
+func (m *Tracker) Quarantined(p Digest) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := m.records[p]
 	return r != nil && !r.held.IsZero() && m.now().Before(r.held.Add(m.lifeOf(r)))
 }
 
-// Lone reports whether only its caller may send a request again.
-func (m *Memory) Lone(p Digest) bool {
+// NoRetry reports whether only its caller may send a request again.
+func (m *Tracker) NoRetry(p Digest) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r := m.records[p]
 	return r != nil && (!r.held.IsZero() || r.weight() >= loneFrom)
 }
 
-// Ended takes an end that was seen here.
-func (m *Memory) Ended(p Digest, customer string, e End) {
+// RecordCrash takes an end that was seen here.
+func (m *Tracker) RecordCrash(p Digest, customer string, e Crash) {
 	now := m.now()
 	m.mu.Lock()
 	r := m.of(p, customer, now)
@@ -239,8 +239,8 @@
 	m.news()
 }
 
-// Well takes a run that ended well: what was known of the request before is void, everywhere.
-func (m *Memory) Well(p Digest) {
+// RecordSuccess takes a run that ended well: what was known of the request before is void, everywhere.
+func (m *Tracker) RecordSuccess(p Digest) {
 	now := m.now()
 	m.mu.Lock()
 	r := m.records[p]
@@ -255,17 +255,17 @@
 	m.news()
 }
 
-func (m *Memory) tell(c *Change) {
+func (m *Tracker) tell(c *Change) {
 	if c != nil {
 		m.changed(*c)
 	}
 }
 
 // lifeOf is how long a request is kept back. The caller holds mu.
-func (m *Memory) lifeOf(r *record) time.Duration { return m.life << min(r.probes, mostLonger) }
+func (m *Tracker) lifeOf(r *record) time.Duration { return m.life << min(r.probes, mostLonger) }
 
 // current finds a record, unless all it says is old. The caller holds mu.
-func (m *Memory) current(p Digest, now time.Time) *record {
+func (m *Tracker) current(p Digest, now time.Time) *record {
 	r := m.records[p]
 	if r != nil && m.old(r, now) {
 		m.drop(r)
@@ -275,10 +275,10 @@
 }
 
 // old reports whether nothing was heard of a request for so long that it counts as new. The caller holds mu.
-func (m *Memory) old(r *record, now time.Time) bool { return now.Sub(r.at) > oldLives*m.lifeOf(r) }
+func (m *Tracker) old(r *record, now time.Time) bool { return now.Sub(r.at) > oldLives*m.lifeOf(r) }
 
 // of finds or makes a record. The caller holds mu.
-func (m *Memory) of(p Digest, customer string, now time.Time) *record {
+func (m *Tracker) of(p Digest, customer string, now time.Time) *record {
 	if r := m.current(p, now); r != nil {
 		return r
 	}
@@ -290,7 +290,7 @@
 
 // makeRoom drops the record that was heard of least lately: of the customer if it has too many, else of all. Those of requests that are kept
 // back go last. The caller holds mu.
-func (m *Memory) makeRoom(customer string) {
+func (m *Tracker) makeRoom(customer string) {
 	ofCustomer := m.customers[customer] >= mostCustomer
 	if !ofCustomer && len(m.records) < mostRecords {
 		return
@@ -318,19 +318,19 @@
 }
 
 // drop forgets a record. The caller holds mu.
-func (m *Memory) drop(r *record) {
+func (m *Tracker) drop(r *record) {
 	m.count(r, r.suspected(), false)
 	delete(m.records, r.digest)
 }
 
 // touch notes that a record has changed, for those that are told. The caller holds mu.
-func (m *Memory) touch(r *record, now time.Time) {
+func (m *Tracker) touch(r *record, now time.Time) {
 	m.seq++
 	r.seq, r.at, r.from = m.seq, now, ""
 }
 
 // count keeps the numbers of requests under suspicion. The caller holds mu.
-func (m *Memory) count(r *record, before, after bool) {
+func (m *Tracker) count(r *record, before, after bool) {
 	switch {
 	case after && !before:
 		m.active.Add(1)
@@ -344,23 +344,23 @@
 }
 
 // judge takes that a record has more ends: the request is kept back if they weigh enough. The caller holds mu and has added to ends only.
-func (m *Memory) judge(r *record, now time.Time, own bool) *Change {
+func (m *Tracker) judge(r *record, now time.Time, own bool) *Change {
 	m.count(r, len(r.ends) > 1 || !r.held.IsZero(), true)
 	m.touch(r, now)
 	if !r.held.IsZero() || r.weight() < heldFrom {
 		return nil
 	}
 	r.held = now
-	return &Change{Digest: r.digest, Customer: r.customer, Held: true, Ends: slices.Clone(r.ends), Own: own}
+	return &Change{Digest: r.digest, Customer: r.customer, Quarantined: true, Crashes: slices.Clone(r.ends), Local: own}
 }
 
 // void forgets what a record says and goes on to a later generation. The caller holds mu.
-func (m *Memory) void(r *record, gen uint32, own bool) *Change {
+func (m *Tracker) void(r *record, gen uint32, own bool) *Change {
 	wasHeld := !r.held.IsZero()
 	m.count(r, r.suspected(), false)
 	r.gen, r.ends, r.held, r.probes = gen, nil, time.Time{}, 0
 	if !wasHeld {
 		return nil
 	}
-	return &Change{Digest: r.digest, Customer: r.customer, Own: own}
+	return &Change{Digest: r.digest, Customer: r.customer, Local: own}
 }
--- a/internal/quarantine/memory_test.go
+++ b/internal/quarantine/memory_test.go
@@ -11,7 +11,7 @@
 
 // bed is a memory with a clock of the test's own.
 type bed struct {
-	*Memory
+	*Tracker
 	now     time.Time
 	changes []Change
 	probes  bool
@@ -19,7 +19,7 @@
 
 func newBed() *bed {
 	b := &bed{now: time.Unix(1_000_000, 0)}
-	b.Memory = New(WithNow(func() time.Time { return b.now }), OnChange(func(c Change) { b.changes = append(b.changes, c) }),
+	b.Tracker = New(WithNow(func() time.Time { return b.now }), OnChange(func(c Change) { b.changes = append(b.changes, c) }),
 		WithProber(func(Digest) bool { return b.probes }))
 	return b
 }
@@ -30,7 +30,7 @@
 func (b *bed) end(endpoint string, events bool) {
 	began := b.now
 	b.now = b.now.Add(80 * time.Millisecond)
-	b.Ended(crashing, "north", End{Run: endpoint, Began: began, Ended: b.now, Events: events})
+	b.RecordCrash(crashing, "north", Crash{Run: endpoint, Began: began, Ended: b.now, Streamed: events})
 	b.now = b.now.Add(300 * time.Millisecond)
 }
 
@@ -75,18 +75,18 @@
 			}
 			b.end("e-2", false)
 			So(b.enter(), ShouldEqual, Refuse)
-			So(b.Held(crashing), ShouldBeTrue)
+			So(b.Quarantined(crashing), ShouldBeTrue)
 			So(b.Suspects("north"), ShouldBeTrue)
 			So(b.Suspects("south"), ShouldBeFalse)
 			d, _ := b.Enter(Of("north", "POST", "api.example", "/draft/x", []byte("fine")))
 			So(d, ShouldEqual, Run)
 			So(len(b.changes), ShouldEqual, 1)
-			So(b.changes[0].Held && b.changes[0].Own && len(b.changes[0].Ends) == 3, ShouldBeTrue)
+			So(b.changes[0].Quarantined && b.changes[0].Local && len(b.changes[0].Crashes) == 3, ShouldBeTrue)
 		})
 
 		Convey("counts an end that several saw once, and the next end of an endpoint that was back under the same name", func() {
 			b.end("e-0", false)
-			b.Ended(crashing, "north", End{Run: "e-0", Began: b.now.Add(-400 * time.Millisecond), Ended: b.now.Add(-250 * time.Millisecond)})
+			b.RecordCrash(crashing, "north", Crash{Run: "e-0", Began: b.now.Add(-400 * time.Millisecond), Ended: b.now.Add(-250 * time.Millisecond)})
 			b.end("e-1", false)
 			So(b.enter(), ShouldEqual, Run)
 			b.now = b.now.Add(2 * time.Second)
@@ -98,7 +98,7 @@
 			began := b.now
 			b.now = b.now.Add(100 * time.Millisecond)
 			for i := range 12 {
-				b.Ended(crashing, "north", End{Run: fmt.Sprintf("e-%d", i), Began: began, Ended: b.now})
+				b.RecordCrash(crashing, "north", Crash{Run: fmt.Sprintf("e-%d", i), Began: began, Ended: b.now})
 			}
 			So(b.enter(), ShouldEqual, Run)
 		})
@@ -114,9 +114,9 @@
 
 		Convey("lets a request run once at a time, and only its caller send it again, after two ends", func() {
 			b.end("e-0", false)
-			So(b.Lone(crashing), ShouldBeFalse)
+			So(b.NoRetry(crashing), ShouldBeFalse)
 			b.end("e-1", false)
-			So(b.Lone(crashing), ShouldBeTrue)
+			So(b.NoRetry(crashing), ShouldBeTrue)
 			d, _ := b.Enter(crashing)
 			So(d, ShouldEqual, Run)
 			So(b.enter(), ShouldEqual, Wait)
@@ -128,10 +128,10 @@
 			for i := range 3 {
 				b.end(fmt.Sprintf("e-%d", i), false)
 			}
-			b.Well(crashing)
+			b.RecordSuccess(crashing)
 			So(b.enter(), ShouldEqual, Run)
 			So(b.Suspects("north"), ShouldBeFalse)
-			So(b.changes[1].Held, ShouldBeFalse)
+			So(b.changes[1].Quarantined, ShouldBeFalse)
 			b.end("e-9", false)
 			So(b.enter(), ShouldEqual, Run)
 		})
@@ -140,7 +140,7 @@
 			for i := range 3 {
 				b.end(fmt.Sprintf("e-%d", i), false)
 			}
-			b.now = b.now.Add(DefaultLife + time.Second)
+			b.now = b.now.Add(DefaultDuration + time.Second)
 			So(b.enter(), ShouldEqual, Refuse)
 			b.probes = true
 			d, _ := b.Enter(crashing)
@@ -149,9 +149,9 @@
 			b.end("e-3", false)
 			b.Leave(crashing)
 			So(b.enter(), ShouldEqual, Refuse)
-			b.now = b.now.Add(DefaultLife + time.Second)
+			b.now = b.now.Add(DefaultDuration + time.Second)
 			So(b.enter(), ShouldEqual, Refuse)
-			b.now = b.now.Add(DefaultLife)
+			b.now = b.now.Add(DefaultDuration)
 			So(b.enter(), ShouldEqual, Run)
 		})
 
@@ -161,7 +161,7 @@
 			}
 			for i := range 3 * mostRecords {
 				customer := []string{"north", "south"}[i%2]
-				b.Ended(Of(customer, "POST", "h", fmt.Sprintf("/%d", i), nil), customer, End{Run: fmt.Sprintf("x-%d", i), Began: b.now, Ended: b.now})
+				b.RecordCrash(Of(customer, "POST", "h", fmt.Sprintf("/%d", i), nil), customer, Crash{Run: fmt.Sprintf("x-%d", i), Began: b.now, Ended: b.now})
 			}
 			So(b.customers["north"], ShouldBeLessThanOrEqualTo, mostCustomer)
 			So(len(b.records), ShouldBeLessThanOrEqualTo, mostRecords)
@@ -175,7 +175,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const members = 3
 		now := time.Unix(1_000_000, 0)
-		var list [members]*Memory
+		var list [members]*Tracker
 		for i := range list {
 			list[i] = New(WithNow(func() time.Time { return now }))
 		}
@@ -185,13 +185,13 @@
 			m := list[rapid.IntRange(0, members-1).Draw(t, "member")]
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				m.Ended(crashing, "north", End{
+				m.RecordCrash(crashing, "north", Crash{
 					Run: fmt.Sprintf("e-%d", rapid.IntRange(0, 4).Draw(t, "endpoint")), Began: now.Add(-80 * time.Millisecond), Ended: now,
-					Events: rapid.Bool().Draw(t, "events"),
+					Streamed: rapid.Bool().Draw(t, "events"),
 				})
 			case 2:
 				if rapid.IntRange(0, 3).Draw(t, "well") == 0 {
-					m.Well(crashing)
+					m.RecordSuccess(crashing)
 				}
 			case 3:
 				records, _ := m.since(0, "")
@@ -212,7 +212,7 @@
 			}
 		}
 		for _, m := range list[1:] {
-			if a, b := list[0].Held(crashing), m.Held(crashing); a != b {
+			if a, b := list[0].Quarantined(crashing), m.Quarantined(crashing); a != b {
 				t.Fatalf("kept back: %v and %v", a, b)
 			}
 			if a, b := list[0].Suspects("north"), m.Suspects("north"); a != b {
@@ -250,7 +250,7 @@
 			m.Suspects("north")
 		}
 	})
-	m.Ended(crashing, "north", End{Run: "e-0", Began: time.Now(), Ended: time.Now()})
+	m.RecordCrash(crashing, "north", Crash{Run: "e-0", Began: time.Now(), Ended: time.Now()})
 	b.Run("others", func(b *testing.B) {
 		for b.Loop() {
 			m.Suspects("south")
--- a/internal/quarantine/report.go
+++ b/internal/quarantine/report.go
@@ -41,7 +41,7 @@
 	}
 	for _, e := range r.ends {
 		t.Ends = append(t.Ends, reportedEnd{
-			Run: e.Run, BeganMs: now.Sub(e.Began).Milliseconds(), EndedMs: now.Sub(e.Ended).Milliseconds(), Events: e.Events,
+			Run: e.Run, BeganMs: now.Sub(e.Began).Milliseconds(), EndedMs: now.Sub(e.Ended).Milliseconds(), Events: e.Streamed,
 		})
 	}
 	return t
@@ -62,7 +62,7 @@
 
 // learn takes a record that was told; age is how long ago it was written down, same how far apart moments of one end may be.
 // from is the instance that told it; empty: the store has it. news reports whether it told of a run that ended well.
-func (m *Memory) learn(t report, from string, age, same time.Duration) (news bool) {
+func (m *Tracker) learn(t report, from string, age, same time.Duration) (news bool) {
 	if !t.valid() {
 		return false
 	}
@@ -90,12 +90,12 @@
 }
 
 // join adds what was told of the same generation. at is the moment as of which it was told. The caller holds mu.
-func (m *Memory) join(r *record, t report, at, now time.Time, same time.Duration) *Change {
+func (m *Tracker) join(r *record, t report, at, now time.Time, same time.Duration) *Change {
 	before, added := r.suspected(), false
 	for _, e := range t.Ends {
-		added = r.note(End{
+		added = r.note(Crash{
 			Run: e.Run, Began: at.Add(-time.Duration(e.BeganMs) * time.Millisecond), Ended: at.Add(-time.Duration(e.EndedMs) * time.Millisecond),
-			Events: e.Events,
+			Streamed: e.Events,
 		}, same) || added
 	}
 	wasHeld := !r.held.IsZero()
@@ -113,18 +113,18 @@
 	if wasHeld || r.held.IsZero() {
 		return nil
 	}
-	return &Change{Digest: r.digest, Customer: r.customer, Held: true, Ends: slices.Clone(r.ends), Own: !t.Held}
+	return &Change{Digest: r.digest, Customer: r.customer, Quarantined: true, Crashes: slices.Clone(r.ends), Local: !t.Held}
 }
 
 // last is the number of the last change.
-func (m *Memory) last() uint64 {
+func (m *Tracker) last() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.seq
 }
 
 // restarted takes that an instance has started: it does not know any more what it told.
-func (m *Memory) restarted(id string) {
+func (m *Tracker) restarted(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, r := range m.records {
@@ -136,7 +136,7 @@
 
 // since packs the records that have changed after a number, the first to change first, and the number that they lead to. What the instance that
 // is told has told itself is left out: each member of a zone would send its leader all that it had heard from it.
-func (m *Memory) since(seq uint64, to string) ([]report, uint64) {
+func (m *Tracker) since(seq uint64, to string) ([]report, uint64) {
 	now := m.now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -165,14 +165,14 @@
 }
 
 // any reports whether anything is known.
-func (m *Memory) any() bool {
+func (m *Tracker) any() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.records) > 0
 }
 
 // packAll packs what is worth outliving all instances: requests that are kept back first, then those with the latest ends.
-func (m *Memory) packAll(wall time.Time) ([]byte, error) {
+func (m *Tracker) packAll(wall time.Time) ([]byte, error) {
 	now := m.now()
 	m.mu.Lock()
 	list := make([]*record, 0, len(m.records))
@@ -198,7 +198,7 @@
 
 // learnAll takes what the store has. The time of day may step by seconds, so moments of one end may be far apart there; an age beyond a life
 // or below zero is none.
-func (m *Memory) learnAll(raw []byte, wall time.Time) error {
+func (m *Tracker) learnAll(raw []byte, wall time.Time) error {
 	var t together
 	if err := cbor.Unmarshal(raw, &t); err != nil {
 		return eris.Wrap(err, "decoding requests that are kept back")
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -15,8 +15,8 @@
 	"github.com/ledgemount/ledgemount/internal/peers"
 )
 
-// KindTell tells what has changed and asks for the same.
-const KindTell mesh.Kind = "quarantine.tell"
+// KindUpdate tells what has changed and asks for the same.
+const KindUpdate mesh.Kind = "quarantine.tell"
 
 // storeKey is where the fleet keeps what is to outlive all its instances, under its prefix.
 const storeKey = "quarantine"
@@ -45,9 +45,9 @@
 	has     uint64 // our last Seq that it has acknowledged
 }
 
-// Share is the service that lets the instances of a fleet know what each has seen.
-type Share struct {
-	memory *Memory
+// Replicator is the service that lets the instances of a fleet know what each has seen.
+type Replicator struct {
+	memory *Tracker
 	dir    *peers.Directory
 	store  external.KV
 	key    string
@@ -61,30 +61,32 @@
 	restored bool // the store was, and what is known here may be lost there
 }
 
-// ShareOption changes a Share.
-type ShareOption func(*Share)
+// ReplicatorOption changes a Share.
+type ReplicatorOption func(*Replicator)
 
 // WithLogger sets the logger.
-func WithLogger(log zerolog.Logger) ShareOption { return func(s *Share) { s.log = log } }
+func WithLogger(log zerolog.Logger) ReplicatorOption { return func(s *Replicator) { s.log = log } }
 
-// WithWall replaces the time of day.
-func WithWall(wall func() time.Time) ShareOption { return func(s *Share) { s.wall = wall } }
+// WithWallClock replaces the time of day.
+func WithWallClock(wall func() time.Time) ReplicatorOption {
+	return func(s *Replicator) { s.wall = wall }
+}
 
 // WithEpochs sets what knows the store's epoch: after a restoration what is known here is written again.
-func WithEpochs(e *external.Epochs) ShareOption {
-	return func(s *Share) { e.OnRestored(s.restoredStore) }
+func WithEpochs(e *external.Epochs) ReplicatorOption {
+	return func(s *Replicator) { e.OnRestored(s.restoredStore) }
 }
 
-// NewShare makes a share. Its record in the store lies under prefix.
-func NewShare(m *Memory, dir *peers.Directory, store external.KV, prefix string, router *mesh.Router, opts ...ShareOption) *Share {
-	s := &Share{
+// NewReplicator makes a share. Its record in the store lies under prefix.
+func NewReplicator(m *Tracker, dir *peers.Directory, store external.KV, prefix string, router *mesh.Router, opts ...ReplicatorOption) *Replicator {
+	s := &Replicator{
 		memory: m, dir: dir, store: store, key: prefix + storeKey, wall: time.Now, log: zerolog.Nop(),
 		kick: make(chan struct{}, 1), partners: make(map[string]*partner),
 	}
 	for _, opt := range opts {
 		opt(s)
 	}
-	mesh.Handle(router, KindTell, func(_ context.Context, from mesh.Peer, n news) (news, error) {
+	mesh.Handle(router, KindUpdate, func(_ context.Context, from mesh.Peer, n news) (news, error) {
 		s.receive(from.ID, n)
 		reply, _ := s.tell(from.ID)
 		return reply, nil
@@ -93,26 +95,26 @@
 }
 
 // Name implements kernel.Service.
-func (*Share) Name() string { return "quarantine" }
+func (*Replicator) Name() string { return "quarantine" }
 
-// Changed wakes the service: something is to be told. It never blocks.
-func (s *Share) Changed() {
+// Wake wakes the service: something is to be told. It never blocks.
+func (s *Replicator) Wake() {
 	select {
 	case s.kick <- struct{}{}:
 	default:
 	}
 }
 
-// Save asks for a write to the store: what was decided here is to outlive the fleet.
-func (s *Share) Save() {
+// ScheduleSave asks for a write to the store: what was decided here is to outlive the fleet.
+func (s *Replicator) ScheduleSave() {
 	s.mu.Lock()
 	s.unsaved = true
 	s.mu.Unlock()
-	s.Changed()
+	s.Wake()
 }
 
 // Run implements kernel.Service.
-func (s *Share) Run(ctx context.Context) error {
+func (s *Replicator) Run(ctx context.Context) error {
 	s.begin(ctx)
 	look := time.NewTicker(lookEvery)
 	defer look.Stop()
@@ -139,14 +141,14 @@
 }
 
 // restoredStore notes that the store was restored. It is called while the Epochs is locked.
-func (s *Share) restoredStore(external.Restoration) {
+func (s *Replicator) restoredStore(external.Restoration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.restored = true
 }
 
 // saveRestored asks for a write where a restoration may have lost what is known here. In a large fleet the leaders do it.
-func (s *Share) saveRestored() {
+func (s *Replicator) saveRestored() {
 	writes := s.memory.any() && (!s.dir.Large() || s.dir.Leads())
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +164,7 @@
 }
 
 // begin reads the store once, unless there are others that tell.
-func (s *Share) begin(ctx context.Context) {
+func (s *Replicator) begin(ctx context.Context) {
 	select {
 	case <-s.dir.Met():
 	case <-time.After(lookEvery):
@@ -175,12 +177,12 @@
 }
 
 // isolated reports whether the store is the only one that can tell of other instances. A small fleet hears it from the store in any case.
-func (s *Share) isolated() bool {
+func (s *Replicator) isolated() bool {
 	return s.dir.Large() && (s.dir.Stranded() || (s.dir.Leads() && s.dir.Cut()))
 }
 
-// Tell is what is to be told to another instance now; nil: nothing.
-func (s *Share) Tell(to string) []byte {
+// Payload is what is to be told to another instance now; nil: nothing.
+func (s *Replicator) Payload(to string) []byte {
 	n, anything := s.tell(to)
 	if !anything {
 		return nil
@@ -194,7 +196,7 @@
 }
 
 // Receive takes what another instance tells.
-func (s *Share) Receive(from string, raw []byte) {
+func (s *Replicator) Receive(from string, raw []byte) {
 	if len(raw) == 0 {
 		return
 	}
@@ -206,7 +208,7 @@
 	s.receive(from, n)
 }
 
-func (s *Share) partner(id string) *partner {
+func (s *Replicator) partner(id string) *partner {
 	p := s.partners[id]
 	if p == nil {
 		p = &partner{}
@@ -215,7 +217,7 @@
 	return p
 }
 
-func (s *Share) tell(to string) (n news, anything bool) {
+func (s *Replicator) tell(to string) (n news, anything bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.partner(to)
@@ -226,7 +228,7 @@
 	return n, anything
 }
 
-func (s *Share) receive(from string, n news) {
+func (s *Replicator) receive(from string, n news) {
 	s.mu.Lock()
 	p := s.partner(from)
 	p.met = true
@@ -246,13 +248,13 @@
 		fresh = s.memory.learn(r, from, 0, sameEnd) || fresh
 	}
 	if fresh && s.dir.Large() && s.dir.Leads() {
-		s.Changed()
+		s.Wake()
 	}
 }
 
 // push tells others at once: all of a small fleet; in a large one the zone's leader, and a leader those of the other zones. What does not
 // reach one of them is written to the store.
-func (s *Share) push(ctx context.Context) {
+func (s *Replicator) push(ctx context.Context) {
 	var g sync.WaitGroup
 	var mu sync.Mutex
 	missed := false
@@ -273,14 +275,14 @@
 	}
 }
 
-func (s *Share) pushTo(ctx context.Context, p mesh.Peer) error {
+func (s *Replicator) pushTo(ctx context.Context, p mesh.Peer) error {
 	ctx, cancel := context.WithTimeout(ctx, pushLimit)
 	defer cancel()
 	n, anything := s.tell(p.ID)
 	if !anything {
 		return nil
 	}
-	reply, err := peers.Call[news, news](ctx, s.dir, p, KindTell, n)
+	reply, err := peers.Call[news, news](ctx, s.dir, p, KindUpdate, n)
 	if err != nil {
 		s.log.Debug().Str("event", "quarantine_untold").Str("peer", p.ID).Err(err).Msg("another instance was not told of an end")
 		return err
@@ -290,13 +292,13 @@
 }
 
 // Observe takes a value of the store, if it is ours.
-func (s *Share) Observe(e external.Entry) {
+func (s *Replicator) Observe(e external.Entry) {
 	if e.Key == s.key {
 		s.take(e)
 	}
 }
 
-func (s *Share) take(e external.Entry) {
+func (s *Replicator) take(e external.Entry) {
 	if len(e.Data) == 0 {
 		return
 	}
@@ -306,7 +308,7 @@
 }
 
 // load reads the store's record.
-func (s *Share) load(ctx context.Context) {
+func (s *Replicator) load(ctx context.Context) {
 	e, err := s.read(ctx)
 	if err != nil {
 		s.log.Debug().Str("event", "quarantine_unread").Err(err).Msg("the store did not tell which requests are kept back")
@@ -315,7 +317,7 @@
 	s.take(e)
 }
 
-func (s *Share) read(ctx context.Context) (external.Entry, error) {
+func (s *Replicator) read(ctx context.Context) (external.Entry, error) {
 	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyQuarantine), callLimit)
 	defer cancel()
 	e, _, err := s.store.Read(ctx, s.key)
@@ -324,7 +326,7 @@
 
 // save writes to the store what is not saved yet; false: there is nothing. Where others write too, what they wrote is taken and written with
 // the rest.
-func (s *Share) save(ctx context.Context) bool {
+func (s *Replicator) save(ctx context.Context) bool {
 	s.mu.Lock()
 	todo := s.unsaved
 	s.unsaved = false
@@ -348,7 +350,7 @@
 	return true
 }
 
-func (s *Share) write(ctx context.Context) error {
+func (s *Replicator) write(ctx context.Context) error {
 	e, err := s.read(ctx)
 	if err != nil {
 		return err
--- a/internal/quarantine/share_test.go
+++ b/internal/quarantine/share_test.go
@@ -22,7 +22,7 @@
 	store *memkv.Store
 	now   time.Time
 	ends  int
-	nodes []*Share
+	nodes []*Replicator
 	peers []mesh.Peer
 	fleet []peerstest.Instance
 }
@@ -46,13 +46,13 @@
 
 // start puts a process that knows nothing in the place of an instance.
 func (s *sharing) start(i int) {
-	var x *Share
+	var x *Replicator
 	m := New(WithNow(s.clock), OnChange(func(c Change) {
-		if c.Own {
-			x.Save()
+		if c.Local {
+			x.ScheduleSave()
 		}
 	}))
-	x = NewShare(m, s.fleet[i].Dir, s.store, "fleet/", s.fleet[i].Router, WithWall(s.clock))
+	x = NewReplicator(m, s.fleet[i].Dir, s.store, "fleet/", s.fleet[i].Router, WithWallClock(s.clock))
 	s.nodes[i] = x
 }
 
@@ -61,7 +61,7 @@
 	s.ends++
 	began := s.now
 	s.now = s.now.Add(80 * time.Millisecond)
-	s.nodes[i].memory.Ended(crashing, "north", End{Run: fmt.Sprintf("e-%d", s.ends), Began: began, Ended: s.now})
+	s.nodes[i].memory.RecordCrash(crashing, "north", Crash{Run: fmt.Sprintf("e-%d", s.ends), Began: began, Ended: s.now})
 	s.now = s.now.Add(time.Second)
 }
 
@@ -81,8 +81,8 @@
 		for _, p := range to {
 			for j, q := range s.peers {
 				if q.ID == p.ID {
-					s.nodes[j].Receive(s.peers[i].ID, x.Tell(q.ID))
-					x.Receive(q.ID, s.nodes[j].Tell(s.peers[i].ID))
+					s.nodes[j].Receive(s.peers[i].ID, x.Payload(q.ID))
+					x.Receive(q.ID, s.nodes[j].Payload(s.peers[i].ID))
 				}
 			}
 		}
@@ -93,7 +93,7 @@
 func (s *sharing) holds() []int {
 	var out []int
 	for i, x := range s.nodes {
-		if x.memory.Held(crashing) {
+		if x.memory.Quarantined(crashing) {
 			out = append(out, i)
 		}
 	}
@@ -112,7 +112,7 @@
 
 			Convey("also an instance that starts, by what others tell, and after it has told something itself", func() {
 				s.start(3)
-				s.nodes[3].memory.Ended(Of("north", "GET", "h", "/", nil), "north", End{Run: "x", Began: s.now, Ended: s.now})
+				s.nodes[3].memory.RecordCrash(Of("north", "GET", "h", "/", nil), "north", Crash{Run: "x", Began: s.now, Ended: s.now})
 				s.exchange()
 				s.push(3)
 				s.exchange()
@@ -128,7 +128,7 @@
 			})
 
 			Convey("until a run of it ends well anywhere", func() {
-				s.nodes[2].memory.Well(crashing)
+				s.nodes[2].memory.RecordSuccess(crashing)
 				s.push(2)
 				s.exchange()
 				So(s.holds(), ShouldBeEmpty)
@@ -207,7 +207,7 @@
 			}
 			s.start(0)
 			s.nodes[0].load(s.ctx)
-			So(s.nodes[0].memory.Held(crashing), ShouldBeTrue)
+			So(s.nodes[0].memory.Quarantined(crashing), ShouldBeTrue)
 		})
 	})
 
@@ -233,7 +233,7 @@
 			So(restored(), ShouldBeGreaterThan, 0)
 			s.start(0)
 			s.nodes[0].load(s.ctx)
-			So(s.nodes[0].memory.Held(crashing), ShouldBeTrue)
+			So(s.nodes[0].memory.Quarantined(crashing), ShouldBeTrue)
 		}
 	})
 
@@ -244,7 +244,7 @@
 		for i, x := range s.nodes {
 			for j, p := range s.peers {
 				if i != j && s.fleet[i].Dir.Keepers() != nil {
-					raw := x.Tell(p.ID)
+					raw := x.Payload(p.ID)
 					So(len(raw), ShouldBeLessThan, 4)
 				}
 			}
--- a/internal/relay/core.go
+++ b/internal/relay/core.go
@@ -48,7 +48,7 @@
 	overdue  overdue
 	endings  endings
 	turns    turns
-	suspects *quarantine.Memory
+	suspects *quarantine.Tracker
 }
 
 // Option changes a Core.
@@ -67,7 +67,7 @@
 func WithLateEnd(f func(LateEnd)) Option { return func(c *Core) { c.late = f } }
 
 // WithQuarantine replaces the memory of requests that end endpoints, which is the instance's own where nothing else is set.
-func WithQuarantine(m *quarantine.Memory) Option { return func(c *Core) { c.suspects = m } }
+func WithQuarantine(m *quarantine.Tracker) Option { return func(c *Core) { c.suspects = m } }
 
 // WithDialed sets what is told how long new connections to endpoints took to come up, by the endpoint's availability zone.
 func WithDialed(f func(zone string, took time.Duration)) Option {
--- a/internal/relay/endings.go
+++ b/internal/relay/endings.go
@@ -46,13 +46,13 @@
 func (j *job) sawEnd(lease *pool.Lease, began time.Time, events bool) bool {
 	digest, customer, endpoint := j.digest(), j.outcome.Customer, lease.Endpoint()
 	j.outcome.Digest = digest.String()
-	end := quarantine.End{Run: endpoint.Run(), Began: began, Ended: j.core.now(), Events: events}
+	end := quarantine.Crash{Run: endpoint.Run(), Began: began, Ended: j.core.now(), Streamed: events}
 	ended := j.ended(lease, func() {
-		j.core.suspects.Ended(digest, customer, end)
+		j.core.suspects.RecordCrash(digest, customer, end)
 		j.core.late(LateEnd{Digest: digest.String(), Endpoint: endpoint.ID})
 	})
 	if ended {
-		j.core.suspects.Ended(digest, customer, end)
+		j.core.suspects.RecordCrash(digest, customer, end)
 	}
 	return ended
 }
@@ -87,7 +87,7 @@
 
 // heldMeanwhile reports whether a request that was let in is kept back by now: it waited for its budget, or for its second attempt.
 func (j *job) heldMeanwhile() bool {
-	return j.core.suspects.Suspects(j.outcome.Customer) && j.core.suspects.Held(j.digest())
+	return j.core.suspects.Suspects(j.outcome.Customer) && j.core.suspects.Quarantined(j.digest())
 }
 
 // giveUpHeld tells the caller that the request does not go to another endpoint.
@@ -101,13 +101,13 @@
 
 // lone reports whether only its caller may send a request again: two endpoints in a row did not outlive it.
 func (j *job) lone() bool {
-	return j.core.suspects.Suspects(j.outcome.Customer) && j.core.suspects.Lone(j.digest())
+	return j.core.suspects.Suspects(j.outcome.Customer) && j.core.suspects.NoRetry(j.digest())
 }
 
 // endedWell clears a request of suspicion.
 func (j *job) endedWell() {
 	if j.core.suspects.Suspects(j.outcome.Customer) {
-		j.core.suspects.Well(j.digest())
+		j.core.suspects.RecordSuccess(j.digest())
 	}
 }
 
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -147,7 +147,7 @@
 
 // lateEnd logs that an endpoint ended under a request, seen after the request's own line.
 func (r *Router) lateEnd(l relay.LateEnd) {
-	quarantine.LogEnd(r.log, l.Endpoint, l.Digest)
+	quarantine.LogCrash(r.log, l.Endpoint, l.Digest)
 }
 
 // rejected counts a record that cannot be read.
--- a/internal/router/experiment.go
+++ b/internal/router/experiment.go
@@ -85,7 +85,7 @@
 func (s *Settings) pressurePolicy() pressure.Policy {
 	p := pressure.DefaultPolicy()
 	if s.without(CrowdedLink) {
-		p.Slow, p.Share = time.Hour, math.Inf(1)
+		p.SlowDial, p.BusyShare = time.Hour, math.Inf(1)
 	}
 	return p
 }
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -16,11 +16,11 @@
 
 // quarantined logs that a request is kept from endpoints from now on, or not any more, and lets what was decided here outlive the fleet.
 func (r *Router) quarantined(c quarantine.Change) {
-	if c.Held {
+	if c.Quarantined {
 		r.metrics.metrics.Scope().Counter("quarantine_requests_total").Inc(1)
 	}
 	quarantine.LogChanges(r.log)(c)
-	if c.Own {
-		r.share.Save()
+	if c.Local {
+		r.share.ScheduleSave()
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -62,18 +62,18 @@
 	boot     *boottime.Clock
 	waking   waking
 	load     *load.Exchange
-	share    *quarantine.Share
+	share    *quarantine.Replicator
 	follow   *follow.Follower
 	escrow   *escrow.Holder
 	core     *relay.Core
-	suspects *quarantine.Memory
+	suspects *quarantine.Tracker
 	callers  *edge.Server
 	probes   *probes
 	figures  *probes // metrics on an address of their own; nil: none
 	metrics  *meters
 	start    *startLine
 
-	pressure *pressure.Gauge
+	pressure *pressure.Monitor
 	restored restorations
 }
 
@@ -152,10 +152,10 @@
 func (r *Router) newSharing(on Platform, links *mesh.Router) {
 	now := r.boot.Now
 	r.suspects = quarantine.New(quarantine.WithNow(now), quarantine.WithProber(r.tries), quarantine.OnChange(r.quarantined),
-		quarantine.OnNews(func() { r.share.Changed() }))
-	r.share = quarantine.NewShare(r.suspects, r.peers, on.Store, r.set.Store.Prefix, links,
+		quarantine.OnUpdate(func() { r.share.Wake() }))
+	r.share = quarantine.NewReplicator(r.suspects, r.peers, on.Store, r.set.Store.Prefix, links,
 		quarantine.WithLogger(r.log), quarantine.WithEpochs(on.Epochs))
-	r.load = load.New(r.peers, r.pool, links, load.WithRider(r.share), load.WithNow(now), load.OnLimits(r.metrics.limited))
+	r.load = load.New(r.peers, r.pool, links, load.WithPiggyback(r.share), load.WithNow(now), load.OnLimits(r.metrics.limited))
 }
 
 // newCore makes what serves requests.
@@ -165,7 +165,7 @@
 	r.core = relay.New(relay.Deps{
 		Tables: r.follow.Table, Pool: r.pool, Budgets: r.escrow, Retries: retries, Client: r.client, Dialect: on.Dialect,
 	}, append(r.set.relayOptions(), relay.WithNow(r.boot.Now), relay.WithEnded(r.ended), relay.WithLateEnd(r.lateEnd),
-		relay.WithQuarantine(r.suspects), relay.WithWoken(r.waking.over), relay.WithDialed(r.dialed), relay.WithCrowded(r.pressure.Crowded))...)
+		relay.WithQuarantine(r.suspects), relay.WithWoken(r.waking.over), relay.WithDialed(r.dialed), relay.WithCrowded(r.pressure.Congested))...)
 }
 
 // fleetSize is among how many instances is divided what all may do together. An instance that has just started knows few holders of budgets, and
@@ -215,7 +215,7 @@
 
 func (r *Router) listen(on Platform) error {
 	var err error
-	r.callers, err = edge.Listen(r.set.Callers.Listen, r.core, on.Parser, edge.DefaultTimes(), edge.WithNow(r.arrived), edge.WithAway(r.pressure.Away), edge.WithWrap(r.pressure.Listener))
+	r.callers, err = edge.Listen(r.set.Callers.Listen, r.core, on.Parser, edge.DefaultTimes(), edge.WithNow(r.arrived), edge.WithAway(r.pressure.Diverting), edge.WithWrap(r.pressure.Listener))
 	if err != nil {
 		return err
 	}
@@ -251,7 +251,7 @@
 // dialed tells the gauge of this instance's link of connections within the zone: others may be slow for other reasons.
 func (r *Router) dialed(zone string, took time.Duration) {
 	if zone == r.set.Instance.Zone {
-		r.pressure.Dialed(took)
+		r.pressure.ObserveDial(took)
 	}
 }
 
@@ -267,7 +267,7 @@
 // ready reports whether callers may be sent here: the configuration, the endpoints and the escrow are known, and the link is calm; after a
 // suspension all that was heard again.
 func (r *Router) ready() bool {
-	return !r.pressure.Away() && r.waking.over() && r.follow.Table() != nil && r.escrow.Ready() && r.pool.Len() > 0
+	return !r.pressure.Diverting() && r.waking.over() && r.follow.Table() != nil && r.escrow.Ready() && r.pool.Len() > 0
 }
 
 // Run runs the router until ctx ends, without a planned stop: use Stop for that.
