--- a/internal/escrow/account.go
+++ b/internal/escrow/account.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// issued is a row of this holder that is, or may be, in the store.
-type issued struct {
-	row   Row
-	clock time.Duration // the report's reading of the clock
-	rest  int64         // of the whole account: unspent by anyone, with this row
-	free  int64         // of the whole account: granted to nobody, with this row
+// issuedRow is a row of this holder that is, or may be, in the store.
+type issuedRow struct {
+	row       Row
+	clock     time.Duration // the report's reading of the clock
+	remaining int64         // of the whole account: unspent by anyone, with this row
+	ungranted int64         // of the whole account: granted to nobody, with this row
 	// unproven is Account.Unproven, with this row
 	unproven int64
 }
 
-func (i issued) ceiling(now time.Duration) int64 { return i.row.Ceiling(now - i.clock) }
+func (i issuedRow) ceiling(now time.Duration) int64 { return i.row.Ceiling(now - i.clock) }
 
 // account is what the holder knows of one customer.
 type account struct {
-	spent   int64 // settled requests, from the holder's start
-	open    int64 // reservations
-	urgent  int64 // unspent tokens that the largest waiting request needs
-	waiting int64 // those that all requests need which wait for a draw
-	meter   meter
-	all     meter            // use by all holders, as reported
-	reports map[string]int64 // spent, by holder, when last seen
-	others  int64            // mean of what other holders want
-	dry     time.Time        // the last draw or loan that brought too little
-	dryFor  int64            // tokens that were asked for then
-	row     issued           // confirmed
-	unsure  []issued         // written with an unknown outcome, older than row or not
-	prepaid int64            // as last seen; Unlimited: no limit
-	rest    int64            // of the whole account when last seen: unspent by anyone
-	free    int64            // of the whole account when last seen: granted to nobody
+	spent           int64 // settled requests, from the holder's start
+	reserved        int64 // reservations
+	urgent          int64 // unspent tokens that the largest waiting request needs
+	waiting         int64 // those that all requests need which wait for a draw
+	meter           meter
+	fleetMeter      meter            // use by all holders, as reported
+	reportedSpent   map[string]int64 // spent, by holder, when last seen
+	othersDemand    int64            // mean of what other holders want
+	exhaustedAt     time.Time        // the last draw or loan that brought too little
+	exhaustedTokens int64            // tokens that were asked for then
+	confirmed       issuedRow        // confirmed
+	unconfirmed     []issuedRow      // written with an unknown outcome, older than row or not
+	prepaid         int64            // as last seen; Unlimited: no limit
+	remaining       int64            // of the whole account when last seen: unspent by anyone
+	ungranted       int64            // of the whole account when last seen: granted to nobody
 	// unproven is Account.Unproven when last seen
 	unproven int64
 
@@ -44,13 +44,13 @@
 }
 
 // used is what is spent or reserved.
-func (a *account) used() int64 { return a.spent + a.open }
+func (a *account) used() int64 { return a.spent + a.reserved }
 
 // unspent is what nobody has spent of the whole account, as far as it is known here.
-func (a *account) unspent() int64 { return a.rest - max(0, a.used()-a.row.row.Spent) }
+func (a *account) unspent() int64 { return a.remaining - max(0, a.used()-a.confirmed.row.Spent) }
 
-// exhausted explains a refusal at a budget's end. Where instances were lost it reports how much of the budget nobody is known to have used.
-func (a *account) exhausted() string {
+// exhaustedDetail explains a refusal at a budget's end. Where instances were lost it reports how much of the budget nobody is known to have used.
+func (a *account) exhaustedDetail() string {
 	const text = "what remains of the budget cannot hold the request"
 	if a.unproven == 0 {
 		return text
@@ -60,36 +60,36 @@
 
 // headroom is what may still be reserved at a moment: every row that may be in force is kept to.
 func (a *account) headroom(now time.Duration) int64 {
-	limit := a.row.ceiling(now)
-	for _, u := range a.unsure {
+	limit := a.confirmed.ceiling(now)
+	for _, u := range a.unconfirmed {
 		limit = min(limit, u.ceiling(now))
 	}
 	return limit - a.used()
 }
 
 // confirm takes a row that the store has now; older ones can no longer come into force.
-func (a *account) confirm(i issued) {
-	a.row = i
-	a.unsure = a.unsure[:0]
+func (a *account) confirm(i issuedRow) {
+	a.confirmed = i
+	a.unconfirmed = a.unconfirmed[:0]
 }
 
 // observe takes what all holders report of the account.
 func (a *account) observe(acc *Account, self string) (used int64) {
 	reports := make(map[string]int64, len(acc.Rows))
-	a.others = 0
+	a.othersDemand = 0
 	for id, r := range acc.Rows {
 		reports[id] = r.Spent
-		if before, ok := a.reports[id]; ok {
-			used += max(0, r.Spent-before)
+		if previous, ok := a.reportedSpent[id]; ok {
+			used += max(0, r.Spent-previous)
 		}
 		if id != self {
-			a.others += r.Demand
+			a.othersDemand += r.Demand
 		}
 	}
 	if n := int64(len(acc.Rows)) - 1; n > 1 {
-		a.others /= n
+		a.othersDemand /= n
 	}
-	a.reports = reports
-	a.all.pending += float64(used)
+	a.reportedSpent = reports
+	a.fleetMeter.pending += float64(used)
 	return used
 }
--- a/internal/escrow/bench_test.go
+++ b/internal/escrow/bench_test.go
@@ -12,8 +12,8 @@
 func BenchmarkReserve(b *testing.B) {
 	h := New(memkv.New(), "p/", 1, "node", "node/1")
 	h.SetPrepaid([]Prepaid{{Customer: "north", Tokens: 1 << 50}})
-	h.startBeat()
-	h.draw(context.Background(), h.pages[0])
+	h.startRound()
+	h.refresh(context.Background(), h.pages[0])
 	b.ReportAllocs()
 	for b.Loop() {
 		r, err := h.Reserve(context.Background(), "north", 10, 0)
@@ -63,13 +63,13 @@
 		rows[name] = Need{Spent: 10, Demand: 1000, Burst: 100, Rate: 10}
 	}
 	h.SetPrepaid(prepaid)
-	h.startBeat()
-	h.draw(context.Background(), h.pages[0])
+	h.startRound()
+	h.refresh(context.Background(), h.pages[0])
 	p := h.pages[0]
 	for i := range holders {
 		node := fmt.Sprintf("front-zone-%d", i)
-		p.pending = append(p.pending, &pending{
-			holder: node + "/1", came: h.now(), done: make(chan struct{}), part: Part{Report: Report{Node: node, Count: 1, Wall: 1}, Rows: rows},
+		p.pending = append(p.pending, &pendingPart{
+			holder: node + "/1", arrived: h.now(), done: make(chan struct{}), part: Part{Report: Report{Node: node, Count: 1, Wall: 1}, Rows: rows},
 		})
 	}
 	b.ReportAllocs()
@@ -78,9 +78,9 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		h.abandon([]write{w})
+		h.abandon([]pageWrite{w})
 		for _, x := range p.pending {
-			x.came = h.now()
+			x.arrived = h.now()
 		}
 	}
 }
--- a/internal/escrow/clock.go
+++ b/internal/escrow/clock.go
@@ -18,9 +18,9 @@
 	Boot() string
 }
 
-// bootClock begins the name of a machine's run by this clock. Builds that leave suspensions out name the run by the boot ID alone, and take no
+// bootClockPrefix begins the name of a machine's run by this clock. Builds that leave suspensions out name the run by the boot ID alone, and take no
 // difference between the two clocks for an age.
-const bootClock = "boottime:"
+const bootClockPrefix = "boottime:"
 
 type machineClock struct{ boot string }
 
@@ -31,7 +31,7 @@
 	if err != nil {
 		return machineClock{}
 	}
-	return machineClock{boot: bootClock + strings.TrimSpace(string(b))}
+	return machineClock{boot: bootClockPrefix + strings.TrimSpace(string(b))}
 }
 
 // Now implements Clock.
--- a/internal/escrow/clock_test.go
+++ b/internal/escrow/clock_test.go
@@ -14,14 +14,14 @@
 	Convey("The age of a report is known to the millisecond across a suspension", t, func() {
 		const awake, suspended = 2 * time.Second, 8 * time.Second
 		then := Report{Node: "n", Boot: "b", Clock: 5000, Wall: 1_000_000}
-		begun := Report{Node: "n", Boot: "b", Clock: 5000 + (awake + suspended).Milliseconds(), Wall: 1_000_000 + (awake + suspended).Milliseconds()}
-		age, known := ageOf(then, begun)
+		start := Report{Node: "n", Boot: "b", Clock: 5000 + (awake + suspended).Milliseconds(), Wall: 1_000_000 + (awake + suspended).Milliseconds()}
+		age, known := ageOf(then, start)
 		So(known, ShouldBeTrue)
 		So(age, ShouldEqual, awake+suspended)
 
 		Convey("and is never taken as shorter by a clock that leaves it out", func() {
-			begun.Clock = then.Clock + awake.Milliseconds()
-			age, known = ageOf(then, begun)
+			start.Clock = then.Clock + awake.Milliseconds()
+			age, known = ageOf(then, start)
 			So(known, ShouldBeTrue)
 			So(age, ShouldBeGreaterThanOrEqualTo, awake+suspended)
 		})
--- a/internal/escrow/compress.go
+++ b/internal/escrow/compress.go
@@ -12,11 +12,11 @@
 // gzipMagic is how compressed bytes begin; no page in CBOR does.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// mostPage is the size in bytes up to which a page is decompressed: far more than the store takes of a value.
-const mostPage = 64 << 20
+// maxPageSize is the size in bytes up to which a page is decompressed: far more than the store takes of a value.
+const maxPageSize = 64 << 20
 
-// leastCompressed is the size in bytes from which compressing a page is worth its time: that of a fleet of about 50.
-const leastCompressed = 16 << 10
+// minCompressSize is the size in bytes from which compressing a page is worth its time: that of a fleet of about 50.
+const minCompressSize = 16 << 10
 
 // compressors are kept, as each takes about a megabyte.
 var compressors = sync.Pool{New: func() any {
@@ -26,7 +26,7 @@
 
 // compress makes large pages smaller and leaves others as they are.
 func compress(b []byte) ([]byte, error) {
-	if len(b) < leastCompressed {
+	if len(b) < minCompressSize {
 		return b, nil
 	}
 	z, _ := compressors.Get().(*gzip.Writer)
@@ -47,6 +47,6 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "decompressing an escrow page")
 	}
-	out, err := io.ReadAll(io.LimitReader(z, mostPage))
+	out, err := io.ReadAll(io.LimitReader(z, maxPageSize))
 	return out, eris.Wrap(err, "decompressing an escrow page")
 }
--- a/internal/escrow/copy.go
+++ b/internal/escrow/copy.go
@@ -13,8 +13,8 @@
 // to be the newest: where it is not, the conflict brings the newest, for the same one call.
 func (h *Holder) load(ctx context.Context, p *pageState) error {
 	h.mu.Lock()
-	age := h.now().Sub(p.seen)
-	fresh := p.known && p.unsure < 0 && !p.submitted && (age < freshFor || (p.mine && age < mineFor)) &&
+	age := h.now().Sub(p.verifiedAt)
+	fresh := p.known && p.unconfirmedBase < 0 && !p.submitted && (age < copyFreshFor || (p.selfWritten && age < selfWrittenFreshFor)) &&
 		external.EpochOf(p.revision) == h.epochs.Current()
 	h.mu.Unlock()
 	if fresh {
@@ -28,12 +28,12 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.contacted()
+	h.noteAnswer()
 	return h.adopt(p, entry)
 }
 
-// contacted notes an answer of the store. The caller holds mu.
-func (h *Holder) contacted() { h.answered = h.now() }
+// noteAnswer notes an answer of the store. The caller holds mu.
+func (h *Holder) noteAnswer() { h.lastAnswer = h.now() }
 
 // Observe takes a page that was read or watched elsewhere.
 func (h *Holder) Observe(e external.Entry) {
@@ -64,15 +64,15 @@
 	if err != nil {
 		return err
 	}
-	p.keepLost(revision)
-	p.raw, p.revision, p.known, p.seen, p.mine = e.Data, revision, true, h.now(), false
-	if page, _, err = p.basis(page); err != nil {
+	p.savePrior(revision)
+	p.raw, p.revision, p.known, p.verifiedAt, p.selfWritten = e.Data, revision, true, h.now(), false
+	if page, _, err = p.writeBase(page); err != nil {
 		return err
 	}
 	report, present := page.Holders[h.id]
-	settled := !h.restates(p) && p.settles(revision, report, present)
-	if settled {
-		p.unsure, p.submitted, p.count = -1, false, report.Count
+	resolved := !h.mustRestate(p) && p.resolvesOutcome(revision, report, present)
+	if resolved {
+		p.unconfirmedBase, p.submitted, p.count = -1, false, report.Count
 	}
 	h.observeAll(p, page)
 	for name, a := range h.accounts {
@@ -83,11 +83,11 @@
 		if acc == nil {
 			acc = &Account{}
 		}
-		a.rest, a.free, a.unproven = a.prepaid-acc.Spent(), a.prepaid-acc.Committed(), acc.Unproven
-		if settled && present {
-			a.confirm(issued{row: acc.Rows[h.id], clock: time.Duration(report.Clock) * time.Millisecond})
-		} else if settled {
-			a.confirm(issued{})
+		a.remaining, a.ungranted, a.unproven = a.prepaid-acc.Spent(), a.prepaid-acc.Committed(), acc.Unproven
+		if resolved && present {
+			a.confirm(issuedRow{row: acc.Rows[h.id], clock: time.Duration(report.Clock) * time.Millisecond})
+		} else if resolved {
+			a.confirm(issuedRow{})
 		}
 	}
 	return nil
@@ -95,21 +95,21 @@
 
 // observeAll measures what all holders report on a page. The caller holds mu.
 func (h *Holder) observeAll(p *pageState, page *Page) {
-	h.holders = len(page.Holders)
+	h.holderCount = len(page.Holders)
 	for name, a := range h.accounts {
 		if acc := page.Accounts[name]; acc != nil && h.pageOf(name) == p {
-			h.all.pending += float64(a.observe(acc, h.id))
+			h.fleetMeter.pending += float64(a.observe(acc, h.id))
 		}
 	}
 }
 
-// settles reports whether a page at a revision shows what became of all writes of this holder whose outcome is not known. A direct
+// resolvesOutcome reports whether a page at a revision shows what became of all writes of this holder whose outcome is not known. A direct
 // write cannot happen any more once the page has moved on; rows that a leader has can, until a later write of this holder stands.
-func (p *pageState) settles(revision int64, report Report, present bool) bool {
+func (p *pageState) resolvesOutcome(revision int64, report Report, present bool) bool {
 	if p.submitted {
 		return report.Count > p.count || (p.joined && !present)
 	}
-	return p.unsure >= 0 && revision > p.unsure
+	return p.unconfirmedBase >= 0 && revision > p.unconfirmedBase
 }
 
 func (h *Holder) adoptCurrent(p *pageState, current []external.Entry) error {
--- a/internal/escrow/draw.go
+++ b/internal/escrow/draw.go
@@ -11,8 +11,8 @@
 
 const (
 	joinSpread      = 3                       // gaps over which tries to join are spread, for each of a crowd
-	drawAttempts    = 6                       // conflicts in a row before a draw waits for the next beat
-	quietRefresh    = 4 * time.Second         // a page on which nothing happens is reported this often
+	refreshAttempts = 6                       // conflicts in a row before a draw waits for the next beat
+	idleRefresh     = 4 * time.Second         // a page on which nothing happens is reported this often
 	stoppingHorizon = 2500 * time.Millisecond // while the process is about to stop
 )
 
@@ -20,7 +20,7 @@
 func (h *Holder) Run(ctx context.Context) error {
 	var last time.Time
 	for {
-		h.round(ctx, h.startBeat())
+		h.round(ctx, h.startRound())
 		last = h.now()
 		if !h.pause(ctx, last) {
 			return nil
@@ -33,37 +33,37 @@
 	if h.fleet != nil && !h.Ready() && !h.fleet.Settled() {
 		return
 	}
-	follows, relays := h.follows(), h.relays()
+	follower, relay := h.isFollower(), h.isRelay()
 	switch {
-	case follows:
+	case follower:
 		h.submit(ctx, regular)
-	case relays && h.relay(ctx, regular) == nil:
+	case relay && h.relay(ctx, regular) == nil:
 		return
 	}
 	var pages []*pageState
 	for _, p := range h.pages {
-		if (!follows && h.due(p, regular)) || h.owes(p) {
+		if (!follower && h.refreshDue(p, regular)) || h.groupWriteDue(p) {
 			pages = append(pages, p)
 		}
 	}
 	if len(pages) > 0 && ctx.Err() == nil {
-		h.draw(ctx, pages...)
+		h.refresh(ctx, pages...)
 	}
 }
 
-// owes reports whether rows of others are to be written on a page now.
-func (h *Holder) owes(p *pageState) bool {
+// groupWriteDue reports whether rows of others are to be written on a page now.
+func (h *Holder) groupWriteDue(p *pageState) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.gathered(p) && !h.rests()
+	return h.groupReady(p) && !h.backingOff()
 }
 
-// rests reports whether a call has failed just now: the next one is not worth its price yet. The caller holds mu.
-func (h *Holder) rests() bool { return h.now().Sub(h.failed) < h.times.Backoff }
+// backingOff reports whether a call has failed just now: the next one is not worth its price yet. The caller holds mu.
+func (h *Holder) backingOff() bool { return h.now().Sub(h.lastFailure) < h.times.Backoff }
 
 // pause waits for the next beat or for a request that waits; false means that ctx has ended.
 func (h *Holder) pause(ctx context.Context, last time.Time) bool {
-	wait, least := h.waits()
+	wait, least := h.waitBounds()
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
@@ -71,7 +71,7 @@
 		return false
 	case <-t.C:
 		return true
-	case <-h.kicks:
+	case <-h.wakeups:
 	}
 	gap := time.NewTimer(max(0, least-h.now().Sub(last)))
 	defer gap.Stop()
@@ -83,65 +83,65 @@
 	}
 }
 
-// waits are the longest and the least time until the next round. A holder that has not joined all its pages cannot serve, so it
+// waitBounds are the longest and the least time until the next round. A holder that has not joined all its pages cannot serve, so it
 // tries again soon; not all at the same moment, as after a fault many start at once.
-func (h *Holder) waits() (longest, least time.Duration) {
-	follows := h.follows()
+func (h *Holder) waitBounds() (longest, least time.Duration) {
+	follower := h.isFollower()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	least = h.times.MinGap * h.crowd()
+	least = h.times.MinGap * h.crowdFactor()
 	for _, p := range h.pages {
 		if !p.joined && len(h.accounts) > 0 {
-			return h.times.MinGap + rand.N(h.times.MinGap*joinSpread*h.crowd()), least
+			return h.times.MinGap + rand.N(h.times.MinGap*joinSpread*h.crowdFactor()), least
 		}
 		if len(p.pending) > 0 {
 			return h.times.UrgentGatherWindow, least
 		}
 	}
-	if follows {
+	if follower {
 		return h.times.SubmitInterval, least
 	}
-	return h.interval() * 3 / 2, least
+	return h.refreshInterval() * 3 / 2, least
 }
 
-// startBeat begins a round of draws. It reports whether the round is a regular one; between these, only what requests wait for is
+// startRound begins a round of draws. It reports whether the round is a regular one; between these, only what requests wait for is
 // drawn.
-func (h *Holder) startBeat() bool {
+func (h *Holder) startRound() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
-	if now.Sub(h.beat) < h.interval()*8/10 {
+	if now.Sub(h.lastRefresh) < h.refreshInterval()*8/10 {
 		return false
 	}
-	h.beat = now
-	idle := !h.asks()
-	h.own.tick(now, idle)
-	h.all.tick(now, idle)
+	h.lastRefresh = now
+	idle := !h.hasDemand()
+	h.localMeter.tick(now, idle)
+	h.fleetMeter.tick(now, idle)
 	for _, a := range h.accounts {
 		a.meter.tick(now, idle)
-		a.all.tick(now, idle)
+		a.fleetMeter.tick(now, idle)
 	}
 	return true
 }
 
-// due reports whether a page has something to report. A page that is not joined or not settled is always due.
-func (h *Holder) due(p *pageState, regular bool) bool {
+// refreshDue reports whether a page has something to report. A page that is not joined or not settled is always due.
+func (h *Holder) refreshDue(p *pageState, regular bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !p.joined {
 		return len(h.accounts) > 0
 	}
-	if h.rests() {
+	if h.backingOff() {
 		return false
 	}
-	if p.unsure >= 0 || h.restatesNow(p) {
+	if p.unconfirmedBase >= 0 || h.restateDue(p) {
 		return len(h.accounts) > 0
 	}
-	if p.unsettled && !h.start().FleetTimePending {
+	if p.unsettled && !h.startReport().FleetTimePending {
 		return true
 	}
-	regular = regular && h.now().Sub(p.drawn) >= h.times.RefreshInterval*6/10
-	if regular && h.now().Sub(p.drawn) >= max(quietRefresh, 2*h.interval()) {
+	regular = regular && h.now().Sub(p.refreshedAt) >= h.times.RefreshInterval*6/10
+	if regular && h.now().Sub(p.refreshedAt) >= max(idleRefresh, 2*h.refreshInterval()) {
 		return true
 	}
 	for name, a := range h.accounts {
@@ -156,10 +156,10 @@
 	return false
 }
 
-// draw brings pages up to date, in one write. Failures leave everything as it was, to be tried at the next beat.
-func (h *Holder) draw(ctx context.Context, pages ...*pageState) {
-	for range drawAttempts {
-		err := h.drawOnce(ctx, pages)
+// refresh brings pages up to date, in one write. Failures leave everything as it was, to be tried at the next beat.
+func (h *Holder) refresh(ctx context.Context, pages ...*pageState) {
+	for range refreshAttempts {
+		err := h.refreshOnce(ctx, pages)
 		switch {
 		case err == nil:
 			return
@@ -167,21 +167,21 @@
 			continue
 		}
 		h.mu.Lock()
-		h.failed = h.now()
+		h.lastFailure = h.now()
 		h.mu.Unlock()
 		h.log.Debug().Str("event", "escrow_draw_failed").Int("pages", len(pages)).Err(err).Msg("the store did not take a draw")
 		return
 	}
 }
 
-// drawOnce tries one write of pages.
-func (h *Holder) drawOnce(ctx context.Context, pages []*pageState) error {
+// refreshOnce tries one write of pages.
+func (h *Holder) refreshOnce(ctx context.Context, pages []*pageState) error {
 	for _, p := range pages {
 		if err := h.load(ctx, p); err != nil {
 			return err
 		}
 	}
-	list := make([]write, 0, len(pages))
+	list := make([]pageWrite, 0, len(pages))
 	for _, p := range pages {
 		w, err := h.prepare(p)
 		if err != nil {
--- a/internal/escrow/fuzz_test.go
+++ b/internal/escrow/fuzz_test.go
@@ -11,12 +11,12 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	packed, err := compress(append(make([]byte, leastCompressed), raw...))
+	compressed, err := compress(append(make([]byte, minCompressSize), raw...))
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(raw)
-	f.Add(packed)
+	f.Add(compressed)
 	f.Add([]byte{0xa1, 0x18, 90, 1}) // a field that is not known
 	f.Add([]byte{0x1f, 0x8b})
 	f.Add([]byte{0xa1, 0x01, 0xa1, 0x61, 'n', 0xf6}) // an account that is null
--- a/internal/escrow/granting.go
+++ b/internal/escrow/granting.go
@@ -25,23 +25,23 @@
 	return out
 }
 
-// granting sets the rows of many holders of one page. It keeps the sums of accounts and the number of holders of each node, which would else be
+// granter sets the rows of many holders of one page. It keeps the sums of accounts and the number of holders of each node, which would else be
 // made anew for each holder, and take the writer of a large fleet most of its processor time.
-type granting struct {
+type granter struct {
 	page    *Page
 	frozen  bool            // no row is raised
 	sums    map[string]sums // by customer
 	holders map[string]int  // by node
 }
 
-func newGranting(p *Page) *granting {
-	g := &granting{page: p}
+func newGranter(p *Page) *granter {
+	g := &granter{page: p}
 	g.reset()
 	return g
 }
 
 // reset forgets what was kept: rows have changed that were not granted here.
-func (g *granting) reset() {
+func (g *granter) reset() {
 	g.sums = make(map[string]sums, len(g.page.Accounts))
 	g.holders = make(map[string]int, len(g.page.Holders))
 	for _, r := range g.page.Holders {
@@ -50,8 +50,8 @@
 }
 
 // fold settles the rows of a node's earlier holders; see Page.Fold.
-func (g *granting) fold(successor string, begun Report) []Settlement {
-	out := g.page.SettlePredecessors(successor, begun)
+func (g *granter) fold(successor string, start Report) []Settlement {
+	out := g.page.SettlePredecessors(successor, start)
 	if len(out) > 0 {
 		g.reset()
 	}
@@ -59,11 +59,11 @@
 }
 
 // report notes a holder's report.
-func (g *granting) report(holder string, r Report) {
+func (g *granter) report(holder string, r Report) {
 	if old, ok := g.page.Holders[holder]; ok {
 		g.holders[old.Node]--
 	}
-	if g.page.doubtful(holder) {
+	if g.page.stale(holder) {
 		clear(g.sums)
 	}
 	g.holders[r.Node]++
@@ -71,7 +71,7 @@
 }
 
 // unsettled reports whether rows of a node's earlier holders are left.
-func (g *granting) unsettled(successor, node string) bool {
+func (g *granter) unsettled(successor, node string) bool {
 	n := g.holders[node]
 	if r, ok := g.page.Holders[successor]; ok && r.Node == node {
 		n--
@@ -79,8 +79,8 @@
 	return n > 0
 }
 
-// of is what the rows of a customer's account add up to.
-func (g *granting) of(customer string, a *Account) sums {
+// sumsOf is what the rows of a customer's account add up to.
+func (g *granter) sumsOf(customer string, a *Account) sums {
 	s, ok := g.sums[customer]
 	if !ok {
 		s = a.sums()
@@ -92,27 +92,27 @@
 
 // grant sets a holder's row of a customer's account so that nothing is overspent; target is what the holder should have unspent. prepaid < 0
 // is no limit.
-func (g *granting) grant(customer, holder string, n Need, prepaid int64) (row Row, target int64) {
+func (g *granter) grant(customer, holder string, n Need, prepaid int64) (row Row, target int64) {
 	a := g.page.account(customer)
 	old := a.Rows[holder]
-	others := g.of(customer, a).minus(old)
-	row, target = a.set(holder, n, prepaid, others, g.limit(old, prepaid-a.Settled-others.granted, others.margin))
+	others := g.sumsOf(customer, a).minus(old)
+	row, target = a.setRow(holder, n, prepaid, others, g.limit(old, prepaid-a.Settled-others.granted, others.margin))
 	g.sums[customer] = others.add(row)
 	return row, target
 }
 
 // limit is what a row may reach, of what no other row holds. After a restoration it is raised no further than the margin allows, but never lowered
 // for that.
-func (g *granting) limit(old Row, free, margin int64) int64 {
-	if g.frozen || free-margin < old.Granted {
-		return min(free, old.Granted)
+func (g *granter) limit(old Row, ungranted, margin int64) int64 {
+	if g.frozen || ungranted-margin < old.Granted {
+		return min(ungranted, old.Granted)
 	}
-	return free - margin
+	return ungranted - margin
 }
 
-// rest is what nobody has spent of a customer's prepaid amount, and free what nobody may spend of it.
-func (g *granting) rest(customer string, prepaid int64) (rest, free int64) {
+// unspent is what nobody has spent of a customer's prepaid amount, and free what nobody may spend of it.
+func (g *granter) unspent(customer string, prepaid int64) (remaining, ungranted int64) {
 	a := g.page.account(customer)
-	s := g.of(customer, a)
+	s := g.sumsOf(customer, a)
 	return prepaid - a.Settled - s.spent, prepaid - a.Settled - s.granted - s.margin
 }
--- a/internal/escrow/granting_test.go
+++ b/internal/escrow/granting_test.go
@@ -7,12 +7,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestGrantingKeepsSums plays any mixture of grants, reports and folds on one page, and compares what was kept with what the rows say.
-func TestGrantingKeepsSums(t *testing.T) {
+// TestGranterSums plays any mixture of grants, reports and folds on one page, and compares what was kept with what the rows say.
+func TestGranterSums(t *testing.T) {
 	const nodes, runs, prepaid = 4, 3, 1000
 	rapid.Check(t, func(t *rapid.T) {
 		p, _ := DecodePage(nil)
-		g := newGranting(p)
+		g := newGranter(p)
 		for range propertySteps {
 			node := fmt.Sprintf("node-%d", rapid.IntRange(0, nodes-1).Draw(t, "node"))
 			holder := fmt.Sprintf("%s/%d", node, rapid.IntRange(0, runs-1).Draw(t, "run"))
@@ -30,15 +30,15 @@
 					t.Fatalf("the target of %s is %d, not %d", holder, target, exact)
 				}
 			}
-			checkGranting(t, g, nodes, runs, prepaid)
+			checkGranter(t, g, nodes, runs, prepaid)
 		}
 	})
 }
 
-func checkGranting(t *rapid.T, g *granting, nodes, runs int, prepaid int64) {
+func checkGranter(t *rapid.T, g *granter, nodes, runs int, prepaid int64) {
 	for _, customer := range propertyCustomers {
 		a := g.page.account(customer)
-		rest, free := g.rest(customer, prepaid)
+		rest, free := g.unspent(customer, prepaid)
 		if rest != prepaid-a.Spent() || free != prepaid-a.Committed() {
 			t.Fatalf("%s: %d unspent and %d free, by the rows %d and %d", customer, rest, free, prepaid-a.Spent(), prepaid-a.Committed())
 		}
@@ -50,15 +50,15 @@
 		node := fmt.Sprintf("node-%d", n)
 		for r := range runs {
 			holder := fmt.Sprintf("%s/%d", node, r)
-			if got, want := g.unsettled(holder, node), earlierLeft(g.page, holder, node); got != want {
+			if got, want := g.unsettled(holder, node), predecessorsLeft(g.page, holder, node); got != want {
 				t.Fatalf("rows of earlier holders than %s are left: %v, by the page %v", holder, got, want)
 			}
 		}
 	}
 }
 
-// earlierLeft says by the page's reports alone whether earlier holders of a node are left.
-func earlierLeft(p *Page, successor, node string) bool {
+// predecessorsLeft says by the page's reports alone whether earlier holders of a node are left.
+func predecessorsLeft(p *Page, successor, node string) bool {
 	for id, r := range p.Holders {
 		if r.Node == node && id != successor {
 			return true
--- a/internal/escrow/group.go
+++ b/internal/escrow/group.go
@@ -11,7 +11,7 @@
 func (h *Holder) reachesStore() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.answered.IsZero() || h.now().Sub(h.answered) < 2*h.times.ContactTimeout
+	return h.lastAnswer.IsZero() || h.now().Sub(h.lastAnswer) < 2*h.times.ContactTimeout
 }
 
 const (
@@ -20,16 +20,16 @@
 	loanLife       = 90 * time.Second        // a loan that was not repaid by then counts as used
 )
 
-// pending is a part that waits for the next write of its page.
-type pending struct {
-	holder  string
-	part    Part
-	came    time.Time
-	hasty   bool // the holder cannot serve before it is written
-	relayed bool // the leader of another zone has passed it on
-	receipt PartReceipt
-	folded  []Settlement
-	done    chan struct{} // closed once the receipt stands
+// pendingPart is a part that waits for the next write of its page.
+type pendingPart struct {
+	holder      string
+	part        Part
+	arrived     time.Time
+	urgent      bool // the holder cannot serve before it is written
+	relayed     bool // the leader of another zone has passed it on
+	receipt     PartReceipt
+	settlements []Settlement
+	done        chan struct{} // closed once the receipt stands
 }
 
 // Submit takes rows of another holder of the zone, and returns once they are written.
@@ -40,24 +40,24 @@
 	ctx, cancel := context.WithTimeout(ctx, submissionWait)
 	defer cancel()
 	own := h.enqueue(s)
-	zone := make([][]*pending, 0, len(s.Zone))
+	zone := make([][]*pendingPart, 0, len(s.Zone))
 	for _, x := range s.Zone {
 		zone = append(zone, h.enqueue(x))
 	}
-	out, err := written(ctx, own)
+	out, err := awaitWritten(ctx, own)
 	for _, list := range zone {
 		if err != nil {
 			return Receipt{}, err
 		}
 		var r Receipt
-		r, err = written(ctx, list)
+		r, err = awaitWritten(ctx, list)
 		out.Zone = append(out.Zone, r)
 	}
 	return out, err
 }
 
-// written waits until parts are in the store.
-func written(ctx context.Context, list []*pending) (Receipt, error) {
+// awaitWritten waits until parts are in the store.
+func awaitWritten(ctx context.Context, list []*pendingPart) (Receipt, error) {
 	out := Receipt{Parts: make([]PartReceipt, 0, len(list))}
 	for _, p := range list {
 		select {
@@ -70,7 +70,7 @@
 	return out, nil
 }
 
-func (h *Holder) enqueue(s Submission) []*pending {
+func (h *Holder) enqueue(s Submission) []*pendingPart {
 	for _, part := range s.Parts {
 		if part.Report.Epoch > 0 {
 			_ = h.epochs.Observe(part.Report.Epoch, 0) // a part of an earlier one is not written, and its receipt reports why
@@ -80,49 +80,49 @@
 	defer h.mu.Unlock()
 	now := h.now()
 	if !s.Relayed {
-		h.asked[s.Holder] = asked{rates: s.DemandRates, at: now}
+		h.zoneDemand[s.Holder] = reportedDemand{rates: s.DemandRates, at: now}
 	}
-	out := make([]*pending, 0, len(s.Parts))
+	out := make([]*pendingPart, 0, len(s.Parts))
 	for _, part := range s.Parts {
 		if part.Page < 0 || part.Page >= len(h.pages) {
 			continue
 		}
-		p := &pending{
-			holder: s.Holder, part: part, came: now, relayed: s.Relayed, hasty: part.Report.Count == 1 || (s.Relayed && part.urgent()),
+		p := &pendingPart{
+			holder: s.Holder, part: part, arrived: now, relayed: s.Relayed, urgent: part.Report.Count == 1 || (s.Relayed && part.urgent()),
 			done: make(chan struct{}),
 		}
 		page := h.pages[part.Page]
 		page.pending = append(page.pending, p)
 		out = append(out, p)
 	}
-	h.kick()
+	h.wake()
 	return out
 }
 
-// gathered reports whether the parts that wait for a page are to be written now. The caller holds mu.
-func (h *Holder) gathered(p *pageState) bool {
+// groupReady reports whether the parts that wait for a page are to be written now. The caller holds mu.
+func (h *Holder) groupReady(p *pageState) bool {
 	if len(p.pending) == 0 {
 		return false
 	}
 	now := h.now()
 	group := h.times.MinGroupGap
 	for _, x := range p.pending {
-		if x.hasty && now.Sub(x.came) >= h.times.UrgentGatherWindow {
+		if x.urgent && now.Sub(x.arrived) >= h.times.UrgentGatherWindow {
 			return true
 		}
 		if x.relayed {
 			group = h.times.MinRelayedGap
 		}
 	}
-	return now.Sub(p.pending[0].came) >= h.times.GatherWindow && now.Sub(p.drawn) >= group
+	return now.Sub(p.pending[0].arrived) >= h.times.GatherWindow && now.Sub(p.refreshedAt) >= group
 }
 
-// expire drops parts whose holders have stopped waiting. The caller holds mu.
-func (h *Holder) expire(p *pageState) {
+// dropExpired drops parts whose holders have stopped waiting. The caller holds mu.
+func (h *Holder) dropExpired(p *pageState) {
 	now := h.now()
 	kept := p.pending[:0]
 	for _, x := range p.pending {
-		if now.Sub(x.came) < submissionLife {
+		if now.Sub(x.arrived) < submissionLife {
 			kept = append(kept, x)
 		}
 	}
@@ -130,32 +130,32 @@
 	p.pending = kept
 }
 
-// applyAll puts the parts that wait into a page that is about to be written. The caller holds mu.
-func (h *Holder) applyAll(p *pageState, g *granting) []*pending {
-	h.expire(p)
-	h.sumZone(p)
-	list := append([]*pending(nil), p.pending...)
+// applyPending puts the parts that wait into a page that is about to be written. The caller holds mu.
+func (h *Holder) applyPending(p *pageState, g *granter) []*pendingPart {
+	h.dropExpired(p)
+	h.sumZoneDemand(p)
+	list := append([]*pendingPart(nil), p.pending...)
 	for _, x := range list {
-		x.receipt = h.apply(x, g)
+		x.receipt = h.applyPart(x, g)
 	}
 	return list
 }
 
-// asked is what one holder of the zone is asked for, in tokens a second by customer.
-type asked struct {
+// reportedDemand is what one holder of the zone is asked for, in tokens a second by customer.
+type reportedDemand struct {
 	rates map[string]float64
 	at    time.Time
 }
 
-// askedLife is how long it counts.
-const askedLife = 6 * time.Second
+// demandLife is how long it counts.
+const demandLife = 6 * time.Second
 
-// sumZone adds up what the zone is asked for of a page's customers. The caller holds mu.
-func (h *Holder) sumZone(p *pageState) {
+// sumZoneDemand adds up what the zone is asked for of a page's customers. The caller holds mu.
+func (h *Holder) sumZoneDemand(p *pageState) {
 	now := h.now()
-	for holder, x := range h.asked {
-		if now.Sub(x.at) > askedLife {
-			delete(h.asked, holder)
+	for holder, x := range h.zoneDemand {
+		if now.Sub(x.at) > demandLife {
+			delete(h.zoneDemand, holder)
 		}
 	}
 	for name, a := range h.accounts {
@@ -163,27 +163,27 @@
 			continue
 		}
 		a.zoneRate = a.meter.rate()
-		for _, x := range h.asked {
+		for _, x := range h.zoneDemand {
 			a.zoneRate += x.rates[name]
 		}
 	}
 }
 
-// apply puts one part into a page, unless the holder's row there is not the one that the part follows. The caller holds mu.
-func (h *Holder) apply(x *pending, g *granting) PartReceipt {
+// applyPart puts one part into a page, unless the holder's row there is not the one that the part follows. The caller holds mu.
+func (h *Holder) applyPart(x *pendingPart, g *granter) PartReceipt {
 	targets := make(map[string]int64, len(x.part.Rows))
-	if g.page.follows(x.holder, x.part.Report) {
-		h.grantAll(x, g, targets)
+	if g.page.isNextPart(x.holder, x.part.Report) {
+		h.grantPart(x, g, targets)
 	}
 	return h.receipt(x, g, targets)
 }
 
-// grantAll sets the rows of one part. The caller holds mu.
-func (h *Holder) grantAll(x *pending, g *granting, targets map[string]int64) {
+// grantPart sets the rows of one part. The caller holds mu.
+func (h *Holder) grantPart(x *pendingPart, g *granter, targets map[string]int64) {
 	report := x.part.Report
-	x.folded = nil
+	x.settlements = nil
 	if x.part.Start.Node != "" {
-		x.folded = g.fold(x.holder, x.part.Start)
+		x.settlements = g.fold(x.holder, x.part.Start)
 	}
 	g.report(x.holder, report)
 	for name, need := range x.part.Rows {
@@ -196,11 +196,11 @@
 }
 
 // receipt tells how a page stands for a holder. The caller holds mu.
-func (h *Holder) receipt(x *pending, g *granting, targets map[string]int64) PartReceipt {
+func (h *Holder) receipt(x *pendingPart, g *granter, targets map[string]int64) PartReceipt {
 	page := g.page
 	report, present := page.Holders[x.holder]
 	r := PartReceipt{
-		Page: x.part.Page, Present: present, Unsettled: g.unsettled(x.holder, x.part.Report.Node), Report: report, Holders: len(page.Holders), FleetRate: h.all.rate(),
+		Page: x.part.Page, Present: present, Unsettled: g.unsettled(x.holder, x.part.Report.Node), Report: report, Holders: len(page.Holders), FleetRate: h.fleetMeter.rate(),
 		Epoch: page.Epoch, Rows: make(map[string]AccountReceipt, len(x.part.Rows)),
 	}
 	for name := range x.part.Rows {
@@ -208,18 +208,18 @@
 		if a == nil || acc == nil {
 			continue
 		}
-		rest, free := g.rest(name, a.prepaid)
+		remaining, ungranted := g.unspent(name, a.prepaid)
 		r.Rows[name] = AccountReceipt{
-			Row: acc.Rows[x.holder], Target: targets[name], Remaining: rest, Ungranted: free,
-			OthersDemand: a.others, FleetRate: a.all.rate(), ZoneRate: a.zoneRate, Unproven: acc.Unproven,
+			Row: acc.Rows[x.holder], Target: targets[name], Remaining: remaining, Ungranted: ungranted,
+			OthersDemand: a.othersDemand, FleetRate: a.fleetMeter.rate(), ZoneRate: a.zoneRate, Unproven: acc.Unproven,
 		}
 	}
 	return r
 }
 
-// release tells holders whose parts are in the store. The caller holds mu.
-func (p *pageState) release(list []*pending) {
-	done := make(map[*pending]bool, len(list))
+// complete tells holders whose parts are in the store. The caller holds mu.
+func (p *pageState) complete(list []*pendingPart) {
+	done := make(map[*pendingPart]bool, len(list))
 	for _, x := range list {
 		done[x] = true
 		close(x.done)
@@ -234,8 +234,8 @@
 	p.pending = kept
 }
 
-// lent is a loan that this holder has given.
-type lent struct {
+// loanRecord is a loan that this holder has given.
+type loanRecord struct {
 	reservation *Reservation
 	at          time.Time
 }
@@ -245,14 +245,14 @@
 	number int64
 }
 
-// lend reserves what is lent, of what there is or of what a draw brings.
-func (h *Holder) lend(ctx context.Context, l Loan) (*Reservation, error) {
+// reserveLoan reserves what is lent, of what there is or of what a draw brings.
+func (h *Holder) reserveLoan(ctx context.Context, l Loan) (*Reservation, error) {
 	var r *Reservation
 	var err error
-	if l.HeldOnly || h.follows() {
-		r, _, err = h.try(l.Customer, l.MaxTokens, l.Rank, true)
+	if l.HeldOnly || h.isFollower() {
+		r, _, err = h.tryReserve(l.Customer, l.MaxTokens, l.Rank, true)
 	} else {
-		r, err = h.draws(ctx, l.Customer, l.MaxTokens, l.Rank, true)
+		r, err = h.reserveWithRefresh(ctx, l.Customer, l.MaxTokens, l.Rank, true)
 	}
 	if r != nil && r.holder != nil {
 		return r, nil
@@ -261,25 +261,25 @@
 	defer h.mu.Unlock()
 	after := retryLater
 	if a := h.accounts[l.Customer]; a != nil {
-		after = h.comeBack(a, l.MaxTokens)
+		after = h.retryAfter(a, l.MaxTokens)
 	}
 	return nil, verdict.New(verdict.NotRun, verdict.CodeBudgetUnready, "nothing to lend", verdict.WithRetryAfter(after), verdict.WithCause(err))
 }
 
 // Lend reserves a part of this holder's grant for a request at another holder.
 func (h *Holder) Lend(ctx context.Context, l Loan) error {
-	r, err := h.lend(ctx, l)
+	r, err := h.reserveLoan(ctx, l)
 	if err != nil {
 		return err
 	}
 	h.mu.Lock()
 	key := loanKey{l.Holder, l.Number}
-	_, over := h.returned[key]
-	if !over {
-		h.loans[key] = lent{reservation: r, at: h.now()}
+	_, returned := h.returnedEarly[key]
+	if !returned {
+		h.loans[key] = loanRecord{reservation: r, at: h.now()}
 	}
 	h.mu.Unlock()
-	if over {
+	if returned {
 		r.Settle(0)
 		return refuseBudget("the loan was returned before it was given", retrySoon)
 	}
@@ -294,7 +294,7 @@
 		l, ok := h.loans[key]
 		delete(h.loans, key)
 		if !ok {
-			h.returned[key] = h.now()
+			h.returnedEarly[key] = h.now()
 		}
 		h.mu.Unlock()
 		if ok {
@@ -303,8 +303,8 @@
 	}
 }
 
-// writeOff takes loans that nobody has repaid for long as used.
-func (h *Holder) writeOff() {
+// writeOffLoans takes loans that nobody has repaid for long as used.
+func (h *Holder) writeOffLoans() {
 	h.mu.Lock()
 	now := h.now()
 	var old []*Reservation
@@ -314,13 +314,13 @@
 			delete(h.loans, key)
 		}
 	}
-	for key, at := range h.returned {
+	for key, at := range h.returnedEarly {
 		if now.Sub(at) > loanLife {
-			delete(h.returned, key)
+			delete(h.returnedEarly, key)
 		}
 	}
 	h.mu.Unlock()
 	for _, r := range old {
-		r.Settle(r.most)
+		r.Settle(r.maxTokens)
 	}
 }
--- a/internal/escrow/herd_test.go
+++ b/internal/escrow/herd_test.go
@@ -17,8 +17,8 @@
 type slowKV struct{ external.KV }
 
 const (
-	slowCall = 4 * time.Millisecond
-	herdSize = 40
+	slowCall        = 4 * time.Millisecond
+	startingHolders = 40
 )
 
 func (s slowKV) Read(ctx context.Context, key string) (external.Entry, int64, error) {
@@ -31,14 +31,14 @@
 	return s.KV.Commit(ctx, c)
 }
 
-func TestHerd(t *testing.T) {
+func TestConcurrentStart(t *testing.T) {
 	Convey("Forty holders that start at once, twice, are all ready in a few beats", t, func() {
 		store := slowKV{memkv.New()}
 		for start := range 2 {
 			ctx, cancel := context.WithCancel(context.Background())
 			var g sync.WaitGroup
-			holders := make([]*Holder, 0, herdSize)
-			for i := range herdSize {
+			holders := make([]*Holder, 0, startingHolders)
+			for i := range startingHolders {
 				h := New(store, "p/", 1, fmt.Sprintf("node-%d", i), fmt.Sprintf("node-%d/%d", i, start))
 				h.SetPrepaid([]Prepaid{{Customer: "north", Tokens: 1_000_000}})
 				holders = append(holders, h)
--- a/internal/escrow/holder.go
+++ b/internal/escrow/holder.go
@@ -55,75 +55,75 @@
 }
 
 const (
-	beatHolders = 12 // holders for each Beat between regular draws
-	mostBeats   = 6
-	freshFor    = 300 * time.Millisecond // a page that was the newest so long ago is read again before it is written
-	mineFor     = 3 * time.Second        // the same, of a page that this holder wrote last: where others write too, a write tells so
+	holdersPerInterval  = 12 // holders for each Beat between regular draws
+	maxIntervalFactor   = 6
+	copyFreshFor        = 300 * time.Millisecond // a page that was the newest so long ago is read again before it is written
+	selfWrittenFreshFor = 3 * time.Second        // the same, of a page that this holder wrote last: where others write too, a write tells so
 )
 
 // Holder is this process's part of the escrow: a service, and the place where requests reserve.
 type Holder struct {
-	id     string
-	node   string
-	begun  Report // of the process's start
-	store  external.KV
-	clock  Clock
-	now    func() time.Time
-	wall   func() time.Time
-	random func() float64 // from 0 to 1
-	policy Policy
-	times  Times
-	log    zerolog.Logger
-
-	onFolded func(Settlement)
-	epochs   *external.Epochs
-	restored atomic.Pointer[time.Time] // when the store's last restoration was learnt; nil: it was not restored
-
-	mu       sync.Mutex
-	accounts map[string]*account
-	pages    []*pageState
-	own      meter         // of all customers here
-	all      meter         // of all customers everywhere, as reported
-	answered time.Time     // the last answer of the store
-	failed   time.Time     // the last draw that failed
-	beat     time.Time     // the last regular draw
-	first    time.Time     // when a request was first asked for, as far as it was noticed
-	holders  int           // that the store knows
-	changed  chan struct{} // closed and replaced after each draw
-	stopping bool
-
-	fleet      Fleet            // nil: this holder is by itself
-	leaderRate float64          // by the zone's leader: tokens a second that all holders use of all customers
-	asked      map[string]asked // by holder of the zone that this one leads
-	loanCount  int64
-	loans      map[loanKey]lent           // given to others
-	returned   map[loanKey]time.Time      // returned before they were given
-	owed       map[string]map[int64]int64 // loans that have ended, by lender and number
-	unpaid     map[string]time.Time       // since when a lender has not taken them; only Repayments uses it
-
-	kicks chan struct{}
+	id      string
+	node    string
+	started Report // of the process's start
+	store   external.KV
+	clock   Clock
+	now     func() time.Time
+	wall    func() time.Time
+	random  func() float64 // from 0 to 1
+	policy  Policy
+	times   Times
+	log     zerolog.Logger
+
+	onFolded   func(Settlement)
+	epochs     *external.Epochs
+	restoredAt atomic.Pointer[time.Time] // when the store's last restoration was learnt; nil: it was not restored
+
+	mu          sync.Mutex
+	accounts    map[string]*account
+	pages       []*pageState
+	localMeter  meter         // of all customers here
+	fleetMeter  meter         // of all customers everywhere, as reported
+	lastAnswer  time.Time     // the last answer of the store
+	lastFailure time.Time     // the last draw that failed
+	lastRefresh time.Time     // the last regular draw
+	firstDemand time.Time     // when a request was first asked for, as far as it was noticed
+	holderCount int           // that the store knows
+	changed     chan struct{} // closed and replaced after each draw
+	stopping    bool
+
+	fleet            Fleet                     // nil: this holder is by itself
+	leaderRate       float64                   // by the zone's leader: tokens a second that all holders use of all customers
+	zoneDemand       map[string]reportedDemand // by holder of the zone that this one leads
+	loanCount        int64
+	loans            map[loanKey]loanRecord     // given to others
+	returnedEarly    map[loanKey]time.Time      // returned before they were given
+	endedLoans       map[string]map[int64]int64 // loans that have ended, by lender and number
+	unreachableSince map[string]time.Time       // since when a lender has not taken them; only Repayments uses it
+
+	wakeups chan struct{}
 }
 
 // pageState is what the holder knows of one page.
 type pageState struct {
-	key      string
-	raw      []byte
-	revision int64
-	known    bool
-	count    int64 // of this holder's last write that is known to have happened
-	unsure   int64 // the base of a write whose outcome is not known; -1: none
+	key             string
+	raw             []byte
+	revision        int64
+	known           bool
+	count           int64 // of this holder's last write that is known to have happened
+	unconfirmedBase int64 // the base of a write whose outcome is not known; -1: none
 	// submitted: a leader may still write rows of this holder that follow count
 	submitted bool
-	pending   []*pending // rows of others
-	joined    bool       // this holder is in it
-	epoch     int64      // of the store, in which this holder last stated its rows
-	lost      lostCopy
+	pending   []*pendingPart // rows of others
+	joined    bool           // this holder is in it
+	epoch     int64          // of the store, in which this holder last stated its rows
+	prior     priorCopy
 	// unsettled: rows of this node's earlier processes are left
-	unsettled bool
-	drawn     time.Time
-	seen      time.Time        // when the copy was known to be the newest
-	mine      bool             // this holder has written it
-	reported  map[string]int64 // spent, by customer, as last written
+	unsettled   bool
+	refreshedAt time.Time
+	verifiedAt  time.Time        // when the copy was known to be the newest
+	selfWritten bool             // this holder has written it
+	reported    map[string]int64 // spent, by customer, as last written
 }
 
 // Option changes a Holder.
@@ -164,18 +164,18 @@
 	h := &Holder{
 		id: id, node: node, store: store, clock: MachineClock(), now: time.Now, wall: time.Now, random: rand.Float64,
 		policy: DefaultPolicy(), times: DefaultTimes(), log: zerolog.Nop(), onFolded: func(Settlement) {}, epochs: external.NewEpochs(),
-		accounts: make(map[string]*account), changed: make(chan struct{}), kicks: make(chan struct{}, 1),
-		asked: make(map[string]asked), loans: make(map[loanKey]lent), returned: make(map[loanKey]time.Time),
-		owed: make(map[string]map[int64]int64), unpaid: make(map[string]time.Time),
+		accounts: make(map[string]*account), changed: make(chan struct{}), wakeups: make(chan struct{}, 1),
+		zoneDemand: make(map[string]reportedDemand), loans: make(map[loanKey]loanRecord), returnedEarly: make(map[loanKey]time.Time),
+		endedLoans: make(map[string]map[int64]int64), unreachableSince: make(map[string]time.Time),
 	}
 	for i := range max(1, pages) {
-		h.pages = append(h.pages, &pageState{key: fmt.Sprintf("%s%d", prefix, i), unsure: -1, reported: make(map[string]int64)})
+		h.pages = append(h.pages, &pageState{key: fmt.Sprintf("%s%d", prefix, i), unconfirmedBase: -1, reported: make(map[string]int64)})
 	}
 	for _, opt := range opts {
 		opt(h)
 	}
-	h.begun = h.report(h.clock.Now()+time.Millisecond-1, 0) // rounded up: an earlier process may have spent until then
-	h.epochs.OnRestored(h.restoredStore)
+	h.started = h.report(h.clock.Now()+time.Millisecond-1, 0) // rounded up: an earlier process may have spent until then
+	h.epochs.OnRestored(h.handleRestored)
 	return h
 }
 
@@ -194,59 +194,59 @@
 	for _, p := range list {
 		a := h.accounts[p.Customer]
 		if a == nil {
-			a = &account{prepaid: p.Tokens, rest: p.Tokens, free: p.Tokens}
+			a = &account{prepaid: p.Tokens, remaining: p.Tokens, ungranted: p.Tokens}
 			h.accounts[p.Customer] = a
 		}
 		if a.prepaid != p.Tokens {
-			a.rest += p.Tokens - a.prepaid
-			a.free += p.Tokens - a.prepaid
+			a.remaining += p.Tokens - a.prepaid
+			a.ungranted += p.Tokens - a.prepaid
 			a.prepaid = p.Tokens
 			delete(h.pageOf(p.Customer).reported, p.Customer)
 		}
 	}
-	h.kick()
+	h.wake()
 }
 
-func (h *Holder) kick() {
+func (h *Holder) wake() {
 	select {
-	case h.kicks <- struct{}{}:
+	case h.wakeups <- struct{}{}:
 	default:
 	}
 }
 
 // StoreAnswered tells the holder that the store has just answered: the best moment for a regular draw. own reports that all pages that have
 // changed were observed, so that a write can stand on them.
-func (h *Holder) StoreAnswered(own bool) {
-	told := h.follows() || h.relays() // by a leader that has heard the store
+func (h *Holder) StoreAnswered(observed bool) {
+	viaLeader := h.isFollower() || h.isRelay() // by a leader that has heard the store
 	h.mu.Lock()
 	now := h.now()
-	if told {
-		h.contacted()
+	if viaLeader {
+		h.noteAnswer()
 	}
-	due := now.Sub(h.beat) >= h.interval()*9/10
+	due := now.Sub(h.lastRefresh) >= h.refreshInterval()*9/10
 	for _, p := range h.pages {
-		if own {
-			p.seen = now
+		if observed {
+			p.verifiedAt = now
 		}
 	}
 	h.mu.Unlock()
 	if due {
-		h.kick()
+		h.wake()
 	}
 }
 
-// interval is the time between regular draws: a large fleet draws more rarely, since all write the same pages. The caller holds
+// refreshInterval is the time between regular draws: a large fleet draws more rarely, since all write the same pages. The caller holds
 // mu.
-func (h *Holder) interval() time.Duration {
-	return h.times.RefreshInterval * h.crowd()
+func (h *Holder) refreshInterval() time.Duration {
+	return h.times.RefreshInterval * h.crowdFactor()
 }
 
-// crowd is by how much draws are rarer than in a small fleet. Where zones are led few holders write. The caller holds mu.
-func (h *Holder) crowd() time.Duration {
+// crowdFactor is by how much draws are rarer than in a small fleet. Where zones are led few holders write. The caller holds mu.
+func (h *Holder) crowdFactor() time.Duration {
 	if h.fleet != nil && h.fleet.Large() && !h.fleet.Stranded() {
 		return 1
 	}
-	return time.Duration(max(1, min(h.holders/beatHolders, mostBeats)))
+	return time.Duration(max(1, min(h.holderCount/holdersPerInterval, maxIntervalFactor)))
 }
 
 // Ready reports whether the holder has seen the store and knows its accounts.
@@ -265,7 +265,7 @@
 func (h *Holder) Holders() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return max(1, h.holders)
+	return max(1, h.holderCount)
 }
 
 // ReduceDemand asks for less from now on: the process is about to stop.
@@ -273,5 +273,5 @@
 	h.mu.Lock()
 	h.stopping = true
 	h.mu.Unlock()
-	h.kick()
+	h.wake()
 }
--- a/internal/escrow/leave.go
+++ b/internal/escrow/leave.go
@@ -37,32 +37,32 @@
 	h.mu.Lock()
 	page, err := DecodePage(p.raw)
 	if err == nil {
-		page, _, err = p.basis(page)
+		page, _, err = p.writeBase(page)
 	}
 	if err != nil {
 		h.mu.Unlock()
 		return err
 	}
-	restates := h.restates(p)
+	restates := h.mustRestate(p)
 	if _, held := page.Holders[h.id]; !held && !restates {
 		h.mu.Unlock()
 		return nil
 	}
-	page.enter(h.epochs.Current(), h.wall(), p.joined)
+	page.enterEpoch(h.epochs.Current(), h.wall(), p.joined)
 	spent := make(map[string]int64, len(h.accounts))
 	for name, a := range h.accounts {
 		if h.pageOf(name) == p {
 			spent[name] = a.used()
-			a.unsure = append(a.unsure, issued{})
+			a.unconfirmed = append(a.unconfirmed, issuedRow{})
 		}
 	}
 	page.Leave(h.id, spent, restates)
 	raw, err := page.Encode()
-	p.unsure = p.revision
-	w := write{to: p, raw: raw, page: page, base: p.revision}
+	p.unconfirmedBase = p.revision
+	w := pageWrite{state: p, raw: raw, page: page, base: p.revision}
 	h.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	return h.write(ctx, []write{w})
+	return h.write(ctx, []pageWrite{w})
 }
--- a/internal/escrow/loss_test.go
+++ b/internal/escrow/loss_test.go
@@ -20,51 +20,51 @@
 // what was left.
 
 const (
-	lossHolders   = 6
-	lossCustomers = 4
-	lossStep      = 100 * time.Millisecond
-	lossPerStep   = 0.1 // requests of a customer at a holder
-	lossSmall     = 1_000
-	lossLarge     = 12_000
-	lossLargePart = 0.3
-	lossMean      = lossSmall + lossLargePart*(lossLarge-lossSmall) // tokens of a request
+	lossHolders    = 6
+	lossCustomers  = 4
+	lossStep       = 100 * time.Millisecond
+	lossPerStep    = 0.1 // requests of a customer at a holder
+	lossSmall      = 1_000
+	lossLarge      = 12_000
+	lossLargeShare = 0.3
+	lossMean       = lossSmall + lossLargeShare*(lossLarge-lossSmall) // tokens of a request
 )
 
 // lossFleet is a small fleet in virtual time, whose holders are asked for requests of uneven sizes and report each second.
 type lossFleet struct {
-	store   *memkv.Store
-	elapsed time.Duration
-	gates   []*gate
-	boots   []int
-	holders []*Holder
-	random  *rand.Rand
-	lots    *rand.Rand
-	prepaid int64 // each customer's, in tokens
-	reserve func(h *Holder, customer string, tokens int64) *Reservation
-	spent   map[string]int64
-	served  int
-	refused int
+	store     *memkv.Store
+	elapsed   time.Duration
+	stores    []*nodeKV
+	boots     []int
+	holders   []*Holder
+	random    *rand.Rand
+	lotRandom *rand.Rand
+	prepaid   int64 // each customer's, in tokens
+	reserve   func(h *Holder, customer string, tokens int64) *Reservation
+	spent     map[string]int64
+	served    int
+	refused   int
 }
 
-func newLossFleet(seed uint64) *lossFleet { return newLossFleetOf(seed, lossPrepaid, tryOnly) }
+func newLossFleet(seed uint64) *lossFleet { return newLossFleetOf(seed, lossPrepaid, reserveFromGrant) }
 
 func newLossFleetOf(seed uint64, prepaid int64, reserve func(*Holder, string, int64) *Reservation) *lossFleet {
 	f := &lossFleet{
-		store: memkv.New(), gates: make([]*gate, lossHolders), boots: make([]int, lossHolders), holders: make([]*Holder, lossHolders),
-		random: rand.New(rand.NewPCG(seed, 0)), lots: rand.New(rand.NewPCG(seed, 1)), prepaid: prepaid, reserve: reserve, spent: make(map[string]int64),
+		store: memkv.New(), stores: make([]*nodeKV, lossHolders), boots: make([]int, lossHolders), holders: make([]*Holder, lossHolders),
+		random: rand.New(rand.NewPCG(seed, 0)), lotRandom: rand.New(rand.NewPCG(seed, 1)), prepaid: prepaid, reserve: reserve, spent: make(map[string]int64),
 	}
 	f.start()
 	return f
 }
 
-// tryOnly reserves of what a holder has, whatever is decided about a request before.
-func tryOnly(h *Holder, customer string, tokens int64) *Reservation {
-	r, _, _ := h.try(customer, tokens, 0, false)
+// reserveFromGrant reserves of what a holder has, whatever is decided about a request before.
+func reserveFromGrant(h *Holder, customer string, tokens int64) *Reservation {
+	r, _, _ := h.tryReserve(customer, tokens, 0, false)
 	return r
 }
 
-// reserveAtOnce reserves as requests do, but waits for no draw.
-func reserveAtOnce(h *Holder, customer string, tokens int64) *Reservation {
+// reserveWithoutWaiting reserves as requests do, but waits for no draw.
+func reserveWithoutWaiting(h *Holder, customer string, tokens int64) *Reservation {
 	h.times.ReserveWait = 0
 	r, _ := h.Reserve(context.Background(), customer, tokens, 0)
 	return r
@@ -85,10 +85,10 @@
 	now := func() time.Time { return time.Unix(1_000_000, 0).Add(f.elapsed) }
 	for i := range f.holders {
 		f.boots[i]++
-		f.gates[i] = &gate{KV: f.store}
+		f.stores[i] = &nodeKV{KV: f.store}
 		node := fmt.Sprintf("node-%d", i)
 		id := fmt.Sprintf("%s/%d", node, f.boots[i])
-		f.holders[i] = New(f.gates[i], "loss/", 1, node, id, WithNow(now), WithWall(now), WithRandom(f.lots.Float64), WithClock(lossClock{fleet: f, boot: id, since: f.elapsed}))
+		f.holders[i] = New(f.stores[i], "loss/", 1, node, id, WithNow(now), WithWall(now), WithRandom(f.lotRandom.Float64), WithClock(lossClock{fleet: f, boot: id, since: f.elapsed}))
 		list := make([]Prepaid, lossCustomers)
 		for c := range list {
 			list[c] = Prepaid{Customer: lossCustomer(c), Tokens: f.prepaid}
@@ -99,34 +99,34 @@
 
 func lossCustomer(c int) string { return fmt.Sprintf("customer-%d", c) }
 
-// play lets time pass up to a moment, with the store in reach or not.
-func (f *lossFleet) play(until time.Duration, cut bool) {
-	for _, g := range f.gates {
-		g.cut = cut
+// run lets time pass up to a moment, with the store in reach or not.
+func (f *lossFleet) run(until time.Duration, unreachable bool) {
+	for _, g := range f.stores {
+		g.unreachable = unreachable
 	}
 	f.served, f.refused = 0, 0
 	for ; f.elapsed < until; f.elapsed += lossStep {
 		for _, h := range f.holders {
-			if !cut {
-				h.round(context.Background(), h.startBeat())
+			if !unreachable {
+				h.round(context.Background(), h.startRound())
 			}
 			for c := range lossCustomers {
 				if f.random.Float64() < lossPerStep {
-					f.ask(h, lossCustomer(c), cut)
+					f.request(h, lossCustomer(c), unreachable)
 				}
 			}
 		}
 	}
 }
 
-// ask makes one request of a holder, and another try after the draw that the first one asked for.
-func (f *lossFleet) ask(h *Holder, customer string, cut bool) {
+// request makes one request of a holder, and another try after the draw that the first one asked for.
+func (f *lossFleet) request(h *Holder, customer string, unreachable bool) {
 	tokens := int64(lossSmall)
-	if f.random.Float64() < lossLargePart {
+	if f.random.Float64() < lossLargeShare {
 		tokens = lossLarge
 	}
 	r := f.reserve(h, customer, tokens)
-	if r == nil && !cut && h.worthDrawing(customer, tokens) {
+	if r == nil && !unreachable && h.refreshMayHelp(customer, tokens) {
 		h.round(context.Background(), false)
 		r = f.reserve(h, customer, tokens)
 	}
@@ -146,20 +146,20 @@
 	lossPrepaid = int64(lossHolders * lossPerStep * lossMean * float64(lossBudget/lossStep))
 )
 
-func TestServiceComesBack(t *testing.T) {
+func TestServiceResumesAfterPowerLosses(t *testing.T) {
 	Convey("After all holders have lost power twice with the store away, a quarter of the requests or more is served", t, func() {
 		for seed := range uint64(8) {
 			f := newLossFleet(seed)
-			f.play(8*time.Second, false)
-			f.play(18*time.Second, true)
+			f.run(8*time.Second, false)
+			f.run(18*time.Second, true)
 			f.elapsed += time.Second
 			f.start()
-			f.play(34*time.Second, false)
-			f.play(42500*time.Millisecond, true)
+			f.run(34*time.Second, false)
+			f.run(42500*time.Millisecond, true)
 			f.elapsed += 2500 * time.Millisecond
 			f.start()
-			f.play(57*time.Second, false)
-			f.play(61*time.Second, false)
+			f.run(57*time.Second, false)
+			f.run(61*time.Second, false)
 			var used int64
 			for _, n := range f.spent {
 				used += n
@@ -171,7 +171,7 @@
 	})
 }
 
-func TestMostOut(t *testing.T) {
+func TestOutstandingGrantsAreLimited(t *testing.T) {
 	const north, prepaid = "north", 1_000_000
 	Convey("However much holders want, a part of the unspent rest stays ungranted once each has reported its use", t, func() {
 		p, err := DecodePage(nil)
@@ -182,9 +182,9 @@
 				a.Grant(fmt.Sprintf("node-%d", i), Need{Spent: spent, Demand: 400_000}, prepaid)
 			}
 		}
-		out := a.Committed() - a.Spent()
-		So(out, ShouldBeGreaterThan, 0)
-		So(float64(out), ShouldBeLessThanOrEqualTo, mostOut*float64(prepaid-a.Spent()))
+		outstanding := a.Committed() - a.Spent()
+		So(outstanding, ShouldBeGreaterThan, 0)
+		So(float64(outstanding), ShouldBeLessThanOrEqualTo, maxOutstanding*float64(prepaid-a.Spent()))
 
 		Convey("and goes to requests that wait", func() {
 			row := a.Grant("node-0", Need{Spent: 60_000, Demand: 400_000, Urgent: 300_000}, prepaid)
@@ -194,10 +194,10 @@
 	})
 }
 
-func TestStoppingHoldsItsMean(t *testing.T) {
+func TestStoppingHolderDemandsMeanUse(t *testing.T) {
 	Convey("A holder that is about to stop asks for its mean use and nothing beside: its callers come to others", t, func() {
 		const each, perSecond = 5_000, 4
-		h, a := askedHolder(RoleStandalone, each, perSecond)
+		h, a := loadedHolder(RoleStandalone, each, perSecond)
 		running := h.need("north", a, 3).Demand
 		h.ReduceDemand()
 		stopping := float64(h.need("north", a, 3).Demand)
@@ -213,37 +213,37 @@
 // instances that were lost", 114 a second at 56 s, beside one stream served, while 118 a second were served at 29 s. A quarter of what
 // was paid had been used by nobody. Callers who came later had no chance at what was left, and the operator no time to pay in more.
 
-func TestServiceStaysBack(t *testing.T) {
+func TestServiceContinuesAfterPowerLosses(t *testing.T) {
 	Convey("Where a loss has taken a large part of budgets and they end, some of those that come later are served, too", t, func() {
-		servedLater(t, 50*time.Second)
+		checkServedLater(t, 50*time.Second)
 	})
 
-	Convey("also where they end sooner", t, func() { servedLater(t, 42*time.Second) })
+	Convey("also where they end sooner", t, func() { checkServedLater(t, 42*time.Second) })
 }
 
-// servedLater plays the day with budgets of so much mean use by all holders, and wants a tenth of the last requests served.
-func servedLater(t *testing.T, paid time.Duration) {
+// checkServedLater plays the day with budgets of so much mean use by all holders, and wants a tenth of the last requests served.
+func checkServedLater(t *testing.T, paid time.Duration) {
 	prepaid := int64(float64(lossPrepaid) * paid.Seconds() / lossBudget.Seconds())
-	var served, asked int
+	var served, total int
 	for seed := range uint64(8) {
-		f := newLossFleetOf(seed, prepaid, reserveAtOnce)
-		f.play(18*time.Second, false)
-		f.play(25*time.Second, true)
+		f := newLossFleetOf(seed, prepaid, reserveWithoutWaiting)
+		f.run(18*time.Second, false)
+		f.run(25*time.Second, true)
 		f.elapsed += time.Second
 		f.start()
-		f.play(36*time.Second, false)
-		f.play(41*time.Second, true)
+		f.run(36*time.Second, false)
+		f.run(41*time.Second, true)
 		f.elapsed += 1500 * time.Millisecond
 		f.start()
-		f.play(44*time.Second, true)
-		f.play(54500*time.Millisecond, false)
+		f.run(44*time.Second, true)
+		f.run(54500*time.Millisecond, false)
 		early := f.served
-		f.play(58500*time.Millisecond, false)
+		f.run(58500*time.Millisecond, false)
 		for _, n := range f.spent {
 			So(n, ShouldBeLessThanOrEqualTo, prepaid)
 		}
 		t.Logf("seed %d: %d served in the first ten seconds, %d of %d in four seconds later on", seed, early, f.served, f.served+f.refused)
-		served, asked = served+f.served, asked+f.served+f.refused
+		served, total = served+f.served, total+f.served+f.refused
 	}
-	So(float64(served), ShouldBeGreaterThan, 0.1*float64(asked))
+	So(float64(served), ShouldBeGreaterThan, 0.1*float64(total))
 }
--- a/internal/escrow/meter.go
+++ b/internal/escrow/meter.go
@@ -9,8 +9,8 @@
 type meter struct {
 	perSecond float64
 	pending   float64
-	squares   float64 // of the requests' sizes
-	sizes     float64 // their sum
+	squareSum float64 // of the requests' sizes
+	sizeSum   float64 // their sum
 	at        time.Time
 	age       time.Duration
 }
@@ -25,8 +25,8 @@
 func (m *meter) add(tokens int64) {
 	x := float64(tokens)
 	m.pending += x
-	m.sizes += x
-	m.squares += x * x
+	m.sizeSum += x
+	m.squareSum += x * x
 }
 
 // tick brings the rate up to date. A meter begins with the first requests, whatever they are: idle reports that there were none yet.
@@ -39,11 +39,11 @@
 	if dt <= 0 {
 		return
 	}
-	keep := math.Exp(-dt.Seconds() / meterWindow.Seconds())
-	m.perSecond = m.perSecond*keep + m.pending/dt.Seconds()*(1-keep)
-	forget := math.Exp(-dt.Seconds() / sizeDecay.Seconds())
-	m.sizes *= forget
-	m.squares *= forget
+	decay := math.Exp(-dt.Seconds() / meterWindow.Seconds())
+	m.perSecond = m.perSecond*decay + m.pending/dt.Seconds()*(1-decay)
+	sizeDecayFactor := math.Exp(-dt.Seconds() / sizeDecay.Seconds())
+	m.sizeSum *= sizeDecayFactor
+	m.squareSum *= sizeDecayFactor
 	m.pending = 0
 	m.at = now
 	m.age += dt
@@ -58,10 +58,10 @@
 	return m.perSecond / seen
 }
 
-// grain is the size of request that makes the flow uneven: the mean size, larger requests counting more.
-func (m *meter) grain() float64 {
-	if m.sizes <= 0 {
+// weightedSize is the size of request that makes the flow uneven: the mean size, larger requests counting more.
+func (m *meter) weightedSize() float64 {
+	if m.sizeSum <= 0 {
 		return 0
 	}
-	return m.squares / m.sizes
+	return m.squareSum / m.sizeSum
 }
--- a/internal/escrow/need.go
+++ b/internal/escrow/need.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// freshFlow is how long after the first request what is measured says too little.
-const freshFlow = 3 * time.Second
+// warmupTime is how long after the first request what is measured says too little.
+const warmupTime = 3 * time.Second
 
 // need sizes what the holder asks for of a customer's account. The caller holds mu.
 func (h *Holder) need(name string, a *account, holders int) Need {
@@ -26,15 +26,15 @@
 		// all that this holder has is lost to the budget.
 		policy.Deviations, policy.BurstDeviations, policy.ReserveFactor = 0, 0, 1
 	}
-	n.Demand, n.Burst, n.Rate = policy.size(f, horizon, policy.plenty(a.unspent(), a.prepaid))
-	if role == RolePooled && float64(n.Demand) < f.grain {
+	n.Demand, n.Burst, n.Rate = policy.size(f, horizon, policy.abundance(a.unspent(), a.prepaid))
+	if role == RolePooled && float64(n.Demand) < f.weightedSize {
 		n.Demand, n.Burst, n.Rate = 0, 0, 0 // too little for a single request
 	}
-	if h.fresh() && !h.stopping && role != RolePooled {
+	if h.warmingUp() && !h.stopping && role != RolePooled {
 		share := h.startShare(a, role, max(1, holders))
 		burst, rate := share, int64(0)
 		if h.fleet != nil && h.fleet.Large() {
-			burst, rate = policy.release(share) // it is a part for a whole zone
+			burst, rate = policy.releaseSchedule(share) // it is a part for a whole zone
 		}
 		n.Demand, n.Burst, n.Rate = max(n.Demand, share), max(n.Burst, burst), max(n.Rate, rate)
 	}
@@ -42,17 +42,17 @@
 	return n
 }
 
-// fresh reports whether too little is measured yet, here or in the zone that this holder pools tokens for. The caller holds mu.
-func (h *Holder) fresh() bool {
-	if h.first.IsZero() && h.asks() {
-		h.first = h.now()
+// warmingUp reports whether too little is measured yet, here or in the zone that this holder pools tokens for. The caller holds mu.
+func (h *Holder) warmingUp() bool {
+	if h.firstDemand.IsZero() && h.hasDemand() {
+		h.firstDemand = h.now()
 	}
-	return h.first.IsZero() || h.now().Sub(h.first) < freshFlow
+	return h.firstDemand.IsZero() || h.now().Sub(h.firstDemand) < warmupTime
 }
 
-// asks reports whether anything was asked for yet. The caller holds mu.
-func (h *Holder) asks() bool {
-	if h.own.sizes > 0 {
+// hasDemand reports whether anything was asked for yet. The caller holds mu.
+func (h *Holder) hasDemand() bool {
+	if h.localMeter.sizeSum > 0 {
 		return true
 	}
 	for _, a := range h.accounts {
@@ -65,33 +65,33 @@
 
 // startShare is what the holder asks for while nothing is measured. The caller holds mu.
 func (h *Holder) startShare(a *account, role Role, holders int) int64 {
-	rest := float64(max(0, a.rest))
+	remaining := float64(max(0, a.remaining))
 	switch {
 	case role == RolePool:
-		return int64(rest * h.policy.PoolStartShare * min(1, float64(h.fleet.ZoneSize())/float64(holders)))
-	case a.others > 0 && role == RoleStandalone:
-		return a.others
+		return int64(remaining * h.policy.PoolStartShare * min(1, float64(h.fleet.ZoneSize())/float64(holders)))
+	case a.othersDemand > 0 && role == RoleStandalone:
+		return a.othersDemand
 	}
-	return int64(rest * h.policy.StartShare / float64(holders))
+	return int64(remaining * h.policy.StartShare / float64(holders))
 }
 
 // flow is a customer's use here: as measured here, the more so the more of its requests were seen, and for the rest this holder's part of
 // what all holders report, as if its callers spread like all callers do. At a pool it is what the zone is asked for. The caller holds mu.
 func (h *Holder) flow(a *account, role Role) flow {
 	local := a.meter.rate()
-	all, mine := h.all.rate(), a.all.rate()
+	total, customerRate := h.fleetMeter.rate(), a.fleetMeter.rate()
 	if a.led {
-		all, mine = h.leaderRate, a.leaderRate
+		total, customerRate = h.leaderRate, a.leaderRate
 	}
-	f := flow{rate: local, whole: mine, grain: h.own.grain()}
+	f := flow{rate: local, fleetRate: customerRate, weightedSize: h.localMeter.weightedSize()}
 	switch {
 	case role == RolePool:
 		f.rate = max(a.zoneRate, local)
-	case all > 0 && f.grain > 0: // a holder that was never asked knows no size of requests
-		part := min(1, h.own.rate()/all)
-		seen := mine * meterWindow.Seconds()
-		sure := seen / (seen + priorRequests*f.grain)
-		f.rate = sure*local + (1-sure)*part*mine
+	case total > 0 && f.weightedSize > 0: // a holder that was never asked knows no size of requests
+		part := min(1, h.localMeter.rate()/total)
+		seen := customerRate * meterWindow.Seconds()
+		confidence := seen / (seen + priorRequests*f.weightedSize)
+		f.rate = confidence*local + (1-confidence)*part*customerRate
 	}
 	return f
 }
--- a/internal/escrow/page.go
+++ b/internal/escrow/page.go
@@ -164,38 +164,38 @@
 // SettlePredecessors settles the rows of a node's earlier holders. They had ended when the successor's process began, which begun tells: where
 // that comes from the same clock, no more than Ceiling can have been spent; else all that was granted counts as spent. Rows that wait
 // for begun.Fleet stay.
-func (p *Page) SettlePredecessors(successor string, begun Report) []Settlement {
-	var gone []string
+func (p *Page) SettlePredecessors(successor string, start Report) []Settlement {
+	var predecessors []string
 	for id, r := range p.Holders {
-		if r.Node == begun.Node && id != successor {
-			gone = append(gone, id)
+		if r.Node == start.Node && id != successor {
+			predecessors = append(predecessors, id)
 		}
 	}
-	sort.Strings(gone)
-	out := make([]Settlement, 0, len(gone))
-	for _, id := range gone {
-		if !p.Holders[id].waitsFor(begun) {
-			out = append(out, p.fold(id, begun))
+	sort.Strings(predecessors)
+	out := make([]Settlement, 0, len(predecessors))
+	for _, id := range predecessors {
+		if !p.Holders[id].awaitsFleetTime(start) {
+			out = append(out, p.settlePredecessor(id, start))
 		}
 	}
 	return out
 }
 
-// waitsFor reports whether the age of a report at a successor's start will be known better soon.
-func (r Report) waitsFor(begun Report) bool {
-	return begun.FleetTimePending && begun.FleetTime == 0 && r.FleetTime != 0 && !sameRun(r, begun)
+// awaitsFleetTime reports whether the age of a report at a successor's start will be known better soon.
+func (r Report) awaitsFleetTime(start Report) bool {
+	return start.FleetTimePending && start.FleetTime == 0 && r.FleetTime != 0 && !sameBoot(r, start)
 }
 
-func (p *Page) fold(id string, begun Report) Settlement {
-	f, doubtful := Settlement{Holder: id}, p.doubtful(id)
-	f.Age, f.AgeKnown = ageOf(p.Holders[id], begun)
+func (p *Page) settlePredecessor(id string, start Report) Settlement {
+	f, stale := Settlement{Holder: id}, p.stale(id)
+	f.Age, f.AgeKnown = ageOf(p.Holders[id], start)
 	for _, a := range p.Accounts {
 		row, ok := a.Rows[id]
 		if !ok {
 			continue
 		}
 		spent := row.Granted
-		if f.AgeKnown && !doubtful {
+		if f.AgeKnown && !stale {
 			spent = row.Ceiling(f.Age)
 		}
 		f.Spent += row.Spent
@@ -222,7 +222,7 @@
 	if then.Wall == 0 || now.Wall == 0 {
 		return 0, false
 	}
-	if sameRun(then, now) {
+	if sameBoot(then, now) {
 		return time.Duration(now.Clock-then.Clock) * time.Millisecond, true
 	}
 	if wall < -ClockError {
@@ -235,8 +235,8 @@
 	return wall + ClockError, true
 }
 
-// sameRun reports whether two reports come from one run of a machine, as far as its clocks do not contradict each other.
-func sameRun(then, now Report) bool {
+// sameBoot reports whether two reports come from one run of a machine, as far as its clocks do not contradict each other.
+func sameBoot(then, now Report) bool {
 	steady := time.Duration(now.Clock-then.Clock) * time.Millisecond
 	off := time.Duration(now.Wall-then.Wall)*time.Millisecond - steady
 	return then.Boot != "" && then.Boot == now.Boot && steady >= 0 && -ClockError < off && off < ClockError
@@ -244,19 +244,19 @@
 
 // Leave settles what a holder has spent and gives the rest back. The holder spends nothing afterwards. Where the page may lack the holder's last
 // rows, what it has spent counts whatever its rows are.
-func (p *Page) Leave(holder string, spent map[string]int64, lacking bool) {
+func (p *Page) Leave(holder string, spent map[string]int64, incomplete bool) {
 	for customer, a := range p.Accounts {
 		row, ok := a.Rows[holder]
 		if !ok {
 			continue
 		}
-		if !lacking {
+		if !incomplete {
 			a.Settled += min(row.Granted, spent[customer])
 		}
 		delete(a.Rows, holder)
 	}
 	delete(p.Holders, holder)
-	if !lacking {
+	if !incomplete {
 		return
 	}
 	for customer, n := range spent {
--- a/internal/escrow/page_test.go
+++ b/internal/escrow/page_test.go
@@ -74,7 +74,7 @@
 }
 
 // A page whose account had no value ended the process of each instance that read it; one with an amount below 0 would have freed tokens.
-func TestForeignPage(t *testing.T) {
+func TestInvalidPage(t *testing.T) {
 	Convey("A page that no holder can have written is not read", t, func() {
 		type raw = map[int]any
 		row := func(key int, n int64) raw {
@@ -106,29 +106,29 @@
 	Convey("No build takes the report of another build's clock for younger than it is", t, func() {
 		raw, err := os.ReadFile(bootIDPath)
 		So(err, ShouldBeNil)
-		const suspended, passed = 2500 * time.Millisecond, 5 * time.Second
+		const suspended, elapsed = 2500 * time.Millisecond, 5 * time.Second
 		at := func(boot string, clock time.Duration) Report {
 			return Report{Node: "node", Boot: boot, Clock: clock.Milliseconds(), Wall: (time.Hour + clock).Milliseconds()}
 		}
-		earlier := func(t time.Duration) Report {
+		earlierBuild := func(t time.Duration) Report {
 			r := at(strings.TrimSpace(string(raw)), t)
 			r.Clock -= suspended.Milliseconds()
 			return r
 		}
-		today := func(t time.Duration) Report { return at(MachineClock().Boot(), t) }
+		thisBuild := func(t time.Duration) Report { return at(MachineClock().Boot(), t) }
 		for _, c := range []struct{ then, now Report }{
-			{earlier(time.Minute), today(time.Minute + passed)}, // an upgrade
-			{today(time.Minute), earlier(time.Minute + passed)}, // a rollback: the earlier build judges in the same way
-			{today(time.Minute), today(time.Minute + passed)},
+			{earlierBuild(time.Minute), thisBuild(time.Minute + elapsed)}, // an upgrade
+			{thisBuild(time.Minute), earlierBuild(time.Minute + elapsed)}, // a rollback: the earlier build judges in the same way
+			{thisBuild(time.Minute), thisBuild(time.Minute + elapsed)},
 		} {
 			age, known := ageOf(c.then, c.now)
 			So(known, ShouldBeTrue)
-			So(age, ShouldBeGreaterThanOrEqualTo, passed)
+			So(age, ShouldBeGreaterThanOrEqualTo, elapsed)
 		}
 	})
 }
 
-func TestFold(t *testing.T) {
+func TestSettlePredecessors(t *testing.T) {
 	const north = "north"
 	report := func(at time.Duration) Report {
 		return Report{Node: "node", Boot: "one", Clock: at.Milliseconds(), Wall: 1_000_000 + at.Milliseconds(), Count: 1}
@@ -169,49 +169,49 @@
 		then := report(10 * time.Second)
 		then.FleetTime = 5_000_000
 		p.Holders["node/1"] = then
-		begun := report(10*time.Second + Grace)
-		begun.Boot, begun.Clock = "two", 5
+		start := report(10*time.Second + Grace)
+		start.Boot, start.Clock = "two", 5
 		const seconds = 4
-		begun.FleetTime = then.FleetTime + Grace.Milliseconds() + seconds*1000
+		start.FleetTime = then.FleetTime + Grace.Milliseconds() + seconds*1000
 		spent := func(age time.Duration) int64 {
 			return Row{Granted: 1000, Spent: 100, Burst: 50, Rate: 200}.Ceiling(age)
 		}
 
 		Convey("where its own time of day was set back", func() {
-			So(p.SettlePredecessors("node/2", begun)[0].Settled, ShouldEqual, spent(Grace+seconds*time.Second+FleetTimeError))
+			So(p.SettlePredecessors("node/2", start)[0].Settled, ShouldEqual, spent(Grace+seconds*time.Second+FleetTimeError))
 		})
 
 		Convey("unless its own says more", func() {
-			begun.Wall = then.Wall + (Grace + 2*seconds*time.Second).Milliseconds()
-			So(p.SettlePredecessors("node/2", begun)[0].Settled, ShouldEqual, spent(Grace+2*seconds*time.Second))
+			start.Wall = then.Wall + (Grace + 2*seconds*time.Second).Milliseconds()
+			So(p.SettlePredecessors("node/2", start)[0].Settled, ShouldEqual, spent(Grace+2*seconds*time.Second))
 		})
 
 		Convey("and is waited for where it will be known soon", func() {
-			begun.FleetTime, begun.FleetTimePending = 0, true
-			So(p.SettlePredecessors("node/2", begun), ShouldBeEmpty)
-			So(newGranting(p).unsettled("node/2", "node"), ShouldBeTrue)
-			begun.FleetTimePending = false
-			So(p.SettlePredecessors("node/2", begun)[0].Settled, ShouldEqual, spent(Grace+ClockError))
-			So(newGranting(p).unsettled("node/2", "node"), ShouldBeFalse)
+			start.FleetTime, start.FleetTimePending = 0, true
+			So(p.SettlePredecessors("node/2", start), ShouldBeEmpty)
+			So(newGranter(p).unsettled("node/2", "node"), ShouldBeTrue)
+			start.FleetTimePending = false
+			So(p.SettlePredecessors("node/2", start)[0].Settled, ShouldEqual, spent(Grace+ClockError))
+			So(newGranter(p).unsettled("node/2", "node"), ShouldBeFalse)
 		})
 	})
 
 	Convey("A successor settles once it knows the fleet's time, by its leader as by itself", t, func() {
-		for _, link := range []int{linkNone, linkPass} {
+		for _, link := range []int{linkNone, linkUp} {
 			w := newWorld(DefaultPolicy())
 			lead, n := w.nodes[0], w.nodes[1]
-			lead.timed, n.timed, n.link = true, true, link
-			w.draw(lead)
-			w.draw(n)
+			lead.hasFleetTime, n.hasFleetTime, n.link = true, true, link
+			w.refresh(lead)
+			w.refresh(n)
 			old := n.holder.id
-			n.timed = false
+			n.hasFleetTime = false
 			w.powerLoss(n)
-			w.draw(n)
+			w.refresh(n)
 			So(n.holder.Ready(), ShouldBeTrue)
 			So(w.page(north).Holders, ShouldContainKey, old)
-			n.timed = true
+			n.hasFleetTime = true
 			w.elapsed += time.Second
-			w.draw(n)
+			w.refresh(n)
 			So(w.page(north).Holders, ShouldNotContainKey, old)
 		}
 	})
@@ -219,7 +219,7 @@
 	Convey("A successor that joins late settles by its start, not by its joining", t, func() {
 		w := newWorld(DefaultPolicy())
 		n := w.nodes[0]
-		w.draw(n)
+		w.refresh(n)
 		key := n.holder.pageOf(north).key
 		entry, _, _ := w.store.Read(context.Background(), key)
 		p, _ := DecodePage(entry.Data)
@@ -229,7 +229,7 @@
 		w.store.Put(key, raw)
 		w.start(n)
 		w.elapsed += 9 * time.Second
-		w.draw(n)
+		w.refresh(n)
 		So(before.Ceiling(9*time.Second), ShouldEqual, 100+7*500)
 		So(w.page(north).Accounts[north].Settled, ShouldEqual, 100)
 	})
--- a/internal/escrow/pooled_test.go
+++ b/internal/escrow/pooled_test.go
@@ -8,43 +8,43 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// askedHolder is a holder with a role that was asked for requests of one size at a rate for long.
-func askedHolder(role Role, each, perSecond int64) (*Holder, *account) {
+// loadedHolder is a holder with a role that was asked for requests of one size at a rate for long.
+func loadedHolder(role Role, tokens, perSecond int64) (*Holder, *account) {
 	w := newWorld(DefaultPolicy())
 	n := w.nodes[0] // its role is that of a pool
 	if role != RolePool {
 		n = w.nodes[1]
 		n.role = role
 	}
-	w.draw(n)
+	w.refresh(n)
 	h := n.holder
 	a := h.accounts["north"]
 	for range 60 {
 		w.elapsed += time.Second
 		for range perSecond {
-			h.count(a, each)
+			h.countDemand(a, tokens)
 		}
-		h.startBeat()
+		h.startRound()
 	}
-	a.rest = a.prepaid
+	a.remaining = a.prepaid
 	return h, a
 }
 
-// asking is what such a holder asks for.
-func asking(role Role, each, perSecond int64) Need {
-	h, a := askedHolder(role, each, perSecond)
+// needOf is what such a holder asks for.
+func needOf(role Role, tokens, perSecond int64) Need {
+	h, a := loadedHolder(role, tokens, perSecond)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.need("north", a, 3)
 }
 
-func TestHoldings(t *testing.T) {
+func TestPooledHolderDemand(t *testing.T) {
 	Convey("A holder whose zone pools tokens", t, func() {
 		policy := DefaultPolicy()
 
 		Convey("holds none where it does not expect several requests: what it holds is lost with its power", func() {
 			const each = 50_000
-			n := asking(RolePooled, each, 0)
+			n := needOf(RolePooled, each, 0)
 			So(n.Demand, ShouldEqual, 0)
 			So(n.Burst, ShouldEqual, 0)
 			So(n.Rate, ShouldEqual, 0)
@@ -52,11 +52,11 @@
 
 		Convey("holds what it expects and nothing beside, as the pool makes up for its unevenness", func() {
 			const each, perSecond = 100, 50
-			n := asking(RolePooled, each, perSecond)
+			n := needOf(RolePooled, each, perSecond)
 			mean := float64(each*perSecond) * policy.Surge * policy.PooledHorizon.Seconds()
 			So(n.Demand, ShouldBeGreaterThan, each)
 			So(float64(n.Demand), ShouldBeLessThanOrEqualTo, mean)
-			So(asking(RoleStandalone, each, perSecond).Demand, ShouldBeGreaterThan, 2*n.Demand)
+			So(needOf(RoleStandalone, each, perSecond).Demand, ShouldBeGreaterThan, 2*n.Demand)
 		})
 	})
 }
@@ -65,7 +65,7 @@
 	Convey("A pool that dies before anything is measured is known not to have spent most of its zone's share", t, func() {
 		w := newWorld(DefaultPolicy())
 		n := w.nodes[0]
-		w.draw(n)
+		w.refresh(n)
 		row := w.page("north").Accounts["north"].Rows[n.holder.id]
 		So(row.Granted, ShouldBeGreaterThan, 0)
 		So(row.Ceiling(Grace), ShouldBeLessThanOrEqualTo, row.Granted/3)
@@ -73,29 +73,29 @@
 	})
 }
 
-func TestDrawsForMany(t *testing.T) {
+func TestRefreshCoversAllWaitingRequests(t *testing.T) {
 	const north = "north"
 	Convey("A draw brings what all requests need that wait for one, not what the largest needs", t, func() {
 		policy := DefaultPolicy()
 		policy.StartShare, policy.PoolStartShare = 0, 0
 		w := newWorld(policy)
 		n := w.nodes[0]
-		w.draw(n)
+		w.refresh(n)
 		h := n.holder
-		const each, many = 200, 5
+		const each, requests = 200, 5
 		So(h.View(north).Available, ShouldBeLessThan, each)
-		for range many {
-			r, _, err := h.try(north, each, 0, false)
+		for range requests {
+			r, _, err := h.tryReserve(north, each, 0, false)
 			So(r, ShouldBeNil)
 			So(err, ShouldBeNil)
-			h.await(north, each)
+			h.addWaiting(north, each)
 		}
-		w.draw(n)
-		for range many {
-			r, _, err := h.try(north, each, 0, false)
+		w.refresh(n)
+		for range requests {
+			r, _, err := h.tryReserve(north, each, 0, false)
 			So(err, ShouldBeNil)
 			So(r, ShouldNotBeNil)
-			h.await(north, -each)
+			h.addWaiting(north, -each)
 		}
 		So(h.accounts[north].waiting, ShouldEqual, 0)
 	})
@@ -103,15 +103,15 @@
 	Convey("After a call that failed, requests that wait cause no further one for a while", t, func() {
 		w := newWorld(DefaultPolicy())
 		n := w.nodes[0]
-		w.draw(n)
+		w.refresh(n)
 		h := n.holder
 		p := h.pageOf(north)
 		h.accounts[north].urgent = 1
-		So(h.due(p, false), ShouldBeTrue)
-		n.gate.cut = true
-		h.draw(context.Background(), p)
-		So(h.due(p, false), ShouldBeFalse)
+		So(h.refreshDue(p, false), ShouldBeTrue)
+		n.store.unreachable = true
+		h.refresh(context.Background(), p)
+		So(h.refreshDue(p, false), ShouldBeFalse)
 		w.elapsed += h.times.Backoff
-		So(h.due(p, false), ShouldBeTrue)
+		So(h.refreshDue(p, false), ShouldBeTrue)
 	})
 }
--- a/internal/escrow/rank_test.go
+++ b/internal/escrow/rank_test.go
@@ -11,20 +11,20 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-func TestRanks(t *testing.T) {
+func TestRankPriority(t *testing.T) {
 	Convey("A holder with a grant", t, func() {
 		now := time.Unix(1000, 0)
 		h := New(memkv.New(), "p/", 1, "node", "node/1", WithNow(func() time.Time { return now }), WithWall(func() time.Time { return now }))
 		ctx := context.Background()
 		begin := func(prepaid int64) {
 			h.SetPrepaid([]Prepaid{{Customer: "north", Tokens: prepaid}})
-			h.startBeat()
-			h.draw(ctx, h.pages[0])
+			h.startRound()
+			h.refresh(ctx, h.pages[0])
 		}
 
 		Convey("serves all ranks while the store answers and much is left", func() {
 			begin(1_000_000)
-			_, err := h.Reserve(ctx, "north", 1000, lastRank)
+			_, err := h.Reserve(ctx, "north", 1000, firstYieldingRank)
 			So(err, ShouldBeNil)
 		})
 
@@ -32,9 +32,9 @@
 			begin(1_000_000)
 			now = now.Add(2 * h.times.ContactTimeout)
 			held := h.View("north").Granted
-			_, err := h.Reserve(ctx, "north", held*3/5, lastRank)
+			_, err := h.Reserve(ctx, "north", held*3/5, firstYieldingRank)
 			So(err, ShouldBeNil)
-			_, err = h.Reserve(ctx, "north", held/5, lastRank)
+			_, err = h.Reserve(ctx, "north", held/5, firstYieldingRank)
 			So(verdict.Of(err), ShouldEqual, verdict.NotRun)
 			_, err = h.Reserve(ctx, "north", held/5, 0)
 			So(err, ShouldBeNil)
@@ -43,13 +43,13 @@
 		Convey("gives the last of a budget to whoever asks first while the store answers, whatever the rank, and nothing beyond it", func() {
 			begin(10_000)
 			granted := h.View("north").Granted
-			r, err := h.Reserve(ctx, "north", granted, lastRank)
+			r, err := h.Reserve(ctx, "north", granted, firstYieldingRank)
 			So(err, ShouldBeNil)
 			_, err = h.Reserve(ctx, "north", 10_001-granted, 0)
 			So(verdict.Of(err), ShouldEqual, verdict.NotRun)
 			So(verdict.From(err).RetryAfter(), ShouldBeGreaterThan, 0)
 			r.Settle(0)
-			So(h.short(h.accounts["north"], 10_000, lastRank), ShouldBeFalse)
+			So(h.yieldsToFirstRanks(h.accounts["north"], 10_000, firstYieldingRank), ShouldBeFalse)
 		})
 
 		Convey("says at a budget's end how much of it counts as spent by instances that were lost", func() {
@@ -64,27 +64,27 @@
 	})
 }
 
-func TestComeBack(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	Convey("A refused request is told when to come back", t, func() {
 		w := newWorld(DefaultPolicy())
 		n := w.nodes[0]
-		w.draw(n)
+		w.refresh(n)
 		h := n.holder
 		a := h.accounts["north"]
-		a.row.row = Row{Granted: 1000, Burst: 100, Rate: 200}
-		a.row.clock = h.clock.Now()
+		a.confirmed.row = Row{Granted: 1000, Burst: 100, Rate: 200}
+		a.confirmed.clock = h.clock.Now()
 
 		Convey("soon, while the store answers", func() {
-			So(h.comeBack(a, 500), ShouldEqual, retrySoon)
+			So(h.retryAfter(a, 500), ShouldEqual, retrySoon)
 		})
 
 		Convey("in a cut, when enough of the grant is released", func() {
 			w.elapsed += Grace + 500*time.Millisecond
 			So(a.headroom(h.clock.Now()), ShouldEqual, 200)
-			So(h.comeBack(a, 500), ShouldEqual, 1500*time.Millisecond)
-			So(h.comeBack(a, 201), ShouldEqual, retrySoon)
-			So(h.comeBack(a, 1000), ShouldEqual, retryCut)
-			So(h.comeBack(a, 1001), ShouldEqual, retryCut)
+			So(h.retryAfter(a, 500), ShouldEqual, 1500*time.Millisecond)
+			So(h.retryAfter(a, 201), ShouldEqual, retrySoon)
+			So(h.retryAfter(a, 1000), ShouldEqual, retryOutage)
+			So(h.retryAfter(a, 1001), ShouldEqual, retryOutage)
 		})
 
 		Convey("by a lender too", func() {
--- a/internal/escrow/relay.go
+++ b/internal/escrow/relay.go
@@ -12,7 +12,7 @@
 func (h *Holder) relay(ctx context.Context, regular bool) error {
 	s := h.submission(regular)
 	s.Relayed = true
-	list := h.collect(&s)
+	list := h.addPendingParts(&s)
 	if len(s.Parts) == 0 && len(list) == 0 {
 		return nil
 	}
@@ -25,32 +25,32 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err == nil {
-		h.ownRates(receipt.Parts)
+		h.useOwnZoneRates(receipt.Parts)
 	}
-	h.submitted(s, receipt, err)
+	h.applySubmitOutcome(s, receipt, err)
 	if err != nil {
 		h.log.Debug().Str("event", "escrow_relay_failed").Err(err).Msg("the leader of another zone did not write this zone's rows")
 		return err
 	}
-	h.relayed(list, receipt.Zone)
+	h.deliverReceipts(list, receipt.Zone)
 	return nil
 }
 
-// collect adds the parts that wait here to a submission: those of pages that are to be written now, for them or for this holder.
-func (h *Holder) collect(s *Submission) []*pending {
+// addPendingParts adds the parts that wait here to a submission: those of pages that are to be written now, for them or for this holder.
+func (h *Holder) addPendingParts(s *Submission) []*pendingPart {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	own := make(map[int]bool, len(s.Parts))
 	for _, part := range s.Parts {
 		own[part.Page] = true
 	}
-	var list []*pending
+	var list []*pendingPart
 	for i, p := range h.pages {
-		h.sumZone(p)
-		if !own[i] && !h.gathered(p) {
+		h.sumZoneDemand(p)
+		if !own[i] && !h.groupReady(p) {
 			continue
 		}
-		h.expire(p)
+		h.dropExpired(p)
 		list = append(list, p.pending...)
 	}
 	for _, x := range list {
@@ -59,25 +59,25 @@
 	return list
 }
 
-// relayed hands the receipts on. The caller holds mu.
-func (h *Holder) relayed(list []*pending, receipts []Receipt) {
-	done := make(map[int][]*pending, len(h.pages))
+// deliverReceipts hands the receipts on. The caller holds mu.
+func (h *Holder) deliverReceipts(list []*pendingPart, receipts []Receipt) {
+	done := make(map[int][]*pendingPart, len(h.pages))
 	for i, x := range list {
 		if len(receipts[i].Parts) != 1 {
 			continue
 		}
-		h.ownRates(receipts[i].Parts)
+		h.useOwnZoneRates(receipts[i].Parts)
 		x.receipt = receipts[i].Parts[0]
 		done[x.part.Page] = append(done[x.part.Page], x)
 	}
 	for i, waiting := range done {
-		h.pages[i].drawn = h.now()
-		h.pages[i].release(waiting)
+		h.pages[i].refreshedAt = h.now()
+		h.pages[i].complete(waiting)
 	}
 }
 
-// ownRates puts in what this holder's own zone is asked for: the writer leads another one. The caller holds mu.
-func (h *Holder) ownRates(list []PartReceipt) {
+// useOwnZoneRates puts in what this holder's own zone is asked for: the writer leads another one. The caller holds mu.
+func (h *Holder) useOwnZoneRates(list []PartReceipt) {
 	for _, r := range list {
 		for name, held := range r.Rows {
 			if a := h.accounts[name]; a != nil {
--- a/internal/escrow/remote/remote.go
+++ b/internal/escrow/remote/remote.go
@@ -109,7 +109,7 @@
 		case verdict.Of(err) != verdict.NotRun && !errors.Is(err, mesh.ErrUnreachable):
 			out.Unconfirmed = append(out.Unconfirmed, p.Addr)
 		default:
-			out.RetryAfter = sooner(out.RetryAfter, verdict.From(err).RetryAfter())
+			out.RetryAfter = minNonZero(out.RetryAfter, verdict.From(err).RetryAfter())
 		}
 		if ctx.Err() != nil {
 			break
@@ -118,8 +118,8 @@
 	return out
 }
 
-// sooner is the smaller of two times, of which 0 is none.
-func sooner(a, b time.Duration) time.Duration {
+// minNonZero is the smaller of two times, of which 0 is none.
+func minNonZero(a, b time.Duration) time.Duration {
 	if a == 0 || (b > 0 && b < a) {
 		return b
 	}
--- a/internal/escrow/report.go
+++ b/internal/escrow/report.go
@@ -23,9 +23,9 @@
 	return b.Low.UnixMilli(), b.High.UnixMilli()
 }
 
-// start reports the start of this holder's process. The fleet's time of then is told by that of now and the steady clock.
-func (h *Holder) start() Report {
-	r := h.begun
+// startReport reports the start of this holder's process. The fleet's time of then is told by that of now and the steady clock.
+func (h *Holder) startReport() Report {
+	r := h.started
 	age := h.clock.Now() - time.Duration(r.Clock)*time.Millisecond
 	if _, high := h.fleetTime(); high != 0 {
 		r.FleetTime = high - age.Milliseconds()
@@ -35,8 +35,8 @@
 	return r
 }
 
-// tellFolded logs and counts what became of earlier holders' grants.
-func (h *Holder) tellFolded(list []Settlement, page string) {
+// reportSettlements logs and counts what became of earlier holders' grants.
+func (h *Holder) reportSettlements(list []Settlement, page string) {
 	for _, f := range list {
 		h.onFolded(f)
 		h.log.Info().Str("event", "escrow_settled").Str("holder", f.Holder).Str("page", page).Bool("age_known", f.AgeKnown).
--- a/internal/escrow/restore.go
+++ b/internal/escrow/restore.go
@@ -21,19 +21,19 @@
 // restateSpread is the time over which holders state their rows anew, so that they do not meet in conditional writes.
 const restateSpread = 800 * time.Millisecond
 
-// lostCopy is the newest copy of a page that is known of an epoch of the store that is over.
-type lostCopy struct {
+// priorCopy is the newest copy of a page that is known of an epoch of the store that is over.
+type priorCopy struct {
 	raw      []byte // nil: none
 	revision int64
 }
 
-// enter notes that the page is written in an epoch. lived reports that its writer held rows in it before. It returns whether the store was restored
+// enterEpoch notes that the page is written in an epoch. lived reports that its writer held rows in it before. It returns whether the store was restored
 // since the page was last written.
-func (p *Page) enter(epoch int64, wall time.Time, lived bool) bool {
+func (p *Page) enterEpoch(epoch int64, wall time.Time, heldRows bool) bool {
 	if epoch <= p.Epoch {
 		return false
 	}
-	restored := p.Epoch > 0 || lived
+	restored := p.Epoch > 0 || heldRows
 	if restored {
 		p.RestoredEpoch, p.RestoredAt = epoch, wall.UnixMilli()
 	}
@@ -41,14 +41,14 @@
 	return restored
 }
 
-// doubtful reports whether a holder has not stated its rows since the store was restored: it may have more than they show.
-func (p *Page) doubtful(holder string) bool { return p.Holders[holder].Epoch < p.RestoredEpoch }
+// stale reports whether a holder has not stated its rows since the store was restored: it may have more than they show.
+func (p *Page) stale(holder string) bool { return p.Holders[holder].Epoch < p.RestoredEpoch }
 
-// doubtfuls counts the holders that have not stated their rows since the store was restored.
-func (p *Page) doubtfuls() int {
+// staleHolders counts the holders that have not stated their rows since the store was restored.
+func (p *Page) staleHolders() int {
 	n := 0
 	for id := range p.Holders {
-		if p.doubtful(id) {
+		if p.stale(id) {
 			n++
 		}
 	}
@@ -62,16 +62,16 @@
 	}
 	total := int64(0)
 	for id, r := range a.Rows {
-		if p.doubtful(id) {
+		if p.stale(id) {
 			total += r.Demand
 		}
 	}
 	return total
 }
 
-// follows reports whether a part is the one that comes after what a page has of its holder: the next one, or the first since a restoration, which may
+// isNextPart reports whether a part is the one that comes after what a page has of its holder: the next one, or the first since a restoration, which may
 // have lost several. A holder of a build that names no epoch has to follow its last one also then.
-func (p *Page) follows(holder string, r Report) bool {
+func (p *Page) isNextPart(holder string, r Report) bool {
 	before, present := p.Holders[holder]
 	switch {
 	case r.Epoch == 0 && before.Epoch == 0:
@@ -83,34 +83,34 @@
 	return before.Count+1 == r.Count && (present || before.Count == 0)
 }
 
-// basis is what the next write of a page stands on: the page as the store has it, or, where nothing was written since a restoration, the newest copy
+// writeBase is what the next write of a page stands on: the page as the store has it, or, where nothing was written since a restoration, the newest copy
 // that is known.
-func (p *pageState) basis(page *Page) (*Page, bool, error) {
-	if p.lost.raw == nil {
+func (p *pageState) writeBase(page *Page) (*Page, bool, error) {
+	if p.prior.raw == nil {
 		return page, false, nil
 	}
-	if page.Epoch > external.EpochOf(p.lost.revision) || external.NumberOf(p.revision) >= external.NumberOf(p.lost.revision) {
+	if page.Epoch > external.EpochOf(p.prior.revision) || external.NumberOf(p.revision) >= external.NumberOf(p.prior.revision) {
 		return page, false, nil
 	}
-	page, err := DecodePage(p.lost.raw)
+	page, err := DecodePage(p.prior.raw)
 	return page, true, err
 }
 
-// keepLost keeps the copy that is known of a page before one of a later epoch takes its place.
-func (p *pageState) keepLost(next int64) {
-	if len(p.raw) > 0 && external.EpochOf(next) > external.EpochOf(p.revision) && p.revision > p.lost.revision {
-		p.lost = lostCopy{raw: p.raw, revision: p.revision}
+// savePrior keeps the copy that is known of a page before one of a later epoch takes its place.
+func (p *pageState) savePrior(next int64) {
+	if len(p.raw) > 0 && external.EpochOf(next) > external.EpochOf(p.revision) && p.revision > p.prior.revision {
+		p.prior = priorCopy{raw: p.raw, revision: p.revision}
 	}
 }
 
-// restates reports whether this holder has yet to state its rows in the store's epoch.
-func (h *Holder) restates(p *pageState) bool { return p.joined && p.epoch < h.epochs.Current() }
+// mustRestate reports whether this holder has yet to state its rows in the store's epoch.
+func (h *Holder) mustRestate(p *pageState) bool { return p.joined && p.epoch < h.epochs.Current() }
 
-// restatesNow reports whether it is this holder's turn to state its rows anew. The caller holds mu.
-func (h *Holder) restatesNow(p *pageState) bool {
-	learnt := h.restored.Load()
+// restateDue reports whether it is this holder's turn to state its rows anew. The caller holds mu.
+func (h *Holder) restateDue(p *pageState) bool {
+	restoredAt := h.restoredAt.Load()
 	turn := time.Duration(xxhash.Sum64String(h.id) % uint64(restateSpread))
-	return h.restates(p) && (learnt == nil || h.now().Sub(*learnt) >= turn)
+	return h.mustRestate(p) && (restoredAt == nil || h.now().Sub(*restoredAt) >= turn)
 }
 
 // frozen reports whether nothing is to be granted on a page beyond what holders have. The caller holds mu.
@@ -118,16 +118,16 @@
 	if page.RestoredEpoch == 0 || page.RestoredEpoch < h.epochs.Current() {
 		return false
 	}
-	if learnt := h.restored.Load(); learnt != nil {
-		return h.now().Sub(*learnt) < restateWait
+	if restoredAt := h.restoredAt.Load(); restoredAt != nil {
+		return h.now().Sub(*restoredAt) < restateWait
 	}
 	since := h.wall().Sub(time.UnixMilli(page.RestoredAt))
 	return since >= 0 && since < restateWait
 }
 
-// restoredStore notes that the store was restored. It is called while the Epochs is locked.
-func (h *Holder) restoredStore(external.Restoration) {
+// handleRestored notes that the store was restored. It is called while the Epochs is locked.
+func (h *Holder) handleRestored(external.Restoration) {
 	now := h.now()
-	h.restored.Store(&now)
-	h.kick()
+	h.restoredAt.Store(&now)
+	h.wake()
 }
--- a/internal/escrow/restore_test.go
+++ b/internal/escrow/restore_test.go
@@ -13,105 +13,105 @@
 	w = newWorld(DefaultPolicy())
 	w.store.SetEpoch(1)
 	for _, n := range w.nodes {
-		w.draw(n)
+		w.refresh(n)
 	}
 	return w, w.nodes[0], w.nodes[1]
 }
 
-// grab lets a node reserve an amount that only a draw brings.
-func (w *world) grab(n *simNode, customer string, most int64) (got bool) {
-	before := len(n.open)
-	w.reserve(n, customer, most)
+// reserveAfterRefresh lets a node reserve an amount that only a draw brings.
+func (w *world) reserveAfterRefresh(n *simNode, customer string, maxTokens int64) (got bool) {
+	before := len(n.reservations)
+	w.reserve(n, customer, maxTokens)
 	w.elapsed += time.Second / 2
-	w.draw(n)
-	if len(n.open) == before {
-		w.reserve(n, customer, most)
+	w.refresh(n)
+	if len(n.reservations) == before {
+		w.reserve(n, customer, maxTokens)
 	}
-	return len(n.open) > before
+	return len(n.reservations) > before
 }
 
-// forget lets a node know its own rows only, as one that has not seen the others' writes.
-func (n *simNode) forget() {
+// forgetPages lets a node know its own rows only, as one that has not seen the others' writes.
+func (n *simNode) forgetPages() {
 	for _, p := range n.holder.pages {
-		p.raw, p.known, p.lost = nil, false, lostCopy{}
+		p.raw, p.known, p.prior = nil, false, priorCopy{}
 	}
 }
 
-func (w *world) restoredTo(number int64) {
+func (w *world) restoreTo(number int64) {
 	w.store.RestoreTo(number)
 	for _, n := range w.nodes {
 		_ = n.epochs.Observe(w.store.Epoch(), 0)
 	}
 }
 
-func TestRestored(t *testing.T) {
+func TestStoreRestored(t *testing.T) {
 	const north = "north"
 	Convey("After the store was restored from a copy", t, func() {
 		w, a, b := restoredWorld()
 		copied := w.store.Number()
 
 		Convey("a grant that the copy lacks is put back by whoever knows it", func() {
-			So(w.grab(a, north, 30_000), ShouldBeTrue)
+			So(w.reserveAfterRefresh(a, north, 30_000), ShouldBeTrue)
 			granted := a.holder.View(north).Granted
 			w.observe(b)
-			w.restoredTo(copied)
-			w.draw(b)
-			w.draw(b)
+			w.restoreTo(copied)
+			w.refresh(b)
+			w.refresh(b)
 			So(w.page(north).Accounts[north].Rows[a.holder.id].Granted, ShouldEqual, granted)
 			So(w.page(north).RestoredEpoch, ShouldEqual, 2)
 		})
 
 		Convey("one that nobody else knows is not handed out again before its holder had time to state it", func() {
-			So(w.grab(a, north, 35_000), ShouldBeTrue)
+			So(w.reserveAfterRefresh(a, north, 35_000), ShouldBeTrue)
 			w.settle(a, 0)
 			for _, n := range w.nodes {
-				n.forget()
+				n.forgetPages()
 			}
-			w.restoredTo(copied)
-			So(w.grab(b, north, 20_000), ShouldBeFalse)
-			w.draw(a)
+			w.restoreTo(copied)
+			So(w.reserveAfterRefresh(b, north, 20_000), ShouldBeFalse)
+			w.refresh(a)
 			So(w.page(north).Accounts[north].Rows[a.holder.id].Granted, ShouldBeGreaterThanOrEqualTo, 35_000)
 			So(w.page(north).Accounts[north].Committed(), ShouldBeLessThanOrEqualTo, propertyPrepaid)
 		})
 
 		Convey("a holder spends nothing of what it had given back, though the copy has it", func() {
-			So(w.grab(a, north, 30_000), ShouldBeTrue)
+			So(w.reserveAfterRefresh(a, north, 30_000), ShouldBeTrue)
 			w.settle(a, 0)
 			copied = w.store.Number()
 			a.holder.stopping = true
 			for range 6 {
-				w.use(a, north, 1)
-				w.draw(a)
+				w.useTokens(a, north, 1)
+				w.refresh(a)
 			}
 			left := a.holder.View(north).Available
 			So(left, ShouldBeLessThan, 20_000)
-			So(w.grab(b, north, 30_000), ShouldBeTrue)
+			So(w.reserveAfterRefresh(b, north, 30_000), ShouldBeTrue)
 			w.store.SetLose(true)
-			w.use(a, north, 1)
-			w.draw(a)
+			w.useTokens(a, north, 1)
+			w.refresh(a)
 			w.store.SetLose(false)
-			a.forget()
-			w.restoredTo(copied)
+			a.forgetPages()
+			w.restoreTo(copied)
 			w.observe(a)
 			So(a.holder.View(north).Available, ShouldBeLessThanOrEqualTo, left)
 		})
 
 		Convey("holders go on with what they have", func() {
 			left := a.holder.View(north).Available
-			w.restoredTo(0)
+			w.restoreTo(0)
 			w.reserve(a, north, left)
-			So(a.open, ShouldHaveLength, 1)
-			w.draw(a)
-			w.draw(a)
+			So(a.reservations, ShouldHaveLength, 1)
+			w.refresh(a)
+			w.refresh(a)
 			So(w.page(north).Accounts[north].Rows[a.holder.id].Granted, ShouldBeGreaterThanOrEqualTo, left)
 		})
 
 		Convey("a holder that stops settles what it has spent, though the copy does not know it", func() {
-			a.forget()
-			w.restoredTo(0)
+			a.forgetPages()
+			w.restoreTo(0)
 			w.reserve(a, north, 2_000)
-			w.die(a)
-			So(w.leave(a), ShouldBeTrue)
+			w.kill(a)
+			So(w.stopAndRestart(a), ShouldBeTrue)
 			So(w.page(north).Accounts[north].Settled, ShouldEqual, 2_000)
 		})
 
@@ -127,46 +127,46 @@
 		})
 
 		Convey("a holder that the copy does not know loses nothing by a receipt for rows that it had stated before", func() {
-			b.link = linkPass
-			w.use(b, north, 10)
+			b.link = linkUp
+			w.useTokens(b, north, 10)
 			s := b.holder.submission(true)
 			for _, n := range w.nodes {
-				n.forget()
+				n.forgetPages()
 			}
-			w.restoredTo(0)
+			w.restoreTo(0)
 			list := a.holder.enqueue(s)
-			w.draw(a)
-			w.draw(a)
-			r, err := written(context.Background(), list)
+			w.refresh(a)
+			w.refresh(a)
+			r, err := awaitWritten(context.Background(), list)
 			So(err, ShouldBeNil)
 			So(r.Parts[0].Present, ShouldBeFalse)
 			before := b.holder.View(north).Granted
 			b.holder.mu.Lock()
-			b.holder.submitted(s, r, nil)
+			b.holder.applySubmitOutcome(s, r, nil)
 			b.holder.mu.Unlock()
 			So(before, ShouldBeGreaterThan, 0)
 			So(b.holder.View(north).Granted, ShouldEqual, before)
 		})
 
 		Convey("a leader writes no rows that were stated before it, and says why", func() {
-			b.link = linkPass
-			w.use(b, north, 10)
+			b.link = linkUp
+			w.useTokens(b, north, 10)
 			s := b.holder.submission(true)
-			w.restoredTo(copied)
+			w.restoreTo(copied)
 			list := a.holder.enqueue(s)
-			w.draw(a)
-			w.draw(a)
+			w.refresh(a)
+			w.refresh(a)
 			So(w.page(north).Holders[b.holder.id].Epoch, ShouldBeLessThan, 2)
-			r, err := written(context.Background(), list)
+			r, err := awaitWritten(context.Background(), list)
 			So(err, ShouldBeNil)
 			So(r.Parts[0].Epoch, ShouldEqual, 2)
 			before := b.holder.View(north).Granted
 			b.holder.mu.Lock()
-			b.holder.submitted(s, r, nil)
+			b.holder.applySubmitOutcome(s, r, nil)
 			b.holder.mu.Unlock()
 			So(b.holder.View(north).Granted, ShouldBeGreaterThan, 0)
 			So(b.holder.View(north).Granted, ShouldEqual, before)
-			w.draw(b)
+			w.refresh(b)
 			So(w.page(north).Holders[b.holder.id].Epoch, ShouldEqual, 2)
 		})
 	})
@@ -185,13 +185,13 @@
 			{true, 10, 100, 0, 10},
 			{true, 30, 20, 0, 20},
 		} {
-			g := &granting{frozen: c.frozen}
+			g := &granter{frozen: c.frozen}
 			So(g.limit(Row{Granted: c.old}, c.free, c.margin), ShouldEqual, c.reaches)
 		}
 	})
 }
 
-func TestPageFollows(t *testing.T) {
+func TestPageIsNextPart(t *testing.T) {
 	Convey("A part is written if it comes after what the page has of its holder", t, func() {
 		for _, c := range []struct {
 			restored int64
@@ -219,7 +219,7 @@
 			if c.before != nil {
 				p.Holders["h"] = *c.before
 			}
-			So(p.follows("h", c.part), ShouldEqual, c.follows)
+			So(p.isNextPart("h", c.part), ShouldEqual, c.follows)
 		}
 	})
 }
--- a/internal/escrow/share_test.go
+++ b/internal/escrow/share_test.go
@@ -11,30 +11,30 @@
 // Six holders held 24 s of mean use together, to outlive a cut of ten: each held two deviations of its own few requests, and all of that is
 // lost with their power while the store is away.
 
-func TestSpreadOfAll(t *testing.T) {
+func TestDeviationsOfFleet(t *testing.T) {
 	Convey("All holders together hold the mean use and the deviations of what all use, not of what each does", t, func() {
-		const holders, rate, grain = 6, 45_000.0, 10_000.0
+		const holders, rate, weightedSize = 6, 45_000.0, 10_000.0
 		p := DefaultPolicy()
 		var sum int64
 		for range holders {
-			want, _, _ := p.size(flow{rate: rate / holders, whole: rate, grain: grain}, p.Horizon, 1)
+			want, _, _ := p.size(flow{rate: rate / holders, fleetRate: rate, weightedSize: weightedSize}, p.Horizon, 1)
 			sum += want
 		}
 		mean := rate * p.Surge * p.ReserveFactor * p.Horizon.Seconds()
 		So(float64(sum), ShouldBeGreaterThan, mean)
-		So(float64(sum), ShouldBeLessThanOrEqualTo, mean+p.Deviations*math.Sqrt(mean*grain))
+		So(float64(sum), ShouldBeLessThanOrEqualTo, mean+p.Deviations*math.Sqrt(mean*weightedSize))
 	})
 
 	Convey("One holder by itself holds all of both", t, func() {
 		p := DefaultPolicy()
-		const rate, grain = 45_000.0, 10_000.0
+		const rate, weightedSize = 45_000.0, 10_000.0
 		mean := rate * p.Surge * 10
-		got := p.amount(flow{rate: rate, grain: grain}, 10*time.Second, 2)
-		So(got, ShouldAlmostEqual, mean+2*math.Sqrt(mean*grain), 1)
+		got := p.amount(flow{rate: rate, weightedSize: weightedSize}, 10*time.Second, 2)
+		So(got, ShouldAlmostEqual, mean+2*math.Sqrt(mean*weightedSize), 1)
 	})
 
 	Convey("Where nothing is used nothing is held", t, func() {
-		So(DefaultPolicy().amount(flow{grain: 10_000, whole: 1000}, time.Second, 2), ShouldEqual, 0)
+		So(DefaultPolicy().amount(flow{weightedSize: 10_000, fleetRate: 1000}, time.Second, 2), ShouldEqual, 0)
 	})
 }
 
@@ -44,41 +44,41 @@
 func TestShareFollowsCallers(t *testing.T) {
 	Convey("A holder at which a busy customer's callers come asks for what they use there", t, func() {
 		const each, perSecond = 5_000, 20
-		h, a := askedHolder(RoleStandalone, each, perSecond)
-		f := measured(h, a, each*perSecond, 5*each*perSecond)
+		h, a := loadedHolder(RoleStandalone, each, perSecond)
+		f := flowWithRates(h, a, each*perSecond, 5*each*perSecond)
 		So(f.rate, ShouldBeGreaterThan, 0.9*each*perSecond)
 
 		Convey("and at one that nobody asks for it, next to nothing", func() {
 			a.meter = meter{}
-			f := measured(h, a, each*perSecond, 5*each*perSecond)
+			f := flowWithRates(h, a, each*perSecond, 5*each*perSecond)
 			So(f.rate, ShouldBeLessThan, 0.05*each*perSecond)
 		})
 	})
 
 	Convey("Of a customer with few requests a holder keeps its part of what all use", t, func() {
 		const each, perSecond = 5_000, 20
-		h, a := askedHolder(RoleStandalone, each, perSecond)
+		h, a := loadedHolder(RoleStandalone, each, perSecond)
 		a.meter = meter{}
-		const little = each / 20 // tokens a second: a request in twenty seconds
-		f := measured(h, a, little, 5*each*perSecond)
-		So(f.rate, ShouldBeBetween, 0.8*little/5, little/5)
+		const lowRate = each / 20 // tokens a second: a request in twenty seconds
+		f := flowWithRates(h, a, lowRate, 5*each*perSecond)
+		So(f.rate, ShouldBeBetween, 0.8*lowRate/5, lowRate/5)
 	})
 }
 
-// measured is the flow of a customer that all holders use at one rate, and all customers at another, in tokens a second.
-func measured(h *Holder, a *account, use, all float64) flow {
-	a.led, a.leaderRate, h.leaderRate = true, use, all
+// flowWithRates is the flow of a customer that all holders use at one rate, and all customers at another, in tokens a second.
+func flowWithRates(h *Holder, a *account, customerRate, fleetRate float64) flow {
+	a.led, a.leaderRate, h.leaderRate = true, customerRate, fleetRate
 	return h.flow(a, RoleStandalone)
 }
 
 // A holder that nobody had asked divided nothing by nothing, and a stop wrote what came of it, a rate far below zero, into its row: had the
 // process then been killed, its settlement would have given the budget more than was paid.
-func TestIdleHolderStops(t *testing.T) {
+func TestStoppingIdleHolder(t *testing.T) {
 	Convey("A holder that was never asked wants nothing as it stops, and its ceiling is never below what it has spent", t, func() {
 		w := newWorld(DefaultPolicy())
 		n := w.nodes[1]
 		n.role = RoleStandalone
-		w.draw(n)
+		w.refresh(n)
 		h := n.holder
 		a := h.accounts["north"]
 		a.led, a.leaderRate, h.leaderRate = true, 0, 1000
--- a/internal/escrow/sizing.go
+++ b/internal/escrow/sizing.go
@@ -28,14 +28,14 @@
 	}
 }
 
-// ahead is the use that is spendable at once: until the Grace of a report is over, and a little more.
-const ahead = Grace + 500*time.Millisecond
+// burstHorizon is the use that is spendable at once: until the Grace of a report is over, and a little more.
+const burstHorizon = Grace + 500*time.Millisecond
 
 // flow is the measured use of one customer here.
 type flow struct {
-	rate  float64 // tokens a second
-	whole float64 // tokens a second at all holders that hold for it, this one included
-	grain float64 // tokens; see meter.grain
+	rate         float64 // tokens a second
+	fleetRate    float64 // tokens a second at all holders that hold for it, this one included
+	weightedSize float64 // tokens; see meter.grain
 }
 
 // amount is the use in a time, with this holder's part of the spread of what all use: sizes of requests vary, so the use of a few of
@@ -46,28 +46,28 @@
 	if mean <= 0 {
 		return 0
 	}
-	whole := max(f.whole, f.rate) * p.Surge * d.Seconds()
-	return mean + deviations*math.Sqrt(whole*f.grain)*mean/whole
+	fleetUse := max(f.fleetRate, f.rate) * p.Surge * d.Seconds()
+	return mean + deviations*math.Sqrt(fleetUse*f.weightedSize)*mean/fleetUse
 }
 
-// tight is the use that is held of a budget that is nearly used up: what holders keep to themselves then is what a loss of power
+// scarceHorizon is the use that is held of a budget that is nearly used up: what holders keep to themselves then is what a loss of power
 // takes from the customer's last requests. Draws for single requests do the rest.
-const tight = 600 * time.Millisecond
+const scarceHorizon = 600 * time.Millisecond
 
-// plenty reports how far an unspent rest is from scarce: 1 is plenty, 0 is nothing.
-func (p Policy) plenty(rest, prepaid int64) float64 {
+// abundance reports how far an unspent rest is from scarce: 1 is plenty, 0 is nothing.
+func (p Policy) abundance(remaining, prepaid int64) float64 {
 	if prepaid <= 0 || p.ScarceBelow <= 0 {
 		return 1
 	}
-	return min(1, max(0, float64(rest)/(p.ScarceBelow*float64(prepaid))))
+	return min(1, max(0, float64(remaining)/(p.ScarceBelow*float64(prepaid))))
 }
 
 // size turns a measured flow into what is asked for: all of it is spendable once the horizon has passed.
-func (p Policy) size(f flow, horizon time.Duration, plenty float64) (want, burst, rate int64) {
-	soon := tight + time.Duration(float64(ahead-tight)*plenty)
-	horizon = max(soon, time.Duration(float64(horizon)*plenty))
-	b := p.amount(f, soon, p.BurstDeviations*plenty)
-	w := max(b, p.amount(f, time.Duration(p.ReserveFactor*float64(horizon)), p.Deviations*plenty))
+func (p Policy) size(f flow, horizon time.Duration, abundance float64) (want, burst, rate int64) {
+	burstSpan := scarceHorizon + time.Duration(float64(burstHorizon-scarceHorizon)*abundance)
+	horizon = max(burstSpan, time.Duration(float64(horizon)*abundance))
+	b := p.amount(f, burstSpan, p.BurstDeviations*abundance)
+	w := max(b, p.amount(f, time.Duration(p.ReserveFactor*float64(horizon)), p.Deviations*abundance))
 	if span := (horizon - Grace).Seconds(); span > 0 {
 		rate = int64((w - b) / span)
 	} else {
@@ -76,13 +76,13 @@
 	return int64(w), int64(b), rate
 }
 
-// release spreads a share over the horizon: what is spendable at once, and in each second later. A holder that dies early is known
+// releaseSchedule spreads a share over the horizon: what is spendable at once, and in each second later. A holder that dies early is known
 // not to have spent the rest.
-func (p Policy) release(share int64) (burst, rate int64) {
-	if p.Horizon <= ahead {
+func (p Policy) releaseSchedule(share int64) (burst, rate int64) {
+	if p.Horizon <= burstHorizon {
 		return share, 0
 	}
-	burst = int64(float64(share) * ahead.Seconds() / p.Horizon.Seconds())
+	burst = int64(float64(share) * burstHorizon.Seconds() / p.Horizon.Seconds())
 	return burst, int64(float64(share-burst) / (p.Horizon - Grace).Seconds())
 }
 
@@ -102,16 +102,16 @@
 // that goes back. A row never falls below what is spent already.
 func (a *Account) Grant(holder string, n Need, prepaid int64) Row {
 	others := a.sums().minus(a.Rows[holder])
-	row, _ := a.set(holder, n, prepaid, others, prepaid-a.Settled-others.granted)
+	row, _ := a.setRow(holder, n, prepaid, others, prepaid-a.Settled-others.granted)
 	return row
 }
 
-// set is Grant where the sums of all other rows are known, and free, which the row may reach, counted from the holder's start; target is what the
+// setRow is Grant where the sums of all other rows are known, and free, which the row may reach, counted from the holder's start; target is what the
 // holder should have unspent.
-func (a *Account) set(holder string, n Need, prepaid int64, others sums, free int64) (row Row, target int64) {
+func (a *Account) setRow(holder string, n Need, prepaid int64, others sums, ungranted int64) (row Row, target int64) {
 	row = Row{Spent: n.Spent, Demand: n.Demand, Burst: n.Burst, Rate: n.Rate}
 	target = a.share(n, prepaid, others)
-	row.Granted = max(n.Spent, n.MinGrant, min(n.Spent+max(target, n.Urgent), free))
+	row.Granted = max(n.Spent, n.MinGrant, min(n.Spent+max(target, n.Urgent), ungranted))
 	if row == (Row{}) {
 		delete(a.Rows, holder) // in a large fleet most holders have nothing of most customers
 		return row, target
@@ -120,20 +120,20 @@
 	return row, target
 }
 
-// mostOut is the part of a budget's unspent rest that all holders may have together, but for what requests wait for: a loss of power of
+// maxOutstanding is the part of a budget's unspent rest that all holders may have together, but for what requests wait for: a loss of power of
 // all takes what they have.
-const mostOut = 0.4
+const maxOutstanding = 0.4
 
 // share is the part of the unspent rest that a holder may keep, beside others.
 func (a *Account) share(n Need, prepaid int64, others sums) int64 {
-	rest := prepaid - a.Settled - others.spent - n.Spent
-	wants := others.want + n.Demand
-	if rest <= 0 {
+	remaining := prepaid - a.Settled - others.spent - n.Spent
+	demand := others.want + n.Demand
+	if remaining <= 0 {
 		return 0
 	}
-	rest = int64(mostOut * float64(rest))
-	if rest >= wants || wants == 0 {
+	remaining = int64(maxOutstanding * float64(remaining))
+	if remaining >= demand || demand == 0 {
 		return n.Demand
 	}
-	return int64(float64(rest) * float64(n.Demand) / float64(wants))
+	return int64(float64(remaining) * float64(n.Demand) / float64(demand))
 }
--- a/internal/escrow/spread.go
+++ b/internal/escrow/spread.go
@@ -6,22 +6,22 @@
 // What is left then is spread over the callers who come until the operator pays in more: requests reserve by lot, more rarely as the
 // rest falls. In the order in which they come the first seconds after the return take all of it, and service ends again.
 const (
-	// lostPart is the unproven part of the prepaid figure from which on the rest is spread: more than the loss of one busy instance takes.
-	lostPart = 0.1
-	// spreadOver is how much use by all holders the rest holds when it begins to be spread.
-	spreadOver = 5 * time.Second
+	// lossThreshold is the unproven part of the prepaid figure from which on the rest is spread: more than the loss of one busy instance takes.
+	lossThreshold = 0.1
+	// spreadHorizon is how much use by all holders the rest holds when it begins to be spread.
+	spreadHorizon = 5 * time.Second
 )
 
-// odds are the odds that a request may reserve: 1 but where losses took a large part of the budget and little is left.
-func (a *account) odds() float64 {
-	if a.prepaid < 0 || float64(a.unproven) < lostPart*float64(a.prepaid) {
+// reserveProbability are the odds that a request may reserve: 1 but where losses took a large part of the budget and little is left.
+func (a *account) reserveProbability() float64 {
+	if a.prepaid < 0 || float64(a.unproven) < lossThreshold*float64(a.prepaid) {
 		return 1
 	}
-	use := a.all.rate()
+	rate := a.fleetMeter.rate()
 	if a.led {
-		use = a.leaderRate
+		rate = a.leaderRate
 	}
-	enough := use * spreadOver.Seconds()
+	enough := rate * spreadHorizon.Seconds()
 	left := float64(max(0, a.unspent()))
 	if left >= enough {
 		return 1
@@ -29,18 +29,18 @@
 	return left / enough
 }
 
-// lot refuses a request where the rest of its budget is spread and the lot falls so. Its errors are as Reserve's.
-func (h *Holder) lot(customer string, most int64) error {
+// checkLot refuses a request where the rest of its budget is spread and the lot falls so. Its errors are as Reserve's.
+func (h *Holder) checkLot(customer string, maxTokens int64) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.accounts[customer]
 	if a == nil {
 		return nil
 	}
-	odds := a.odds()
-	if odds >= 1 || a.unspent() < most || h.random() < odds {
+	probability := a.reserveProbability()
+	if probability >= 1 || a.unspent() < maxTokens || h.random() < probability {
 		return nil
 	}
-	h.count(a, most)
+	h.countDemand(a, maxTokens)
 	return refuseBudget("instances were lost with a large part of the budget, and what is left is spread over the next seconds", retryLater)
 }
--- a/internal/escrow/spread_test.go
+++ b/internal/escrow/spread_test.go
@@ -11,36 +11,36 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-func TestOdds(t *testing.T) {
+func TestReserveProbability(t *testing.T) {
 	Convey("A request reserves by lot", t, func() {
-		const prepaid, use = 1_000_000, 10_000.0 // tokens, tokens a second
-		enough := int64(use * spreadOver.Seconds())
-		a := &account{prepaid: prepaid, unproven: prepaid / 5, led: true, leaderRate: use}
+		const prepaid, rate = 1_000_000, 10_000.0 // tokens, tokens a second
+		enough := int64(rate * spreadHorizon.Seconds())
+		a := &account{prepaid: prepaid, unproven: prepaid / 5, led: true, leaderRate: rate}
 
 		Convey("where losses took a large part of the budget and little is left, more rarely as that falls", func() {
-			a.rest = enough / 2
-			So(a.odds(), ShouldEqual, 0.5)
-			a.rest = enough / 10
-			So(a.odds(), ShouldEqual, 0.1)
-			a.rest = 0
-			So(a.odds(), ShouldEqual, 0)
+			a.remaining = enough / 2
+			So(a.reserveProbability(), ShouldEqual, 0.5)
+			a.remaining = enough / 10
+			So(a.reserveProbability(), ShouldEqual, 0.1)
+			a.remaining = 0
+			So(a.reserveProbability(), ShouldEqual, 0)
 		})
 
 		Convey("not while enough is left", func() {
-			a.rest = enough
-			So(a.odds(), ShouldEqual, 1)
+			a.remaining = enough
+			So(a.reserveProbability(), ShouldEqual, 1)
 		})
 
 		Convey("not at a budget's end that no loss has brought about", func() {
-			a.rest, a.unproven = enough/2, int64(lostPart*prepaid)-1
-			So(a.odds(), ShouldEqual, 1)
+			a.remaining, a.unproven = enough/2, int64(lossThreshold*prepaid)-1
+			So(a.reserveProbability(), ShouldEqual, 1)
 		})
 
 		Convey("not while no use is known, nor without a limit", func() {
-			a.rest, a.leaderRate = enough/2, 0
-			So(a.odds(), ShouldEqual, 1)
-			a.leaderRate, a.prepaid = use, Unlimited
-			So(a.odds(), ShouldEqual, 1)
+			a.remaining, a.leaderRate = enough/2, 0
+			So(a.reserveProbability(), ShouldEqual, 1)
+			a.leaderRate, a.prepaid = rate, Unlimited
+			So(a.reserveProbability(), ShouldEqual, 1)
 		})
 	})
 
@@ -50,10 +50,10 @@
 		lot := 0.9
 		h := New(memkv.New(), "p/", 1, "node", "node/1", WithNow(func() time.Time { return now }), WithWall(func() time.Time { return now }), WithRandom(func() float64 { return lot }))
 		h.SetPrepaid([]Prepaid{{Customer: "north", Tokens: prepaid}})
-		h.startBeat()
-		h.draw(context.Background(), h.pages[0])
+		h.startRound()
+		h.refresh(context.Background(), h.pages[0])
 		a := h.accounts["north"]
-		a.unproven, a.led, a.leaderRate = prepaid/2, true, 2*prepaid/spreadOver.Seconds()
+		a.unproven, a.led, a.leaderRate = prepaid/2, true, 2*prepaid/spreadHorizon.Seconds()
 
 		_, err := h.Reserve(context.Background(), "north", 100, 0)
 		So(verdict.Of(err), ShouldEqual, verdict.NotRun)
--- a/internal/escrow/start_test.go
+++ b/internal/escrow/start_test.go
@@ -13,6 +13,6 @@
 		n := w.nodes[0]
 		w.elapsed += 1500 * time.Microsecond
 		w.start(n)
-		So(n.holder.begun.Clock, ShouldEqual, (n.clock.Now() + time.Millisecond/2).Milliseconds())
+		So(n.holder.started.Clock, ShouldEqual, (n.clock.Now() + time.Millisecond/2).Milliseconds())
 	})
 }
--- a/internal/escrow/write.go
+++ b/internal/escrow/write.go
@@ -9,107 +9,107 @@
 )
 
 // abandon takes back what was prepared and will not be written.
-func (h *Holder) abandon(list []write) {
+func (h *Holder) abandon(list []pageWrite) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, w := range list {
-		h.undone(w.to, w.rows)
+		h.rollBack(w.state, w.rows)
 	}
 }
 
-// write is a page as it is to be written, on the condition that it is still as it was known.
-type write struct {
-	to     *pageState
-	raw    []byte
-	page   *Page             // what raw encodes
-	base   int64             // the revision that it stands on
-	count  int64             // of this holder's writes
-	rows   map[string]issued // this holder's rows in it
-	others []*pending        // rows of others in it
-	folded []Settlement
+// pageWrite is a page as it is to be written, on the condition that it is still as it was known.
+type pageWrite struct {
+	state       *pageState
+	raw         []byte
+	page        *Page                // what raw encodes
+	base        int64                // the revision that it stands on
+	count       int64                // of this holder's writes
+	rows        map[string]issuedRow // this holder's rows in it
+	parts       []*pendingPart       // rows of others in it
+	settlements []Settlement
 	// unsettled: it leaves rows of this node's earlier holders
-	unsettled bool
-	restored  bool // it is the page's first one since the store was restored
-	putBack   bool // and puts back a copy that this holder knew
+	unsettled  bool
+	restored   bool // it is the page's first one since the store was restored
+	reinstated bool // and puts back a copy that this holder knew
 }
 
 // write writes all pages of a list, or none.
-func (h *Holder) write(ctx context.Context, list []write) error {
+func (h *Holder) write(ctx context.Context, list []pageWrite) error {
 	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyDraw), h.times.CallTimeout)
 	defer cancel()
 	var c external.Commit
 	for _, w := range list {
-		c.When = append(c.When, external.Condition{Key: w.to.key, Revision: external.KeyRevision(external.EpochOf(w.base), external.NumberOf(w.base))})
-		c.Put = append(c.Put, external.Entry{Key: w.to.key, Data: w.raw})
+		c.When = append(c.When, external.Condition{Key: w.state.key, Revision: external.KeyRevision(external.EpochOf(w.base), external.NumberOf(w.base))})
+		c.Put = append(c.Put, external.Entry{Key: w.state.key, Data: w.raw})
 	}
 	revision, err := h.store.Commit(ctx, c)
-	return h.outcome(list, revision, err)
+	return h.applyOutcome(list, revision, err)
 }
 
 // prepare computes the page to be written, and notes its rows as possibly in force.
-func (h *Holder) prepare(p *pageState) (write, error) {
+func (h *Holder) prepare(p *pageState) (pageWrite, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	page, err := DecodePage(p.raw)
 	if err != nil {
-		return write{}, err
+		return pageWrite{}, err
 	}
-	page, putBack, err := p.basis(page)
+	page, putBack, err := p.writeBase(page)
 	if err != nil {
-		return write{}, err
+		return pageWrite{}, err
 	}
 	report := h.report(h.clock.Now(), max(p.count, page.Holders[h.id].Count)+1)
-	restored, restates := page.enter(report.Epoch, h.wall(), p.joined), h.restates(p)
-	var folded []Settlement
-	g := newGranting(page)
+	restored, restates := page.enterEpoch(report.Epoch, h.wall(), p.joined), h.mustRestate(p)
+	var settlements []Settlement
+	g := newGranter(page)
 	g.frozen = h.frozen(page)
 	if !p.joined || p.unsettled || restates {
-		folded = g.fold(h.id, h.start())
+		settlements = g.fold(h.id, h.startReport())
 	}
 	g.report(h.id, report)
-	rows := make(map[string]issued)
+	rows := make(map[string]issuedRow)
 	for name, a := range h.accounts {
 		if h.pageOf(name) != p || a.prepaid < 0 {
 			continue
 		}
 		need := h.need(name, a, len(page.Holders))
 		if restates {
-			need.MinGrant = a.keep(need)
+			need.MinGrant = a.minGrant(need)
 		}
 		row, _ := g.grant(name, h.id, need, a.prepaid)
-		rest, free := g.rest(name, a.prepaid)
-		rows[name] = issued{
-			row: row, clock: time.Duration(report.Clock) * time.Millisecond, rest: rest, free: free, unproven: page.Accounts[name].Unproven,
+		remaining, ungranted := g.unspent(name, a.prepaid)
+		rows[name] = issuedRow{
+			row: row, clock: time.Duration(report.Clock) * time.Millisecond, remaining: remaining, ungranted: ungranted, unproven: page.Accounts[name].Unproven,
 		}
-		a.unsure = append(a.unsure, rows[name])
+		a.unconfirmed = append(a.unconfirmed, rows[name])
 	}
-	others := h.applyAll(p, g)
-	p.unsure = p.revision
+	others := h.applyPending(p, g)
+	p.unconfirmedBase = p.revision
 	raw, err := page.Encode()
-	return write{
-		to: p, raw: raw, page: page, base: p.revision, count: report.Count, rows: rows, others: others, folded: folded,
-		unsettled: g.unsettled(h.id, h.node), restored: restored, putBack: restored && putBack,
+	return pageWrite{
+		state: p, raw: raw, page: page, base: p.revision, count: report.Count, rows: rows, parts: others, settlements: settlements,
+		unsettled: g.unsettled(h.id, h.node), restored: restored, reinstated: restored && putBack,
 	}, err
 }
 
-// outcome takes the store's answer to a write of pages.
-func (h *Holder) outcome(list []write, revision int64, err error) error {
+// applyOutcome takes the store's answer to a write of pages.
+func (h *Holder) applyOutcome(list []pageWrite, revision int64, err error) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var conflict *external.ConflictError
-	told := errors.As(err, &conflict)
-	if err == nil || told {
-		h.contacted()
+	conflicted := errors.As(err, &conflict)
+	if err == nil || conflicted {
+		h.noteAnswer()
 	}
 	for _, w := range list {
 		switch {
 		case err == nil:
-			h.confirmed(w, revision)
-		case told:
-			h.undone(w.to, w.rows)
-			err = errors.Join(err, h.adoptCurrent(w.to, conflict.Current))
+			h.confirmWrite(w, revision)
+		case conflicted:
+			h.rollBack(w.state, w.rows)
+			err = errors.Join(err, h.adoptCurrent(w.state, conflict.Current))
 		case errors.Is(err, external.ErrUnavailable):
-			h.undone(w.to, w.rows)
+			h.rollBack(w.state, w.rows)
 		}
 	}
 	if err == nil {
@@ -119,27 +119,27 @@
 	return err
 }
 
-// confirmed takes a page that this holder has written. The caller holds mu.
-func (h *Holder) confirmed(w write, revision int64) {
-	p := w.to
+// confirmWrite takes a page that this holder has written. The caller holds mu.
+func (h *Holder) confirmWrite(w pageWrite, revision int64) {
+	p := w.state
 	if revision > p.revision {
-		p.raw, p.revision, p.mine = w.raw, revision, true
+		p.raw, p.revision, p.selfWritten = w.raw, revision, true
 		h.observeAll(p, w.page)
 	}
-	p.known, p.unsure, p.joined, p.drawn, p.seen = true, -1, true, h.now(), h.now()
+	p.known, p.unconfirmedBase, p.joined, p.refreshedAt, p.verifiedAt = true, -1, true, h.now(), h.now()
 	p.count, p.submitted, p.unsettled, p.epoch = w.count, false, w.unsettled, external.EpochOf(revision)
 	h.logRestored(w)
-	h.tellFolded(w.folded, p.key)
-	for _, x := range w.others {
-		h.tellFolded(x.folded, p.key)
+	h.reportSettlements(w.settlements, p.key)
+	for _, x := range w.parts {
+		h.reportSettlements(x.settlements, p.key)
 	}
-	p.release(w.others)
+	p.complete(w.parts)
 	for name, i := range w.rows {
 		a := h.accounts[name]
 		a.confirm(i)
-		a.rest, a.free, a.unproven = i.rest, i.free, i.unproven
+		a.remaining, a.ungranted, a.unproven = i.remaining, i.ungranted, i.unproven
 		if i.row.Granted-i.row.Spent < a.urgent {
-			a.dry = h.now()
+			a.exhaustedAt = h.now()
 		}
 		a.urgent = 0
 		p.reported[name] = i.row.Spent
@@ -147,22 +147,22 @@
 }
 
 // logRestored reports that a page was written for the first time since the store was restored.
-func (h *Holder) logRestored(w write) {
+func (h *Holder) logRestored(w pageWrite) {
 	if w.restored {
-		h.log.Info().Str("event", "escrow_restored").Str("page", w.to.key).Int64("epoch", w.page.Epoch).Bool("put_back", w.putBack).
-			Int("holders", len(w.page.Holders)).Int("doubtful", w.page.doubtfuls()).Msg("the store was restored: a budget page is written anew")
+		h.log.Info().Str("event", "escrow_restored").Str("page", w.state.key).Int64("epoch", w.page.Epoch).Bool("put_back", w.reinstated).
+			Int("holders", len(w.page.Holders)).Int("doubtful", w.page.staleHolders()).Msg("the store was restored: a budget page is written anew")
 	}
 }
 
-// undone takes back rows that were not written. Earlier writes of unknown outcome stay. The caller holds mu.
-func (h *Holder) undone(p *pageState, rows map[string]issued) {
+// rollBack takes back rows that were not written. Earlier writes of unknown outcome stay. The caller holds mu.
+func (h *Holder) rollBack(p *pageState, rows map[string]issuedRow) {
 	left := false
 	for name := range rows {
 		a := h.accounts[name]
-		a.unsure = a.unsure[:max(0, len(a.unsure)-1)]
-		left = left || len(a.unsure) > 0
+		a.unconfirmed = a.unconfirmed[:max(0, len(a.unconfirmed)-1)]
+		left = left || len(a.unconfirmed) > 0
 	}
 	if !left {
-		p.unsure = -1
+		p.unconfirmedBase = -1
 	}
 }
