--- a/internal/escrow/account.go
+++ b/internal/escrow/account.go
@@ -8,48 +8,50 @@
 // issuedRow is a row of this holder that is, or may be, in the store.
 type issuedRow struct {
 	row       Row
-	clock     time.Duration // the report's reading of the clock
-	remaining int64         // of the whole account: unspent by anyone, with this row
-	ungranted int64         // of the whole account: granted to nobody, with this row
-	// unproven is Account.Unproven, with this row
+	clock     time.Duration // reading of the steady clock in the report
+	remaining int64         // unspent part of the whole account, with this row
+	ungranted int64         // part of the whole account that is granted to nobody, with this row
+	// unproven is Account.Unproven with this row.
 	unproven int64
 }
 
 func (i issuedRow) ceiling(now time.Duration) int64 { return i.row.Ceiling(now - i.clock) }
 
-// account is what the holder knows of one customer.
+// account is the holder's state of one customer's account.
 type account struct {
-	spent           int64 // settled requests, from the holder's start
-	reserved        int64 // reservations
+	spent           int64 // by settled requests, since the holder's start
+	reserved        int64 // by open reservations
 	urgent          int64 // unspent tokens that the largest waiting request needs
-	waiting         int64 // those that all requests need which wait for a draw
+	waiting         int64 // unspent tokens that all requests waiting for a refresh need
 	meter           meter
 	fleetMeter      meter            // use by all holders, as reported
-	reportedSpent   map[string]int64 // spent, by holder, when last seen
-	othersDemand    int64            // mean of what other holders want
-	exhaustedAt     time.Time        // the last draw or loan that brought too little
-	exhaustedTokens int64            // tokens that were asked for then
-	confirmed       issuedRow        // confirmed
-	unconfirmed     []issuedRow      // written with an unknown outcome, older than row or not
-	prepaid         int64            // as last seen; Unlimited: no limit
-	remaining       int64            // of the whole account when last seen: unspent by anyone
-	ungranted       int64            // of the whole account when last seen: granted to nobody
-	// unproven is Account.Unproven when last seen
+	reportedSpent   map[string]int64 // by holder, as last read
+	othersDemand    int64            // mean demand of the other holders
+	exhaustedAt     time.Time        // when a refresh or loan last brought too little
+	exhaustedTokens int64            // tokens that were requested then
+	confirmed       issuedRow        // last row that the store is known to have
+	unconfirmed     []issuedRow      // written with unknown outcome, may be older than confirmed
+	prepaid         int64            // as last configured; Unlimited: no limit
+	remaining       int64            // unspent part of the whole account, as last read
+	ungranted       int64            // part of the whole account that is granted to nobody, as last read
+	// unproven is Account.Unproven, as last read.
 	unproven int64
 
-	led        bool    // by the zone's leader:
-	target     int64   // what this holder's unspent part should be
-	leaderRate float64 // tokens a second that all holders use
-	zoneRate   float64 // tokens a second that the zone is asked for
+	// The following fields are set by the zone's leader.
+	led        bool
+	target     int64   // what this holder should have unspent
+	leaderRate float64 // tokens per second that all holders use
+	zoneRate   float64 // tokens per second requested in the zone
 }
 
-// used is what is spent or reserved.
+// used returns the tokens that are spent or reserved.
 func (a *account) used() int64 { return a.spent + a.reserved }
 
-// unspent is what nobody has spent of the whole account, as far as it is known here.
+// unspent returns what nobody has spent of the whole account, as far as it is known here.
 func (a *account) unspent() int64 { return a.remaining - max(0, a.used()-a.confirmed.row.Spent) }
 
-// exhaustedDetail explains a refusal at a budget's end. Where instances were lost it reports how much of the budget nobody is known to have used.
+// exhaustedDetail explains the rejection of a request because the budget is exhausted. If instances were lost, it
+// includes the tokens that count as spent but are not reported.
 func (a *account) exhaustedDetail() string {
 	const text = "what remains of the budget cannot hold the request"
 	if a.unproven == 0 {
@@ -58,7 +60,7 @@
 	return fmt.Sprintf("%s; %d tokens of it count as spent by instances that were lost", text, a.unproven)
 }
 
-// headroom is what may still be reserved at a moment: every row that may be in force is kept to.
+// headroom returns the tokens that can be reserved now without exceeding any row that may be in force.
 func (a *account) headroom(now time.Duration) int64 {
 	limit := a.confirmed.ceiling(now)
 	for _, u := range a.unconfirmed {
@@ -67,13 +69,13 @@
 	return limit - a.used()
 }
 
-// confirm takes a row that the store has now; older ones can no longer come into force.
+// confirm sets the row that the store has now. Older rows can no longer come into force.
 func (a *account) confirm(i issuedRow) {
 	a.confirmed = i
 	a.unconfirmed = a.unconfirmed[:0]
 }
 
-// observe takes what all holders report of the account.
+// observe updates the account with what all holders have reported, and returns the use since the previous reports.
 func (a *account) observe(acc *Account, self string) (used int64) {
 	reports := make(map[string]int64, len(acc.Rows))
 	a.othersDemand = 0
--- a/internal/escrow/holder.go
+++ b/internal/escrow/holder.go
@@ -13,38 +13,39 @@
 	"github.com/ledgemount/ledgemount/internal/external"
 )
 
-// Prepaid is a customer's prepaid figure as the configuration in force tells it.
+// Prepaid is a customer's prepaid amount in the current configuration.
 type Prepaid struct {
 	Customer string
-	Tokens   int64 // Unlimited: none
+	Tokens   int64 // Unlimited: no limit
 }
 
-// Unlimited marks a customer without a prepaid figure.
+// Unlimited marks a customer without a prepaid amount.
 const Unlimited = -1
 
-// Times are a holder's intervals.
+// Times are a holder's intervals and time limits.
 type Times struct {
-	RefreshInterval time.Duration // between reports
-	MinGap          time.Duration // least time between reports that are asked for by a request that waits
+	RefreshInterval time.Duration // between regular refreshes
+	MinGap          time.Duration // least time between refreshes that waiting requests cause
 	CallTimeout     time.Duration // limit of one call to the store
-	Backoff         time.Duration // after a call that failed
-	ReserveWait     time.Duration // how long a reservation waits for a draw
-	ContactTimeout  time.Duration // without an answer for this long, no reservation waits
-	ExhaustedPause  time.Duration // after a draw that brought too little, no reservation of the customer waits for this long
+	Backoff         time.Duration // pause after a failed call
+	ReserveWait     time.Duration // how long a reservation waits for a refresh
+	ContactTimeout  time.Duration // no reservation waits if the store has not answered for this long
+	ExhaustedPause  time.Duration // after a refresh that brought too little, no reservation of the customer waits for this long
 
-	// Of zones that are led.
+	// The following apply to zones with a leader.
 	SubmitInterval     time.Duration // from a leader's receipt to the next submission
-	GatherWindow       time.Duration // the rows of others wait for more of them so long
-	UrgentGatherWindow time.Duration // the same, where one of them cannot serve before
-	MinGroupGap        time.Duration // least time between writes of a page for others
-	// MinRelayedGap is the same, where the leaders of other zones wait too: they hold back their zones' next rows meanwhile.
+	GatherWindow       time.Duration // how long rows of other holders wait for more of them
+	UrgentGatherWindow time.Duration // the same, if one of these holders cannot serve until its row is written
+	MinGroupGap        time.Duration // least time between writes of a page for other holders
+	// MinRelayedGap is the same if leaders of other zones wait as well, since these hold back their zones' next rows
+	// meanwhile.
 	MinRelayedGap time.Duration
 	RelayTimeout  time.Duration // limit of a leader's call to the leader of another zone
-	LoanTimeout   time.Duration // limit of a loan; the lender may have to draw for it
-	RepayInterval time.Duration // between returns of loans
+	LoanTimeout   time.Duration // limit of a loan request; the holder that gives the loan may have to refresh first
+	RepayInterval time.Duration // between repayments of loans
 }
 
-// DefaultTimes suit a store that answers in milliseconds.
+// DefaultTimes returns intervals for a store that answers within milliseconds.
 func DefaultTimes() Times {
 	return Times{
 		RefreshInterval: time.Second, MinGap: 30 * time.Millisecond, CallTimeout: 900 * time.Millisecond, Backoff: 250 * time.Millisecond,
@@ -55,81 +56,84 @@
 }
 
 const (
-	holdersPerInterval  = 12 // holders for each Beat between regular draws
-	maxIntervalFactor   = 6
-	copyFreshFor        = 300 * time.Millisecond // a page that was the newest so long ago is read again before it is written
-	selfWrittenFreshFor = 3 * time.Second        // the same, of a page that this holder wrote last: where others write too, a write tells so
+	holdersPerInterval = 12 // number of holders that add one RefreshInterval to the time between regular refreshes
+	maxIntervalFactor  = 6
+	copyFreshFor       = 300 * time.Millisecond // older copies of a page are read again before the page is written
+	// The same for a page that this holder wrote last. A longer time is safe, since a write reports a conflict if
+	// another holder has written the page.
+	selfWrittenFreshFor = 3 * time.Second
 )
 
-// Holder is this process's part of the escrow: a service, and the place where requests reserve.
+// Holder is this process's part of the escrow. It runs as a service, and requests reserve tokens from it.
 type Holder struct {
 	id      string
 	node    string
-	started Report // of the process's start
+	started Report // report of the process's start
 	store   external.KV
 	clock   Clock
 	now     func() time.Time
 	wall    func() time.Time
-	random  func() float64 // from 0 to 1
+	random  func() float64 // in [0, 1)
 	policy  Policy
 	times   Times
 	log     zerolog.Logger
 
-	onFolded   func(Settlement)
-	epochs     *external.Epochs
-	restoredAt atomic.Pointer[time.Time] // when the store's last restoration was learnt; nil: it was not restored
+	onSettlement func(Settlement)
+	epochs       *external.Epochs
+	restoredAt   atomic.Pointer[time.Time] // when this process noticed the store's last restoration; nil: never
 
 	mu          sync.Mutex
 	accounts    map[string]*account
 	pages       []*pageState
-	localMeter  meter         // of all customers here
-	fleetMeter  meter         // of all customers everywhere, as reported
-	lastAnswer  time.Time     // the last answer of the store
-	lastFailure time.Time     // the last draw that failed
-	lastRefresh time.Time     // the last regular draw
-	firstDemand time.Time     // when a request was first asked for, as far as it was noticed
-	holderCount int           // that the store knows
-	changed     chan struct{} // closed and replaced after each draw
+	localMeter  meter         // of all customers at this holder
+	fleetMeter  meter         // of all customers at all holders, as reported
+	lastAnswer  time.Time     // of the store
+	lastFailure time.Time     // of a refresh
+	lastRefresh time.Time     // the last regular refresh
+	firstDemand time.Time     // when a request for tokens was first noticed
+	holderCount int           // number of holders in the pages
+	changed     chan struct{} // closed and replaced after each refresh
 	stopping    bool
 
-	fleet            Fleet                     // nil: this holder is by itself
-	leaderRate       float64                   // by the zone's leader: tokens a second that all holders use of all customers
+	fleet Fleet // nil: this holder is standalone
+	// leaderRate is the tokens per second that all holders use of all customers, as reported by the zone's leader.
+	leaderRate       float64
 	zoneDemand       map[string]reportedDemand // by holder of the zone that this one leads
 	loanCount        int64
-	loans            map[loanKey]loanRecord     // given to others
-	returnedEarly    map[loanKey]time.Time      // returned before they were given
-	endedLoans       map[string]map[int64]int64 // loans that have ended, by lender and number
-	unreachableSince map[string]time.Time       // since when a lender has not taken them; only Repayments uses it
+	loans            map[loanKey]loanRecord     // given to other holders
+	returnedEarly    map[loanKey]time.Time      // repaid before they were given
+	endedLoans       map[string]map[int64]int64 // loans that have ended and are not repaid, by the holder that gave them and number
+	unreachableSince map[string]time.Time       // since when repayments to a holder have failed; only Repayments uses it
 
 	wakeups chan struct{}
 }
 
-// pageState is what the holder knows of one page.
+// pageState is the holder's state of one page.
 type pageState struct {
 	key             string
 	raw             []byte
 	revision        int64
 	known           bool
-	count           int64 // of this holder's last write that is known to have happened
-	unconfirmedBase int64 // the base of a write whose outcome is not known; -1: none
-	// submitted: a leader may still write rows of this holder that follow count
+	count           int64 // of this holder's last write that is known to have succeeded
+	unconfirmedBase int64 // the base revision of a write with unknown outcome; -1: none
+	// submitted is set while a leader may still write rows of this holder that follow count.
 	submitted bool
-	pending   []*pendingPart // rows of others
-	joined    bool           // this holder is in it
+	pending   []*pendingPart // rows of other holders
+	joined    bool           // the page has this holder
 	epoch     int64          // of the store, in which this holder last stated its rows
 	prior     priorCopy
-	// unsettled: rows of this node's earlier processes are left
+	// unsettled is set while rows of this node's earlier processes are left.
 	unsettled   bool
 	refreshedAt time.Time
 	verifiedAt  time.Time        // when the copy was known to be the newest
-	selfWritten bool             // this holder has written it
+	selfWritten bool             // this holder has written the copy
 	reported    map[string]int64 // spent, by customer, as last written
 }
 
 // Option changes a Holder.
 type Option func(*Holder)
 
-// WithPolicy replaces the sizes.
+// WithPolicy replaces the policy that sizes grants.
 func WithPolicy(p Policy) Option { return func(h *Holder) { h.policy = p } }
 
 // WithTimes replaces the intervals.
@@ -138,32 +142,33 @@
 // WithClock replaces the steady clock.
 func WithClock(c Clock) Option { return func(h *Holder) { h.clock = c } }
 
-// WithNow replaces the clock by which ages are judged.
+// WithNow replaces the clock that measures intervals and the age of copies.
 func WithNow(now func() time.Time) Option { return func(h *Holder) { h.now = now } }
 
-// WithWall replaces the time of day.
+// WithWall replaces the wall clock.
 func WithWall(wall func() time.Time) Option { return func(h *Holder) { h.wall = wall } }
 
-// WithRandom replaces the source of lots, which are numbers from 0 to 1.
+// WithRandom replaces the source of random numbers, which are in [0, 1).
 func WithRandom(f func() float64) Option { return func(h *Holder) { h.random = f } }
 
-// WithFleet sets the way to the other holders.
+// WithFleet sets the connection to the other holders.
 func WithFleet(f Fleet) Option { return func(h *Holder) { h.fleet = f } }
 
-// OnSettlement is notified of each earlier holder whose grants are settled; it must not call the Holder.
-func OnSettlement(f func(Settlement)) Option { return func(h *Holder) { h.onFolded = f } }
+// OnSettlement sets a callback for each earlier holder whose grants are settled. It must not call the Holder.
+func OnSettlement(f func(Settlement)) Option { return func(h *Holder) { h.onSettlement = f } }
 
-// WithEpochs sets what knows the store's epoch.
+// WithEpochs sets the source of the store's epoch.
 func WithEpochs(e *external.Epochs) Option { return func(h *Holder) { h.epochs = e } }
 
 // WithLogger sets the logger.
 func WithLogger(log zerolog.Logger) Option { return func(h *Holder) { h.log = log } }
 
-// New makes a holder. node outlasts the process; id is this process's own. Pages lie under prefix in the store.
+// New creates a holder. node is the name that outlasts the process, id is this process's own. The keys of pages in the
+// store start with prefix.
 func New(store external.KV, prefix string, pages int, node, id string, opts ...Option) *Holder {
 	h := &Holder{
 		id: id, node: node, store: store, clock: MachineClock(), now: time.Now, wall: time.Now, random: rand.Float64,
-		policy: DefaultPolicy(), times: DefaultTimes(), log: zerolog.Nop(), onFolded: func(Settlement) {}, epochs: external.NewEpochs(),
+		policy: DefaultPolicy(), times: DefaultTimes(), log: zerolog.Nop(), onSettlement: func(Settlement) {}, epochs: external.NewEpochs(),
 		accounts: make(map[string]*account), changed: make(chan struct{}), wakeups: make(chan struct{}, 1),
 		zoneDemand: make(map[string]reportedDemand), loans: make(map[loanKey]loanRecord), returnedEarly: make(map[loanKey]time.Time),
 		endedLoans: make(map[string]map[int64]int64), unreachableSince: make(map[string]time.Time),
@@ -182,12 +187,12 @@
 // Name implements kernel.Service.
 func (*Holder) Name() string { return "escrow" }
 
-// pageOf finds the page of a customer.
+// pageOf returns the page of a customer.
 func (h *Holder) pageOf(customer string) *pageState {
 	return h.pages[xxhash.Sum64String(customer)%uint64(len(h.pages))]
 }
 
-// SetPrepaid takes the figures of a newer configuration. It starts accounts of customers that are new.
+// SetPrepaid applies the prepaid amounts of a newer configuration and creates the accounts of new customers.
 func (h *Holder) SetPrepaid(list []Prepaid) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -214,10 +219,10 @@
 	}
 }
 
-// StoreAnswered tells the holder that the store has just answered: the best moment for a regular draw. own reports that all pages that have
-// changed were observed, so that a write can stand on them.
+// StoreAnswered notifies the holder that the store has just answered, which is the best moment for a regular refresh.
+// observed reports that all pages that have changed were passed to Observe, so that a write can be based on them.
 func (h *Holder) StoreAnswered(observed bool) {
-	viaLeader := h.isFollower() || h.isRelay() // by a leader that has heard the store
+	viaLeader := h.isFollower() || h.isRelay() // by a leader that has contact with the store
 	h.mu.Lock()
 	now := h.now()
 	if viaLeader {
@@ -235,13 +240,14 @@
 	}
 }
 
-// refreshInterval is the time between regular draws: a large fleet draws more rarely, since all write the same pages. The caller holds
-// mu.
+// refreshInterval returns the time between regular refreshes. A large fleet refreshes less often, since all holders
+// write the same pages. The caller holds mu.
 func (h *Holder) refreshInterval() time.Duration {
 	return h.times.RefreshInterval * h.crowdFactor()
 }
 
-// crowdFactor is by how much draws are rarer than in a small fleet. Where zones are led few holders write. The caller holds mu.
+// crowdFactor returns by how much refreshes are less frequent than in a small fleet. In zones with a leader few holders
+// write. The caller holds mu.
 func (h *Holder) crowdFactor() time.Duration {
 	if h.fleet != nil && h.fleet.Large() && !h.fleet.Stranded() {
 		return 1
@@ -249,7 +255,7 @@
 	return time.Duration(max(1, min(h.holderCount/holdersPerInterval, maxIntervalFactor)))
 }
 
-// Ready reports whether the holder has seen the store and knows its accounts.
+// Ready reports whether the holder has joined all pages and has accounts.
 func (h *Holder) Ready() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -261,14 +267,14 @@
 	return len(h.accounts) > 0
 }
 
-// Holders is the number of holders that the store knows.
+// Holders returns the number of holders in the pages.
 func (h *Holder) Holders() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return max(1, h.holderCount)
 }
 
-// ReduceDemand asks for less from now on: the process is about to stop.
+// ReduceDemand lowers what this holder requests from now on, because the process is about to stop.
 func (h *Holder) ReduceDemand() {
 	h.mu.Lock()
 	h.stopping = true
--- a/internal/escrow/page.go
+++ b/internal/escrow/page.go
@@ -1,8 +1,9 @@
-// Package escrow lets each instance spend prepaid budgets alone, cut off from the store and from all other instances.
-//
-// An instance holds grants: amounts that the store's page sets aside for it before it spends them. The grants of all holders
-// and what is settled never exceed the prepaid figure, so no mixture of faults overspends. A grant becomes spendable step by
-// step from the holder's last report on, so that a holder that dies early is known not to have spent all of it.
+// Package escrow lets each instance spend prepaid budgets on its own while it reaches neither the store nor any other
+// instance.
+// An instance holds grants: amounts that a page in the store reserves for it before it spends them. The grants of all
+// holders and the settled amounts together never exceed the prepaid amount, so no combination of faults overspends a
+// budget. A grant becomes spendable in steps, counted from the holder's last report. This bounds what a holder that
+// ends soon after a report can have spent.
 package escrow
 
 import (
@@ -16,54 +17,57 @@
 	"github.com/ledgemount/ledgemount/internal/compat"
 )
 
-// Row is one holder's part of an account. Amounts are tokens and, but for Want and Rate, counted from the holder's start.
+// Row is one holder's part of an account. Amounts are in tokens. All but Demand and Rate are counted from the holder's
+// start.
 type Row struct {
-	Granted int64 `cbor:"1,keyasint,omitempty"` // never spent beyond this
-	Spent   int64 `cbor:"2,keyasint,omitempty"` // spent or reserved when the holder reported
-	Demand  int64 `cbor:"3,keyasint,omitempty"` // what the holder would like to hold unspent
-	Burst   int64 `cbor:"4,keyasint,omitempty"` // spendable beyond Spent at once
-	Rate    int64 `cbor:"5,keyasint,omitempty"` // spendable beyond that, for each second from Grace after the report on
+	Granted int64 `cbor:"1,keyasint,omitempty"` // upper limit of what the holder spends
+	Spent   int64 `cbor:"2,keyasint,omitempty"` // spent or reserved at the holder's last report
+	Demand  int64 `cbor:"3,keyasint,omitempty"` // unspent amount that the holder requests
+	Burst   int64 `cbor:"4,keyasint,omitempty"` // spendable at once in addition to Spent
+	Rate    int64 `cbor:"5,keyasint,omitempty"` // additionally spendable per second, from Grace after the report
 }
 
-// Grace is how long after a report a holder spends its burst only. A holder that reaches the store reports more often.
+// Grace is the time after a report in which a holder spends only its burst. A holder that reaches the store reports
+// more often.
 const Grace = 2 * time.Second
 
-// Ceiling is the most that the holder can have spent when its report is of that age.
+// Ceiling returns the most that the holder can have spent when its report is of the given age.
 func (r Row) Ceiling(age time.Duration) int64 {
 	return min(r.Granted, r.Spent+r.Burst+int64(float64(r.Rate)*max(0, (age-Grace).Seconds())))
 }
 
 // Account is one customer's part of a page.
 type Account struct {
-	Settled int64          `cbor:"1,keyasint,omitempty"` // spent by holders that are gone
+	Settled int64          `cbor:"1,keyasint,omitempty"` // spent by holders that have ended
 	Rows    map[string]Row `cbor:"2,keyasint,omitempty"` // by holder
-	// Unproven is the part of Settled that no holder had reported: what lost holders may have spent after their last reports.
+	// Unproven is the part of Settled that no holder has reported: what lost holders may have spent after their last
+	// reports.
 	Unproven int64 `cbor:"3,keyasint,omitempty"`
 }
 
-// Spent is what is settled and what holders have reported.
+// Spent returns the sum of the settled amounts and of what the holders have reported as spent.
 func (a *Account) Spent() int64 {
 	return a.Settled + a.sums().spent
 }
 
-// Committed is what is settled or granted: no more than this can be spent in any case.
+// Committed returns the sum of the settled and the granted amounts. No more than this can be spent in any case.
 func (a *Account) Committed() int64 {
 	return a.Settled + a.sums().granted
 }
 
-// Report reports who a holder is and when it last wrote.
+// Report states who a holder is and when it last wrote.
 type Report struct {
-	Node  string `cbor:"1,keyasint"`           // the name under which a holder's successor starts
-	Boot  string `cbor:"2,keyasint,omitempty"` // the machine's run; empty: not known
-	Clock int64  `cbor:"3,keyasint,omitempty"` // steady clock, ms
-	Count int64  `cbor:"4,keyasint,omitempty"` // writes of this holder
-	Wall  int64  `cbor:"5,keyasint,omitempty"` // time of day, ms
-	// FleetTime is a bound of the fleet's time of day in ms, 0 where it is not known: the lower one in a holder's report, the upper one
-	// in what a successor reports its start.
+	Node  string `cbor:"1,keyasint"`           // the name that a holder shares with its successors
+	Boot  string `cbor:"2,keyasint,omitempty"` // identifies the boot of the machine; empty: unknown
+	Clock int64  `cbor:"3,keyasint,omitempty"` // steady clock, in ms
+	Count int64  `cbor:"4,keyasint,omitempty"` // number of this holder's writes
+	Wall  int64  `cbor:"5,keyasint,omitempty"` // wall clock, in ms
+	// FleetTime bounds the fleet's time in ms; 0 if unknown. A holder's report has the lower bound, a successor's start
+	// report has the upper bound.
 	FleetTime int64 `cbor:"6,keyasint,omitempty"`
-	// FleetTimePending says, of a successor's start, that Fleet will be known soon.
+	// FleetTimePending is set in a successor's start report if FleetTime will be known soon.
 	FleetTimePending bool `cbor:"7,keyasint,omitempty"`
-	// Epoch is the store's epoch as the holder knew it when it stated its rows; 0: the store names none.
+	// Epoch is the store's epoch that was current for the holder when it stated its rows; 0: the store has no epochs.
 	Epoch int64 `cbor:"8,keyasint,omitempty"`
 }
 
@@ -71,14 +75,14 @@
 type Page struct {
 	Accounts      map[string]*Account `cbor:"1,keyasint,omitempty"`
 	Holders       map[string]Report   `cbor:"2,keyasint,omitempty"`
-	Epoch         int64               `cbor:"3,keyasint,omitempty"` // of the store, when the page was last written; 0: it named none
-	RestoredEpoch int64               `cbor:"4,keyasint,omitempty"` // the first epoch of the store after its last restoration; 0: there was none
-	RestoredAt    int64               `cbor:"5,keyasint,omitempty"` // time of day, ms, of the page's first write in that epoch
+	Epoch         int64               `cbor:"3,keyasint,omitempty"` // of the store, at the page's last write; 0: the store had none
+	RestoredEpoch int64               `cbor:"4,keyasint,omitempty"` // first epoch after the store's last restoration; 0: never restored
+	RestoredAt    int64               `cbor:"5,keyasint,omitempty"` // wall clock, in ms, of the page's first write in that epoch
 
-	unknown compat.Unknown // what a later build has put there
+	unknown compat.Unknown // fields written by a later build
 }
 
-// DecodePage reads a page, compressed or not; no bytes are an empty page.
+// DecodePage decodes a page, compressed or not. Empty input is an empty page.
 func DecodePage(b []byte) (*Page, error) {
 	p := &Page{}
 	if bytes.HasPrefix(b, gzipMagic) {
@@ -105,10 +109,11 @@
 	return p, nil
 }
 
-// ErrInvalidPage reports that no holder has written a page: it must neither stop an instance nor free a token.
-var ErrInvalidPage = errors.New("the escrow page is none of a holder's")
+// ErrInvalidPage reports that no holder can have written a page. Such a page must neither stop an instance nor free
+// tokens.
+var ErrInvalidPage = errors.New("invalid escrow page")
 
-// check reports what in a page cannot be a holder's: an account without a value, or an amount below 0.
+// check returns an error if no holder can have written the page: an account without a value, or a negative amount.
 func (p *Page) check() error {
 	for name, a := range p.Accounts {
 		if a == nil {
@@ -126,7 +131,7 @@
 	return nil
 }
 
-// Encode writes the page. A large one is compressed: names of holders, which are most of it, stand in it many times.
+// Encode encodes the page. It compresses a large page, which consists mostly of holder names that occur many times.
 func (p *Page) Encode() ([]byte, error) {
 	b, err := compat.Encode(p, p.unknown)
 	if err != nil {
@@ -135,7 +140,7 @@
 	return compress(b)
 }
 
-// account finds or makes a customer's account.
+// account returns a customer's account and creates it if it does not exist.
 func (p *Page) account(customer string) *Account {
 	a := p.Accounts[customer]
 	if a == nil {
@@ -148,22 +153,22 @@
 	return a
 }
 
-// Settlement tells what became of an earlier holder's grants, in tokens.
+// Settlement is the outcome of settling an earlier holder's grants, in tokens.
 type Settlement struct {
 	Holder   string
-	AgeKnown bool          // one clock tells its last report and now
+	AgeKnown bool          // the clocks give the time between its last report and now
 	Age      time.Duration // from that report to the start of the successor
 	Spent    int64         // as last reported
 	Granted  int64
-	Settled  int64 // taken as spent; the rest is free again
+	Settled  int64 // counted as spent; the rest is available again
 }
 
-// Unproven is what was taken as spent beyond the last report, in tokens.
-func (f Settlement) Unproven() int64 { return f.Settled - f.Spent }
+// Unproven returns the tokens that were counted as spent beyond the last report.
+func (s Settlement) Unproven() int64 { return s.Settled - s.Spent }
 
-// SettlePredecessors settles the rows of a node's earlier holders. They had ended when the successor's process began, which begun tells: where
-// that comes from the same clock, no more than Ceiling can have been spent; else all that was granted counts as spent. Rows that wait
-// for begun.Fleet stay.
+// SettlePredecessors settles the rows of a node's earlier holders. These had ended when the successor's process
+// started; start is the report of that moment. If both reports are from the same clock, at most Ceiling can have been
+// spent; otherwise everything granted counts as spent. Rows for which start.FleetTime is still pending stay.
 func (p *Page) SettlePredecessors(successor string, start Report) []Settlement {
 	var predecessors []string
 	for id, r := range p.Holders {
@@ -181,42 +186,43 @@
 	return out
 }
 
-// awaitsFleetTime reports whether the age of a report at a successor's start will be known better soon.
+// awaitsFleetTime reports whether a better bound of the age of a report at a successor's start will be known soon.
 func (r Report) awaitsFleetTime(start Report) bool {
 	return start.FleetTimePending && start.FleetTime == 0 && r.FleetTime != 0 && !sameBoot(r, start)
 }
 
 func (p *Page) settlePredecessor(id string, start Report) Settlement {
-	f, stale := Settlement{Holder: id}, p.stale(id)
-	f.Age, f.AgeKnown = ageOf(p.Holders[id], start)
+	s, stale := Settlement{Holder: id}, p.stale(id)
+	s.Age, s.AgeKnown = ageOf(p.Holders[id], start)
 	for _, a := range p.Accounts {
 		row, ok := a.Rows[id]
 		if !ok {
 			continue
 		}
 		spent := row.Granted
-		if f.AgeKnown && !stale {
-			spent = row.Ceiling(f.Age)
+		if s.AgeKnown && !stale {
+			spent = row.Ceiling(s.Age)
 		}
-		f.Spent += row.Spent
-		f.Granted += row.Granted
-		f.Settled += spent
+		s.Spent += row.Spent
+		s.Granted += row.Granted
+		s.Settled += spent
 		a.Settled += spent
 		a.Unproven += spent - row.Spent
 		delete(a.Rows, id)
 	}
 	delete(p.Holders, id)
-	return f
+	return s
 }
 
-// How far clocks may be off between two readings.
+// Largest deviation of clocks between two readings.
 const (
-	ClockError     = 3 * time.Second        // one machine's time of day, by steps and drift
-	FleetTimeError = 600 * time.Millisecond // the bounds of the fleet's time, by the delay of messages
+	ClockError     = 3 * time.Second        // of one machine's wall clock, by steps and drift
+	FleetTimeError = 600 * time.Millisecond // of the bounds of the fleet's time, by message delays
 )
 
-// ageOf is the longest time that can have passed between two reports of one machine. Within one run of the machine the steady
-// clock tells it. Across a loss of power the fleet's time does, or else the machine's own time of day, which may have stepped.
+// ageOf returns the longest time that can have passed between two reports of one machine. Within one boot of the
+// machine the steady clock measures it. Across a power loss the fleet's time does; without it, the machine's wall
+// clock, which may have been stepped.
 func ageOf(then, now Report) (time.Duration, bool) {
 	wall := time.Duration(now.Wall-then.Wall) * time.Millisecond
 	if then.Wall == 0 || now.Wall == 0 {
@@ -235,15 +241,15 @@
 	return wall + ClockError, true
 }
 
-// sameBoot reports whether two reports come from one run of a machine, as far as its clocks do not contradict each other.
+// sameBoot reports whether two reports are from the same boot of a machine and its clocks do not contradict each other.
 func sameBoot(then, now Report) bool {
 	steady := time.Duration(now.Clock-then.Clock) * time.Millisecond
 	off := time.Duration(now.Wall-then.Wall)*time.Millisecond - steady
 	return then.Boot != "" && then.Boot == now.Boot && steady >= 0 && -ClockError < off && off < ClockError
 }
 
-// Leave settles what a holder has spent and gives the rest back. The holder spends nothing afterwards. Where the page may lack the holder's last
-// rows, what it has spent counts whatever its rows are.
+// Leave settles what a holder has spent and releases the rest. The holder spends nothing afterwards. If the page may
+// lack the holder's last rows (incomplete), everything that it has spent is settled, whatever its rows are.
 func (p *Page) Leave(holder string, spent map[string]int64, incomplete bool) {
 	for customer, a := range p.Accounts {
 		row, ok := a.Rows[holder]
--- a/internal/escrow/report.go
+++ b/internal/escrow/report.go
@@ -37,11 +37,11 @@
 
 // reportSettlements logs and counts what became of earlier holders' grants.
 func (h *Holder) reportSettlements(list []Settlement, page string) {
-	for _, f := range list {
-		h.onFolded(f)
-		h.log.Info().Str("event", "escrow_settled").Str("holder", f.Holder).Str("page", page).Bool("age_known", f.AgeKnown).
-			Int64("age_ms", f.Age.Milliseconds()).Int64("spent", f.Spent).Int64("granted", f.Granted).Int64("settled", f.Settled).
-			Int64("unproven", f.Unproven()).
+	for _, s := range list {
+		h.onSettlement(s)
+		h.log.Info().Str("event", "escrow_settled").Str("holder", s.Holder).Str("page", page).Bool("age_known", s.AgeKnown).
+			Int64("age_ms", s.Age.Milliseconds()).Int64("spent", s.Spent).Int64("granted", s.Granted).Int64("settled", s.Settled).
+			Int64("unproven", s.Unproven()).
 			Msg("an earlier process's escrow is settled")
 	}
 }
