--- a/internal/escrow/borrow.go
+++ b/internal/escrow/borrow.go
@@ -10,10 +10,11 @@
 // isFollower reports whether the zone's leader writes this holder's rows.
 func (h *Holder) isFollower() bool { return h.fleet != nil && !h.fleet.Leads() }
 
-// isRelay reports whether this holder leads its zone and the leader of another zone writes its rows and its zone's.
+// isRelay reports whether this holder leads its zone, and the leader of another zone writes its rows and those of its
+// zone.
 func (h *Holder) isRelay() bool { return h.fleet != nil && h.fleet.Relays() }
 
-// role is this holder's part in keeping a customer's tokens.
+// role returns this holder's role in holding a customer's tokens.
 func (h *Holder) role(customer string) Role {
 	if h.fleet == nil {
 		return RoleStandalone
@@ -21,7 +22,8 @@
 	return h.fleet.Role(customer)
 }
 
-// borrow reserves of another holder's grant; nil if none lends. later is when one may; 0: none has said.
+// borrow reserves from another holder's grant. It returns nil if no holder gives a loan; retryAfter is when one may, 0
+// if unknown.
 func (h *Holder) borrow(ctx context.Context, customer string, maxTokens int64, rank int) (r *Reservation, retryAfter time.Duration) {
 	number, ok := h.nextLoan(customer, maxTokens)
 	if !ok {
@@ -44,7 +46,8 @@
 	return &Reservation{holder: h, customer: customer, maxTokens: maxTokens, lender: result.Lender, number: number}, 0
 }
 
-// nextLoan numbers a loan; not while as much was refused only just now.
+// nextLoan returns the number of the next loan. It returns false if this holder is standalone, or if a loan of this amount
+// or less was refused within Times.ExhaustedPause.
 func (h *Holder) nextLoan(customer string, maxTokens int64) (int64, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -56,7 +59,7 @@
 	return h.loanCount, true
 }
 
-// queueRepayment notes what was used of a loan. The caller holds mu.
+// queueRepayment records what was used of a loan, for the next repayment. The caller holds mu.
 func (h *Holder) queueRepayment(lender string, number, used int64) {
 	ended := h.endedLoans[lender]
 	if ended == nil {
@@ -66,10 +69,10 @@
 	ended[number] = used
 }
 
-// repayments is the service that returns loans that have ended.
+// repayments is the service that repays loans that have ended.
 type repayments struct{ holder *Holder }
 
-// Repayments is the service that returns ended loans to the holders that gave them.
+// Repayments returns the service that repays ended loans to the holders that gave them.
 func (h *Holder) Repayments() kernel.Service { return &repayments{holder: h} }
 
 // Name implements kernel.Service.
@@ -92,7 +95,7 @@
 	h.writeOffLoans()
 }
 
-// repayOne returns loans to one lender. What did not arrive is tried again until the lender has written it off.
+// repayOne repays loans to one holder. It retries failed repayments until that holder has written the loans off.
 func (h *Holder) repayOne(ctx context.Context, lender string, used map[int64]int64) {
 	ctx, cancel := context.WithTimeout(ctx, h.times.LoanTimeout)
 	defer cancel()
--- a/internal/escrow/clock.go
+++ b/internal/escrow/clock.go
@@ -10,22 +10,23 @@
 
 const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
-// Clock is a steady clock that outlasts a process.
+// Clock is a steady clock that continues across restarts of a process.
 type Clock interface {
-	// Now is the time since an arbitrary moment that all processes with the same Boot share.
+	// Now returns the time since an arbitrary moment that all processes with the same Boot share.
 	Now() time.Duration
-	// Boot names the run of the machine; empty where it is not known.
+	// Boot identifies the boot of the machine; empty if unknown.
 	Boot() string
 }
 
-// bootClockPrefix begins the name of a machine's run by this clock. Builds that leave suspensions out name the run by the boot ID alone, and take no
-// difference between the two clocks for an age.
+// bootClockPrefix starts the boot names of this clock. Builds whose clock leaves suspensions out use the boot ID alone
+// as name. The different names prevent an age from being computed across the two clocks.
 const bootClockPrefix = "boottime:"
 
 type machineClock struct{ boot string }
 
-// MachineClock is the time since the machine's boot, suspensions included, named by the kernel's boot ID. A holder releases its grant by it and
-// its successor settles by it: were one of them to leave a suspension out, more could be spent than settled.
+// MachineClock returns the time since the machine's boot, including suspensions, with the kernel's boot ID as name. A
+// holder releases its grant by this clock and its successor settles by it. If one of them left a suspension out, more
+// could be spent than is settled.
 func MachineClock() Clock {
 	b, err := os.ReadFile(bootIDPath)
 	if err != nil {
--- a/internal/escrow/compress.go
+++ b/internal/escrow/compress.go
@@ -9,22 +9,22 @@
 	"github.com/rotisserie/eris"
 )
 
-// gzipMagic is how compressed bytes begin; no page in CBOR does.
+// gzipMagic is the start of gzip data. No page in CBOR starts with it.
 var gzipMagic = []byte{0x1f, 0x8b}
 
-// maxPageSize is the size in bytes up to which a page is decompressed: far more than the store takes of a value.
+// maxPageSize limits the size in bytes of a decompressed page. It is far larger than any value that the store accepts.
 const maxPageSize = 64 << 20
 
-// minCompressSize is the size in bytes from which compressing a page is worth its time: that of a fleet of about 50.
+// minCompressSize is the size in bytes from which compressing a page is worth the time. A fleet of about 50 reaches it.
 const minCompressSize = 16 << 10
 
-// compressors are kept, as each takes about a megabyte.
+// compressors reuses writers, since each takes about a megabyte.
 var compressors = sync.Pool{New: func() any {
-	z, _ := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed) // fails for levels that do not exist only
+	z, _ := gzip.NewWriterLevel(io.Discard, gzip.BestSpeed) // fails only for invalid levels
 	return z
 }}
 
-// compress makes large pages smaller and leaves others as they are.
+// compress compresses large pages and returns others unchanged.
 func compress(b []byte) ([]byte, error) {
 	if len(b) < minCompressSize {
 		return b, nil
--- a/internal/escrow/copy.go
+++ b/internal/escrow/copy.go
@@ -9,8 +9,9 @@
 	"github.com/ledgemount/ledgemount/internal/external"
 )
 
-// load reads a page that is not known, or of which a write may still be under way. One that this holder has written itself is taken
-// to be the newest: where it is not, the conflict brings the newest, for the same one call.
+// load reads a page unless the copy is fresh enough and no write of it may be under way. A copy that this holder has
+// written itself counts as fresh for longer: if it is not the newest, the write's conflict returns the newest one, so
+// the cost is one call in both cases.
 func (h *Holder) load(ctx context.Context, p *pageState) error {
 	h.mu.Lock()
 	age := h.now().Sub(p.verifiedAt)
@@ -32,10 +33,10 @@
 	return h.adopt(p, entry)
 }
 
-// noteAnswer notes an answer of the store. The caller holds mu.
+// noteAnswer records that the store has answered. The caller holds mu.
 func (h *Holder) noteAnswer() { h.lastAnswer = h.now() }
 
-// Observe takes a page that was read or watched elsewhere.
+// Observe takes in a page that was read or watched elsewhere.
 func (h *Holder) Observe(e external.Entry) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -46,7 +47,8 @@
 	}
 }
 
-// revisionOf is the revision that an entry stands for: also a page that does not exist is so in an epoch of the store.
+// revisionOf returns the revision of an entry. For a page that does not exist it is revision 0 of the store's current
+// epoch.
 func (h *Holder) revisionOf(e external.Entry) int64 {
 	if e.Revision == 0 {
 		return external.Revision(h.epochs.Current(), 0)
@@ -54,7 +56,7 @@
 	return e.Revision
 }
 
-// adopt takes a newer copy of a page. The caller holds mu.
+// adopt takes in a newer copy of a page. The caller holds mu.
 func (h *Holder) adopt(p *pageState, e external.Entry) error {
 	revision := h.revisionOf(e)
 	if p.known && revision < p.revision {
@@ -93,7 +95,7 @@
 	return nil
 }
 
-// observeAll measures what all holders report on a page. The caller holds mu.
+// observeAll measures the use that all holders have reported on a page. The caller holds mu.
 func (h *Holder) observeAll(p *pageState, page *Page) {
 	h.holderCount = len(page.Holders)
 	for name, a := range h.accounts {
@@ -103,8 +105,9 @@
 	}
 }
 
-// resolvesOutcome reports whether a page at a revision shows what became of all writes of this holder whose outcome is not known. A direct
-// write cannot happen any more once the page has moved on; rows that a leader has can, until a later write of this holder stands.
+// resolvesOutcome reports whether a page at a revision shows the outcome of all writes of this holder that had an
+// unknown one. A direct write can no longer happen once the page has a later revision. Rows that a leader has can still
+// be written until the page has a later write of this holder.
 func (p *pageState) resolvesOutcome(revision int64, report Report, present bool) bool {
 	if p.submitted {
 		return report.Count > p.count || (p.joined && !present)
--- a/internal/escrow/draw.go
+++ b/internal/escrow/draw.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	joinSpread      = 3                       // gaps over which tries to join are spread, for each of a crowd
-	refreshAttempts = 6                       // conflicts in a row before a draw waits for the next beat
-	idleRefresh     = 4 * time.Second         // a page on which nothing happens is reported this often
-	stoppingHorizon = 2500 * time.Millisecond // while the process is about to stop
+	joinSpread      = 3                       // spreads attempts to join over this many gaps, multiplied by crowdFactor
+	refreshAttempts = 6                       // successive conflicts before a refresh waits for the next round
+	idleRefresh     = 4 * time.Second         // an idle page is reported this often
+	stoppingHorizon = 2500 * time.Millisecond // horizon of grants while the process is about to stop
 )
 
-// Run draws, reports and gives back until ctx ends.
+// Run refreshes the holder's grants until ctx ends: it reports use, requests tokens and returns what is no longer
+// needed.
 func (h *Holder) Run(ctx context.Context) error {
 	var last time.Time
 	for {
@@ -28,7 +29,7 @@
 	}
 }
 
-// round brings all pages up to date, by the zone's leader if there is one.
+// round refreshes all pages that are due, through the zone's leader if there is one.
 func (h *Holder) round(ctx context.Context, regular bool) {
 	if h.fleet != nil && !h.Ready() && !h.fleet.Settled() {
 		return
@@ -51,17 +52,18 @@
 	}
 }
 
-// groupWriteDue reports whether rows of others are to be written on a page now.
+// groupWriteDue reports whether rows of other holders are to be written to a page now.
 func (h *Holder) groupWriteDue(p *pageState) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.groupReady(p) && !h.backingOff()
 }
 
-// backingOff reports whether a call has failed just now: the next one is not worth its price yet. The caller holds mu.
+// backingOff reports whether a call has failed so recently that the next one is not worth its cost yet. The caller
+// holds mu.
 func (h *Holder) backingOff() bool { return h.now().Sub(h.lastFailure) < h.times.Backoff }
 
-// pause waits for the next beat or for a request that waits; false means that ctx has ended.
+// pause waits for the next round, or for a request that needs one. It returns false if ctx has ended.
 func (h *Holder) pause(ctx context.Context, last time.Time) bool {
 	wait, least := h.waitBounds()
 	t := time.NewTimer(wait)
@@ -83,8 +85,8 @@
 	}
 }
 
-// waitBounds are the longest and the least time until the next round. A holder that has not joined all its pages cannot serve, so it
-// tries again soon; not all at the same moment, as after a fault many start at once.
+// waitBounds returns the longest and the shortest time until the next round. A holder that has not joined all its pages
+// cannot serve, so it tries again soon. The time is random, since many holders may start at once after a fault.
 func (h *Holder) waitBounds() (longest, least time.Duration) {
 	follower := h.isFollower()
 	h.mu.Lock()
@@ -104,8 +106,8 @@
 	return h.refreshInterval() * 3 / 2, least
 }
 
-// startRound begins a round of draws. It reports whether the round is a regular one; between these, only what requests wait for is
-// drawn.
+// startRound begins a round of refreshes and reports whether it is a regular one. Other rounds refresh only what
+// requests wait for.
 func (h *Holder) startRound() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -124,7 +126,8 @@
 	return true
 }
 
-// refreshDue reports whether a page has something to report. A page that is not joined or not settled is always due.
+// refreshDue reports whether there is something to report on a page. A page is always due until it is joined and its
+// earlier rows are settled.
 func (h *Holder) refreshDue(p *pageState, regular bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -156,7 +159,7 @@
 	return false
 }
 
-// refresh brings pages up to date, in one write. Failures leave everything as it was, to be tried at the next beat.
+// refresh brings pages up to date in one write. A failure changes nothing; the next round tries again.
 func (h *Holder) refresh(ctx context.Context, pages ...*pageState) {
 	for range refreshAttempts {
 		err := h.refreshOnce(ctx, pages)
@@ -169,12 +172,12 @@
 		h.mu.Lock()
 		h.lastFailure = h.now()
 		h.mu.Unlock()
-		h.log.Debug().Str("event", "escrow_draw_failed").Int("pages", len(pages)).Err(err).Msg("the store did not take a draw")
+		h.log.Debug().Str("event", "escrow_draw_failed").Int("pages", len(pages)).Err(err).Msg("the store did not accept a refresh of budget pages")
 		return
 	}
 }
 
-// refreshOnce tries one write of pages.
+// refreshOnce makes one attempt to write pages.
 func (h *Holder) refreshOnce(ctx context.Context, pages []*pageState) error {
 	for _, p := range pages {
 		if err := h.load(ctx, p); err != nil {
--- a/internal/escrow/fleet.go
+++ b/internal/escrow/fleet.go
@@ -8,26 +8,28 @@
 	"github.com/ledgemount/ledgemount/internal/fleettime"
 )
 
-// Fleet is the way to the other holders. In a large fleet one holder of each zone leads: it writes the rows of the others in one
-// go. All lend each other what a request needs beyond its holder's own grant.
+// Fleet connects a holder to the other holders. In a large fleet one holder of each availability zone leads: it writes
+// the rows of the others in one write. Holders lend each other what a request needs beyond its holder's own grant.
 type Fleet interface {
-	// Time bounds the fleet's time of day; false while it is not known.
+	// Time returns bounds of the fleet's time, and false if it is unknown.
 	Time() (fleettime.Bounds, bool)
-	// Settled reports whether this holder knows the others well enough to begin: not just after its start.
+	// Settled reports whether this holder has discovered enough of the others to begin; this takes a while after its
+	// start.
 	Settled() bool
-	// Large reports whether the fleet's zones are led.
+	// Large reports whether the fleet's zones have leaders.
 	Large() bool
-	// Leads reports whether this holder does its own writing: it leads, or no leader can be reached.
+	// Leads reports whether this holder writes its own rows: it leads its zone, or no leader can be reached.
 	Leads() bool
-	// Stranded reports whether it does so only because those that lead cannot be reached.
+	// Stranded reports whether it writes its own rows only because the leaders cannot be reached.
 	Stranded() bool
-	// Relays reports whether this holder leads its zone, but the leader of another zone writes for that one too.
+	// Relays reports whether this holder leads its zone, and the leader of another zone writes for this zone too.
 	Relays() bool
-	// Submit hands rows to the leader; a holder that relays hands its zone's to the leader of another zone. ErrNotTaken promises that none of them will be written; after any other error they may be.
+	// Submit passes rows to the leader. A holder that relays passes its zone's rows to the leader of another zone.
+	// After ErrNotDelivered none of them will be written; after any other error they may be.
 	Submit(ctx context.Context, s Submission) (Receipt, error)
-	// Role is this holder's part in keeping a customer's tokens.
+	// Role returns this holder's role in holding a customer's tokens.
 	Role(customer string) Role
-	// ZoneSize is the number of holders of the own zone.
+	// ZoneSize returns the number of holders in this holder's zone.
 	ZoneSize() int
 	// Borrow reserves a part of another holder's grant.
 	Borrow(ctx context.Context, l Loan) LoanResult
@@ -35,92 +37,93 @@
 	Return(ctx context.Context, lender string, r Repayment) error
 }
 
-// Role is a holder's part in keeping a customer's tokens.
+// Role is a holder's role in holding a customer's tokens.
 type Role int
 
 // The roles.
 const (
-	RoleStandalone Role = iota // it keeps what it needs itself
-	RolePool                   // it keeps what its zone needs
-	RolePooled                 // another holder of its zone keeps that
+	RoleStandalone Role = iota // holds what it needs itself
+	RolePool                   // holds what its zone needs
+	RolePooled                 // another holder of its zone holds what the zone needs
 )
 
-// LoanResult tells what became of a loan.
+// LoanResult is the outcome of a loan request.
 type LoanResult struct {
-	Lender      string        // who has given it; empty: nobody
-	Unconfirmed []string      // who may have given it, though no answer came
-	RetryAfter  time.Duration // the first moment at which one that refused may have enough; 0: none has said
+	Lender      string        // the holder that gave the loan; empty: none
+	Unconfirmed []string      // holders that may have given it, but did not answer
+	RetryAfter  time.Duration // the earliest time at which a holder that refused may have enough; 0: unknown
 }
 
-// ErrNotDelivered reports that a leader has not seen a submission.
-var ErrNotDelivered = errors.New("no leader has taken the rows")
+// ErrNotDelivered reports that no leader has received a submission.
+var ErrNotDelivered = errors.New("no leader has received the rows")
 
-// errShortReceipt reports that a leader did not tell of all rows.
-var errShortReceipt = errors.New("the receipt does not tell of all rows")
+// errShortReceipt reports that a leader's receipt does not cover all submitted rows.
+var errShortReceipt = errors.New("the receipt does not cover all submitted rows")
 
-// Submission is what a holder asks its zone's leader to write.
+// Submission contains the rows that a holder asks its zone's leader to write.
 type Submission struct {
 	Holder      string             `cbor:"1,keyasint"`
 	Parts       []Part             `cbor:"2,keyasint"`
-	DemandRates map[string]float64 `cbor:"3,keyasint,omitempty"` // tokens a second that are asked for here, by customer
-	// Zone are submissions of one part each that the leader of a zone passes on for that zone's other holders.
+	DemandRates map[string]float64 `cbor:"3,keyasint,omitempty"` // demand at this holder in tokens per second, by customer
+	// Zone has submissions of one part each, which a zone's leader relays for the zone's other holders.
 	Zone    []Submission `cbor:"4,keyasint,omitempty"`
 	Relayed bool         `cbor:"5,keyasint,omitempty"` // it comes from the leader of another zone
 }
 
-// Part is a Submission's part for one page. It is written only if the holder's last write there is the one that Report.Count
-// follows, so it is written once at most, and never after a newer one.
+// Part is a Submission's part for one page. It is written only if its Report.Count directly follows the holder's last
+// write on the page. So it is written at most once, and never after a newer one.
 type Part struct {
 	Page   int             `cbor:"1,keyasint"`
 	Report Report          `cbor:"2,keyasint"`
 	Rows   map[string]Need `cbor:"3,keyasint,omitempty"` // by customer
-	Start  Report          `cbor:"4,keyasint,omitempty"` // until rows of earlier processes are settled: this process's start
+	Start  Report          `cbor:"4,keyasint,omitempty"` // this process's start, until rows of earlier processes are settled
 }
 
-// Receipt answers a Submission.
+// Receipt is the response to a Submission.
 type Receipt struct {
 	Parts []PartReceipt `cbor:"1,keyasint"`
-	Zone  []Receipt     `cbor:"2,keyasint,omitempty"` // of the submissions in Submission.Zone, in their order
+	Zone  []Receipt     `cbor:"2,keyasint,omitempty"` // for the submissions in Submission.Zone, in the same order
 }
 
-// PartReceipt reports how a page stands after a Part was taken, or was not because the holder's row is another one.
+// PartReceipt is the state of a page after a Part was applied, or was skipped because it does not follow the holder's
+// row.
 type PartReceipt struct {
 	Page      int                       `cbor:"1,keyasint"`
-	Present   bool                      `cbor:"2,keyasint,omitempty"` // the page knows the holder
-	Report    Report                    `cbor:"3,keyasint"`           // of the holder, as it stands there
+	Present   bool                      `cbor:"2,keyasint,omitempty"` // the page has the holder
+	Report    Report                    `cbor:"3,keyasint"`           // of the holder, as in the page
 	Rows      map[string]AccountReceipt `cbor:"4,keyasint,omitempty"`
 	Holders   int                       `cbor:"5,keyasint,omitempty"`
-	FleetRate float64                   `cbor:"6,keyasint,omitempty"` // tokens a second that all holders use of all customers
-	// Unsettled: rows of the node's earlier holders are left
+	FleetRate float64                   `cbor:"6,keyasint,omitempty"` // tokens per second that all holders use of all customers
+	// Unsettled is set if rows of the node's earlier holders are left.
 	Unsettled bool  `cbor:"7,keyasint,omitempty"`
-	Epoch     int64 `cbor:"8,keyasint,omitempty"` // of the store, when the page was written; 0: it names none
+	Epoch     int64 `cbor:"8,keyasint,omitempty"` // of the store, at the page's write; 0: it has none
 }
 
-// AccountReceipt is how one customer's account stands for a holder.
+// AccountReceipt is the state of one customer's account for a holder.
 type AccountReceipt struct {
 	Row          Row     `cbor:"1,keyasint"`
-	Target       int64   `cbor:"2,keyasint,omitempty"` // what the holder's unspent part should be
-	Remaining    int64   `cbor:"3,keyasint,omitempty"` // unspent by anyone
+	Target       int64   `cbor:"2,keyasint,omitempty"` // what the holder should have unspent
+	Remaining    int64   `cbor:"3,keyasint,omitempty"` // unspent by all holders
 	Ungranted    int64   `cbor:"4,keyasint,omitempty"` // granted to nobody
-	OthersDemand int64   `cbor:"5,keyasint,omitempty"` // mean of what other holders want
-	FleetRate    float64 `cbor:"6,keyasint,omitempty"` // tokens a second that all holders use
-	ZoneRate     float64 `cbor:"7,keyasint,omitempty"` // tokens a second that the zone is asked for
-	// Unproven is the account's.
+	OthersDemand int64   `cbor:"5,keyasint,omitempty"` // mean demand of the other holders
+	FleetRate    float64 `cbor:"6,keyasint,omitempty"` // tokens per second that all holders use
+	ZoneRate     float64 `cbor:"7,keyasint,omitempty"` // tokens per second requested in the zone
+	// Unproven is Account.Unproven.
 	Unproven int64 `cbor:"8,keyasint,omitempty"`
 }
 
-// Loan is a part of a holder's grant that a request at another holder reserves.
+// Loan is a part of a holder's grant that is reserved for a request at another holder.
 type Loan struct {
 	Holder    string `cbor:"1,keyasint"`
-	Number    int64  `cbor:"2,keyasint"` // of the loan, by its holder
+	Number    int64  `cbor:"2,keyasint"` // unique for the requesting holder
 	Customer  string `cbor:"3,keyasint"`
 	MaxTokens int64  `cbor:"4,keyasint"`
 	Rank      int    `cbor:"5,keyasint,omitempty"`
-	HeldOnly  bool   `cbor:"6,keyasint,omitempty"` // only of what the lender has; it draws nothing for it
+	HeldOnly  bool   `cbor:"6,keyasint,omitempty"` // the lending holder does not refresh its grant for the loan
 }
 
-// Repayment ends loans of one lender: what was used of each.
+// Repayment ends loans of one lending holder with what was used of each.
 type Repayment struct {
 	Holder string          `cbor:"1,keyasint"`
-	Used   map[int64]int64 `cbor:"2,keyasint"` // by number
+	Used   map[int64]int64 `cbor:"2,keyasint"` // by number of the loan
 }
--- a/internal/escrow/granting.go
+++ b/internal/escrow/granting.go
@@ -1,6 +1,6 @@
 package escrow
 
-// sums are what the rows of an account add up to, in tokens.
+// sums are the totals of an account's rows, in tokens.
 type sums struct {
 	spent, granted, want int64
 	margin               int64 // see Page.margin
@@ -16,7 +16,7 @@
 	return s
 }
 
-// sums adds up the rows.
+// sums returns the totals of the rows.
 func (a *Account) sums() sums {
 	var out sums
 	for _, r := range a.Rows {
@@ -25,8 +25,8 @@
 	return out
 }
 
-// granter sets the rows of many holders of one page. It keeps the sums of accounts and the number of holders of each node, which would else be
-// made anew for each holder, and take the writer of a large fleet most of its processor time.
+// granter sets the rows of many holders of one page. It caches the sums of accounts and the number of holders of each
+// node. Computing them for each holder would take most of the processor time of a large fleet's writer.
 type granter struct {
 	page    *Page
 	frozen  bool            // no row is raised
@@ -40,7 +40,7 @@
 	return g
 }
 
-// reset forgets what was kept: rows have changed that were not granted here.
+// reset clears the caches after rows have changed by other means.
 func (g *granter) reset() {
 	g.sums = make(map[string]sums, len(g.page.Accounts))
 	g.holders = make(map[string]int, len(g.page.Holders))
@@ -49,7 +49,7 @@
 	}
 }
 
-// fold settles the rows of a node's earlier holders; see Page.Fold.
+// fold settles the rows of a node's earlier holders; see Page.SettlePredecessors.
 func (g *granter) fold(successor string, start Report) []Settlement {
 	out := g.page.SettlePredecessors(successor, start)
 	if len(out) > 0 {
@@ -58,7 +58,7 @@
 	return out
 }
 
-// report notes a holder's report.
+// report sets a holder's report.
 func (g *granter) report(holder string, r Report) {
 	if old, ok := g.page.Holders[holder]; ok {
 		g.holders[old.Node]--
@@ -79,7 +79,7 @@
 	return n > 0
 }
 
-// sumsOf is what the rows of a customer's account add up to.
+// sumsOf returns the totals of a customer's account.
 func (g *granter) sumsOf(customer string, a *Account) sums {
 	s, ok := g.sums[customer]
 	if !ok {
@@ -90,8 +90,8 @@
 	return s
 }
 
-// grant sets a holder's row of a customer's account so that nothing is overspent; target is what the holder should have unspent. prepaid < 0
-// is no limit.
+// grant sets a holder's row of a customer's account so that nothing is overspent. target is what the holder should have
+// unspent. prepaid < 0 means no limit.
 func (g *granter) grant(customer, holder string, n Need, prepaid int64) (row Row, target int64) {
 	a := g.page.account(customer)
 	old := a.Rows[holder]
@@ -101,8 +101,8 @@
 	return row, target
 }
 
-// limit is what a row may reach, of what no other row holds. After a restoration it is raised no further than the margin allows, but never lowered
-// for that.
+// limit returns the upper limit of a row. free is what no other row holds. After a restoration the row is raised only
+// as far as the margin allows, but never lowered because of it.
 func (g *granter) limit(old Row, ungranted, margin int64) int64 {
 	if g.frozen || ungranted-margin < old.Granted {
 		return min(ungranted, old.Granted)
@@ -110,7 +110,7 @@
 	return ungranted - margin
 }
 
-// unspent is what nobody has spent of a customer's prepaid amount, and free what nobody may spend of it.
+// unspent returns what remains unspent of a customer's prepaid amount, and what of it is granted to nobody.
 func (g *granter) unspent(customer string, prepaid int64) (remaining, ungranted int64) {
 	a := g.page.account(customer)
 	s := g.sumsOf(customer, a)
--- a/internal/escrow/group.go
+++ b/internal/escrow/group.go
@@ -7,7 +7,7 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// reachesStore reports whether the store has answered lately, or was not asked yet.
+// reachesStore reports whether the store has answered recently, or has not been called yet.
 func (h *Holder) reachesStore() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -15,24 +15,24 @@
 }
 
 const (
-	submissionWait = 1800 * time.Millisecond // for the write
-	submissionLife = 2500 * time.Millisecond // a submission that was not written by then is dropped
-	loanLife       = 90 * time.Second        // a loan that was not repaid by then counts as used
+	submissionWait = 1800 * time.Millisecond // limit of the wait for the write
+	submissionLife = 2500 * time.Millisecond // a submission that is not written by then is dropped
+	loanLife       = 90 * time.Second        // a loan that is not repaid by then counts as used
 )
 
-// pendingPart is a part that waits for the next write of its page.
+// pendingPart is a submitted part that waits for the next write of its page.
 type pendingPart struct {
 	holder      string
 	part        Part
 	arrived     time.Time
-	urgent      bool // the holder cannot serve before it is written
+	urgent      bool // the holder cannot serve until it is written
 	relayed     bool // the leader of another zone has passed it on
 	receipt     PartReceipt
 	settlements []Settlement
-	done        chan struct{} // closed once the receipt stands
+	done        chan struct{} // closed once the receipt is set
 }
 
-// Submit takes rows of another holder of the zone, and returns once they are written.
+// Submit accepts rows of another holder of the availability zone, and returns once they are written.
 func (h *Holder) Submit(ctx context.Context, s Submission) (Receipt, error) {
 	if !h.reachesStore() {
 		return Receipt{}, verdict.New(verdict.NotRun, verdict.CodeUnavailable, "the store does not answer here")
@@ -73,7 +73,8 @@
 func (h *Holder) enqueue(s Submission) []*pendingPart {
 	for _, part := range s.Parts {
 		if part.Report.Epoch > 0 {
-			_ = h.epochs.Observe(part.Report.Epoch, 0) // a part of an earlier one is not written, and its receipt reports why
+			// Parts of an earlier epoch are not written. Their receipts report the current epoch.
+			_ = h.epochs.Observe(part.Report.Epoch, 0)
 		}
 	}
 	h.mu.Lock()
@@ -117,20 +118,20 @@
 	return now.Sub(p.pending[0].arrived) >= h.times.GatherWindow && now.Sub(p.refreshedAt) >= group
 }
 
-// dropExpired drops parts whose holders have stopped waiting. The caller holds mu.
+// dropExpired drops parts whose holders no longer wait for them. The caller holds mu.
 func (h *Holder) dropExpired(p *pageState) {
 	now := h.now()
-	kept := p.pending[:0]
+	live := p.pending[:0]
 	for _, x := range p.pending {
 		if now.Sub(x.arrived) < submissionLife {
-			kept = append(kept, x)
+			live = append(live, x)
 		}
 	}
-	clear(p.pending[len(kept):])
-	p.pending = kept
+	clear(p.pending[len(live):])
+	p.pending = live
 }
 
-// applyPending puts the parts that wait into a page that is about to be written. The caller holds mu.
+// applyPending applies the waiting parts to a page that is about to be written. The caller holds mu.
 func (h *Holder) applyPending(p *pageState, g *granter) []*pendingPart {
 	h.dropExpired(p)
 	h.sumZoneDemand(p)
@@ -141,16 +142,16 @@
 	return list
 }
 
-// reportedDemand is what one holder of the zone is asked for, in tokens a second by customer.
+// reportedDemand is the demand at one holder of the zone, in tokens per second by customer.
 type reportedDemand struct {
 	rates map[string]float64
 	at    time.Time
 }
 
-// demandLife is how long it counts.
+// demandLife is the time for which a reported demand counts.
 const demandLife = 6 * time.Second
 
-// sumZoneDemand adds up what the zone is asked for of a page's customers. The caller holds mu.
+// sumZoneDemand sums the zone's demand of a page's customers. The caller holds mu.
 func (h *Holder) sumZoneDemand(p *pageState) {
 	now := h.now()
 	for holder, x := range h.zoneDemand {
@@ -169,7 +170,8 @@
 	}
 }
 
-// applyPart puts one part into a page, unless the holder's row there is not the one that the part follows. The caller holds mu.
+// applyPart applies one part to a page. It skips a part that does not directly follow the holder's row in the page. The
+// caller holds mu.
 func (h *Holder) applyPart(x *pendingPart, g *granter) PartReceipt {
 	targets := make(map[string]int64, len(x.part.Rows))
 	if g.page.isNextPart(x.holder, x.part.Report) {
@@ -195,7 +197,7 @@
 	}
 }
 
-// receipt tells how a page stands for a holder. The caller holds mu.
+// receipt returns the state of a page for a holder. The caller holds mu.
 func (h *Holder) receipt(x *pendingPart, g *granter, targets map[string]int64) PartReceipt {
 	page := g.page
 	report, present := page.Holders[x.holder]
@@ -217,21 +219,21 @@
 	return r
 }
 
-// complete tells holders whose parts are in the store. The caller holds mu.
+// complete ends the wait of holders whose parts are in the store. The caller holds mu.
 func (p *pageState) complete(list []*pendingPart) {
 	done := make(map[*pendingPart]bool, len(list))
 	for _, x := range list {
 		done[x] = true
 		close(x.done)
 	}
-	kept := p.pending[:0]
+	waiting := p.pending[:0]
 	for _, x := range p.pending {
 		if !done[x] {
-			kept = append(kept, x)
+			waiting = append(waiting, x)
 		}
 	}
-	clear(p.pending[len(kept):])
-	p.pending = kept
+	clear(p.pending[len(waiting):])
+	p.pending = waiting
 }
 
 // loanRecord is a loan that this holder has given.
@@ -245,7 +247,7 @@
 	number int64
 }
 
-// reserveLoan reserves what is lent, of what there is or of what a draw brings.
+// reserveLoan reserves tokens for a loan from what this holder has, or from what a refresh brings.
 func (h *Holder) reserveLoan(ctx context.Context, l Loan) (*Reservation, error) {
 	var r *Reservation
 	var err error
@@ -286,7 +288,8 @@
 	return nil
 }
 
-// Repaid ends loans. One that is not known yet, as its holder did not wait for it, is remembered, so that it is not given.
+// Repaid ends loans. If a loan is not known yet, because its holder did not wait for it, Repaid records it so that it
+// is not given later.
 func (h *Holder) Repaid(r Repayment) {
 	for number, used := range r.Used {
 		h.mu.Lock()
@@ -303,7 +306,7 @@
 	}
 }
 
-// writeOffLoans takes loans that nobody has repaid for long as used.
+// writeOffLoans counts loans as used that have not been repaid for a long time.
 func (h *Holder) writeOffLoans() {
 	h.mu.Lock()
 	now := h.now()
--- a/internal/escrow/holder.go
+++ b/internal/escrow/holder.go
@@ -102,7 +102,7 @@
 	loanCount        int64
 	loans            map[loanKey]loanRecord     // given to other holders
 	returnedEarly    map[loanKey]time.Time      // repaid before they were given
-	endedLoans       map[string]map[int64]int64 // loans that have ended and are not repaid, by the holder that gave them and number
+	endedLoans       map[string]map[int64]int64 // ended and not yet repaid, by lending holder and number
 	unreachableSince map[string]time.Time       // since when repayments to a holder have failed; only Repayments uses it
 
 	wakeups chan struct{}
--- a/internal/escrow/leave.go
+++ b/internal/escrow/leave.go
@@ -10,7 +10,7 @@
 	"github.com/ledgemount/ledgemount/internal/external"
 )
 
-// Leave gives back all that is unspent and takes the holder out of every page. It tries until ctx ends.
+// Leave returns everything unspent and removes the holder from every page. It retries until ctx ends.
 func (h *Holder) Leave(ctx context.Context) error {
 	ctx = external.WithLast(ctx)
 	for _, p := range h.pages {
--- a/internal/escrow/meter.go
+++ b/internal/escrow/meter.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// meter measures a flow of tokens: how fast it is and how uneven.
+// meter measures the rate and the unevenness of a flow of tokens.
 type meter struct {
 	perSecond float64
 	pending   float64
 	squareSum float64 // of the requests' sizes
-	sizeSum   float64 // their sum
+	sizeSum   float64 // of the requests' sizes
 	at        time.Time
 	age       time.Duration
 }
@@ -18,10 +18,10 @@
 // Time constants of a meter.
 const (
 	meterWindow = 6 * time.Second  // of the rate
-	sizeDecay   = 30 * time.Second // of what is known of sizes
+	sizeDecay   = 30 * time.Second // of the request sizes
 )
 
-// add counts a request, in tokens at its most.
+// add counts a request with the most tokens that it can use.
 func (m *meter) add(tokens int64) {
 	x := float64(tokens)
 	m.pending += x
@@ -29,7 +29,7 @@
 	m.squareSum += x * x
 }
 
-// tick brings the rate up to date. A meter begins with the first requests, whatever they are: idle reports that there were none yet.
+// tick updates the rate. A meter starts with the first requests of any customer; idle reports that there were none yet.
 func (m *meter) tick(now time.Time, idle bool) {
 	if m.at.IsZero() || idle {
 		m.at = now
@@ -49,7 +49,7 @@
 	m.age += dt
 }
 
-// rate is the flow in tokens a second, corrected for a meter that is younger than its window.
+// rate returns the flow in tokens per second, corrected if the meter is younger than its window.
 func (m *meter) rate() float64 {
 	seen := 1 - math.Exp(-m.age.Seconds()/meterWindow.Seconds())
 	if seen <= 0 {
@@ -58,7 +58,7 @@
 	return m.perSecond / seen
 }
 
-// weightedSize is the size of request that makes the flow uneven: the mean size, larger requests counting more.
+// weightedSize returns the request size that determines the unevenness of the flow: the mean size, weighted by size.
 func (m *meter) weightedSize() float64 {
 	if m.sizeSum <= 0 {
 		return 0
--- a/internal/escrow/need.go
+++ b/internal/escrow/need.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// warmupTime is how long after the first request what is measured says too little.
+// warmupTime is how long after the first request measurements are not yet meaningful.
 const warmupTime = 3 * time.Second
 
-// need sizes what the holder asks for of a customer's account. The caller holds mu.
+// need computes what the holder requests of a customer's account. The caller holds mu.
 func (h *Holder) need(name string, a *account, holders int) Need {
 	role := h.role(name)
 	horizon := h.policy.Horizon
@@ -22,8 +22,8 @@
 	policy := h.policy
 	f := h.flow(a, role)
 	if role == RolePooled || h.stopping {
-		// The pool makes up for unevenness; callers of an instance that stops come to others. Where the store is away at the stop's end
-		// all that this holder has is lost to the budget.
+		// The pool absorbs unevenness, and callers of a stopping instance move to others. If the store is unreachable
+		// at the end of the stop, everything that this holder has is lost to the budget.
 		policy.Deviations, policy.BurstDeviations, policy.ReserveFactor = 0, 0, 1
 	}
 	n.Demand, n.Burst, n.Rate = policy.size(f, horizon, policy.abundance(a.unspent(), a.prepaid))
@@ -34,7 +34,7 @@
 		share := h.startShare(a, role, max(1, holders))
 		burst, rate := share, int64(0)
 		if h.fleet != nil && h.fleet.Large() {
-			burst, rate = policy.releaseSchedule(share) // it is a part for a whole zone
+			burst, rate = policy.releaseSchedule(share) // the share covers a whole zone
 		}
 		n.Demand, n.Burst, n.Rate = max(n.Demand, share), max(n.Burst, burst), max(n.Rate, rate)
 	}
@@ -42,7 +42,8 @@
 	return n
 }
 
-// warmingUp reports whether too little is measured yet, here or in the zone that this holder pools tokens for. The caller holds mu.
+// warmingUp reports whether too little is measured yet, here or in the zone for which this holder pools tokens. The
+// caller holds mu.
 func (h *Holder) warmingUp() bool {
 	if h.firstDemand.IsZero() && h.hasDemand() {
 		h.firstDemand = h.now()
@@ -50,7 +51,7 @@
 	return h.firstDemand.IsZero() || h.now().Sub(h.firstDemand) < warmupTime
 }
 
-// hasDemand reports whether anything was asked for yet. The caller holds mu.
+// hasDemand reports whether there was any request yet. The caller holds mu.
 func (h *Holder) hasDemand() bool {
 	if h.localMeter.sizeSum > 0 {
 		return true
@@ -63,7 +64,7 @@
 	return false
 }
 
-// startShare is what the holder asks for while nothing is measured. The caller holds mu.
+// startShare returns what the holder requests while nothing is measured. The caller holds mu.
 func (h *Holder) startShare(a *account, role Role, holders int) int64 {
 	remaining := float64(max(0, a.remaining))
 	switch {
@@ -75,8 +76,9 @@
 	return int64(remaining * h.policy.StartShare / float64(holders))
 }
 
-// flow is a customer's use here: as measured here, the more so the more of its requests were seen, and for the rest this holder's part of
-// what all holders report, as if its callers spread like all callers do. At a pool it is what the zone is asked for. The caller holds mu.
+// flow estimates a customer's use at this holder. It weights the rate measured here by how many of the customer's
+// requests were seen. The remaining weight goes to this holder's share of what all holders report, as if the customer's
+// callers were distributed like all callers. For a pool the rate is the zone's demand. The caller holds mu.
 func (h *Holder) flow(a *account, role Role) flow {
 	local := a.meter.rate()
 	total, customerRate := h.fleetMeter.rate(), a.fleetMeter.rate()
@@ -87,7 +89,7 @@
 	switch {
 	case role == RolePool:
 		f.rate = max(a.zoneRate, local)
-	case total > 0 && f.weightedSize > 0: // a holder that was never asked knows no size of requests
+	case total > 0 && f.weightedSize > 0: // a holder without requests has no request size
 		part := min(1, h.localMeter.rate()/total)
 		seen := customerRate * meterWindow.Seconds()
 		confidence := seen / (seen + priorRequests*f.weightedSize)
@@ -96,6 +98,7 @@
 	return f
 }
 
-// priorRequests is how many requests of a customer's at all holders weigh as much as the guess that its callers spread over the holders as
-// all callers do. A customer whose callers hang on one instance would else hold as much where it is never asked for.
+// priorRequests is the weight of the assumption that a customer's callers are distributed over the holders like all
+// callers, as a number of the customer's requests at all holders. Without measurements a customer whose callers use one
+// instance would have as much held at instances that they never use.
 const priorRequests = 4
--- a/internal/escrow/page.go
+++ b/internal/escrow/page.go
@@ -75,9 +75,9 @@
 type Page struct {
 	Accounts      map[string]*Account `cbor:"1,keyasint,omitempty"`
 	Holders       map[string]Report   `cbor:"2,keyasint,omitempty"`
-	Epoch         int64               `cbor:"3,keyasint,omitempty"` // of the store, at the page's last write; 0: the store had none
-	RestoredEpoch int64               `cbor:"4,keyasint,omitempty"` // first epoch after the store's last restoration; 0: never restored
-	RestoredAt    int64               `cbor:"5,keyasint,omitempty"` // wall clock, in ms, of the page's first write in that epoch
+	Epoch         int64               `cbor:"3,keyasint,omitempty"` // the store's at the last write; 0: none
+	RestoredEpoch int64               `cbor:"4,keyasint,omitempty"` // the store's first after its last restoration; 0: never restored
+	RestoredAt    int64               `cbor:"5,keyasint,omitempty"` // wall clock, in ms, of the first write in RestoredEpoch
 
 	unknown compat.Unknown // fields written by a later build
 }
--- a/internal/escrow/relay.go
+++ b/internal/escrow/relay.go
@@ -2,13 +2,13 @@
 
 import "context"
 
-// A zone's leader does not write its zone's rows itself where the leader of another zone can be reached: it passes them on with its
-// own, so that one holder of the fleet writes the pages and no two of them meet in conditional writes. It is a matter of cost only:
-// a part is written once, on top of the holder's last write, whoever writes it, so a leader that gets no answer writes the rows
-// itself.
+// If the leader of another availability zone can be reached, a zone's leader does not write its zone's rows itself. It
+// relays them with its own rows, so that one holder of the fleet writes the pages and conditional writes do not
+// conflict. This only saves cost: whoever writes a part, it is written once, on top of the holder's last write. A
+// leader that gets no response therefore writes the rows itself.
 
-// relay passes on this holder's rows and those that its zone's holders have handed in. An error means that they are still to be
-// written.
+// relay submits this holder's rows and those that holders of its zone have submitted to the leader of another zone.
+// After an error they still have to be written.
 func (h *Holder) relay(ctx context.Context, regular bool) error {
 	s := h.submission(regular)
 	s.Relayed = true
@@ -29,14 +29,15 @@
 	}
 	h.applySubmitOutcome(s, receipt, err)
 	if err != nil {
-		h.log.Debug().Str("event", "escrow_relay_failed").Err(err).Msg("the leader of another zone did not write this zone's rows")
+		h.log.Debug().Str("event", "escrow_relay_failed").Err(err).Msg("the leader of another availability zone did not write this zone's rows")
 		return err
 	}
 	h.deliverReceipts(list, receipt.Zone)
 	return nil
 }
 
-// addPendingParts adds the parts that wait here to a submission: those of pages that are to be written now, for them or for this holder.
+// addPendingParts adds waiting parts to a submission: those of pages that are due, for the parts themselves or for this
+// holder's own rows.
 func (h *Holder) addPendingParts(s *Submission) []*pendingPart {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,7 +60,7 @@
 	return list
 }
 
-// deliverReceipts hands the receipts on. The caller holds mu.
+// deliverReceipts passes the receipts on to the holders that wait for them. The caller holds mu.
 func (h *Holder) deliverReceipts(list []*pendingPart, receipts []Receipt) {
 	done := make(map[int][]*pendingPart, len(h.pages))
 	for i, x := range list {
@@ -76,7 +77,8 @@
 	}
 }
 
-// useOwnZoneRates puts in what this holder's own zone is asked for: the writer leads another one. The caller holds mu.
+// useOwnZoneRates replaces the zone's demand in receipts with that of this holder's zone, since the writer leads
+// another one. The caller holds mu.
 func (h *Holder) useOwnZoneRates(list []PartReceipt) {
 	for _, r := range list {
 		for name, held := range r.Rows {
--- a/internal/escrow/remote/remote.go
+++ b/internal/escrow/remote/remote.go
@@ -1,4 +1,4 @@
-// Package remote carries an escrow's submissions and loans between the fleet's holders.
+// Package remote transports an escrow's submissions and loans between the fleet's holders.
 package remote
 
 import (
@@ -13,14 +13,14 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// The messages.
+// Kinds of messages.
 const (
 	KindSubmit mesh.Kind = "escrow.submit"
 	KindBorrow mesh.Kind = "escrow.borrow"
 	KindReturn mesh.Kind = "escrow.return"
 )
 
-// Fleet is the way to the fleet's other holders.
+// Fleet connects a holder to the fleet's other holders.
 type Fleet struct {
 	dir   *peers.Directory
 	clock *fleettime.Clock
@@ -32,10 +32,10 @@
 // Option changes a Fleet.
 type Option func(*Fleet)
 
-// WithoutLoans makes a way on which nothing is borrowed.
+// WithoutLoans disables loans.
 func WithoutLoans() Option { return func(f *Fleet) { f.loans = false } }
 
-// New makes a way to the holders that a directory names.
+// New creates a connection to the holders in a directory.
 func New(dir *peers.Directory, clock *fleettime.Clock, opts ...Option) *Fleet {
 	f := &Fleet{dir: dir, clock: clock, loans: true}
 	for _, opt := range opts {
@@ -77,7 +77,8 @@
 // ZoneSize implements escrow.Fleet.
 func (f *Fleet) ZoneSize() int { return f.dir.ZoneSize() }
 
-// Submit implements escrow.Fleet: the next leader is asked only where the one before has certainly not seen the rows.
+// Submit implements escrow.Fleet. It tries the next leader only if the previous one has certainly not received the
+// rows.
 func (f *Fleet) Submit(ctx context.Context, s escrow.Submission) (escrow.Receipt, error) {
 	leaders := f.dir.Leaders()
 	if s.Relayed {
@@ -92,7 +93,7 @@
 	return escrow.Receipt{}, escrow.ErrNotDelivered
 }
 
-// Borrow implements escrow.Fleet. It asks one holder after another until one lends, or the time is up.
+// Borrow implements escrow.Fleet. It asks one holder after another until one gives a loan or the time is up.
 func (f *Fleet) Borrow(ctx context.Context, loan escrow.Loan) escrow.LoanResult {
 	var out escrow.LoanResult
 	if !f.loans {
@@ -118,7 +119,7 @@
 	return out
 }
 
-// minNonZero is the smaller of two times, of which 0 is none.
+// minNonZero returns the smaller of two times, where 0 means none.
 func minNonZero(a, b time.Duration) time.Duration {
 	if a == 0 || (b > 0 && b < a) {
 		return b
@@ -132,7 +133,7 @@
 	return err
 }
 
-// Serve lets a holder write for others and lend to them.
+// Serve registers the handlers with which a holder writes for other holders and lends to them.
 func Serve(router *mesh.Router, h *escrow.Holder) {
 	mesh.Handle(router, KindSubmit, func(ctx context.Context, _ mesh.Peer, s escrow.Submission) (escrow.Receipt, error) {
 		return h.Submit(ctx, s)
--- a/internal/escrow/report.go
+++ b/internal/escrow/report.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// fleetTimeWait is how long a new process waits for the fleet's time before it settles without.
+// fleetTimeWait is how long a new process waits for the fleet's time before it settles earlier rows without it.
 const fleetTimeWait = 3 * time.Second
 
-// report is what this holder reports of itself with a write.
+// report returns what this holder states about itself in a write.
 func (h *Holder) report(now time.Duration, count int64) Report {
 	low, _ := h.fleetTime()
 	return Report{Node: h.node, Boot: h.clock.Boot(), Clock: now.Milliseconds(), Wall: h.wall().UnixMilli(), Count: count, FleetTime: low, Epoch: h.epochs.Current()}
 }
 
-// fleetTime bounds the fleet's time of day in ms; 0 while it is not known.
+// fleetTime returns bounds of the fleet's time in ms; 0 if unknown.
 func (h *Holder) fleetTime() (low, high int64) {
 	if h.fleet == nil {
 		return 0, 0
@@ -23,7 +23,8 @@
 	return b.Low.UnixMilli(), b.High.UnixMilli()
 }
 
-// startReport reports the start of this holder's process. The fleet's time of then is told by that of now and the steady clock.
+// startReport returns the report of this process's start. The fleet's time at the start is the current one less the
+// time since, by the steady clock.
 func (h *Holder) startReport() Report {
 	r := h.started
 	age := h.clock.Now() - time.Duration(r.Clock)*time.Millisecond
@@ -35,13 +36,13 @@
 	return r
 }
 
-// reportSettlements logs and counts what became of earlier holders' grants.
+// reportSettlements logs the settlements of earlier holders' grants and passes them to the callback.
 func (h *Holder) reportSettlements(list []Settlement, page string) {
 	for _, s := range list {
 		h.onSettlement(s)
 		h.log.Info().Str("event", "escrow_settled").Str("holder", s.Holder).Str("page", page).Bool("age_known", s.AgeKnown).
 			Int64("age_ms", s.Age.Milliseconds()).Int64("spent", s.Spent).Int64("granted", s.Granted).Int64("settled", s.Settled).
 			Int64("unproven", s.Unproven()).
-			Msg("an earlier process's escrow is settled")
+			Msg("settled the grants of an earlier process")
 	}
 }
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -15,23 +15,23 @@
 	customer  string
 	maxTokens int64
 	once      sync.Once
-	lender    string // the holder that has lent it; empty: it is this holder's own
+	lender    string // the holder that gave the loan; empty: reserved from this holder's own grant
 	number    int64  // of the loan
 }
 
-// View is what the holder knows of a customer's budget, in tokens.
+// View is the holder's state of a customer's budget, in tokens.
 type View struct {
-	Available   int64 // may be reserved here now
-	Granted     int64 // held here
+	Available   int64 // can be reserved here now
+	Granted     int64 // to this holder
 	Spent       int64 // spent or reserved here
 	Remaining   int64 // unspent by all holders, as last reported
-	Outstanding int64 // of Rest: granted to holders, who may have spent it unseen
-	// Unproven is what was taken as spent though no holder had reported it: holders were lost.
+	Outstanding int64 // part of Remaining that is granted to holders, which may have spent it unreported
+	// Unproven is what counts as spent although no holder has reported it, since holders were lost.
 	Unproven int64
 	Age      time.Duration // since the store last answered
 }
 
-// View shows what decides about a customer's next reservation.
+// View returns the state that decides on a customer's next reservation.
 func (h *Holder) View(customer string) View {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -45,7 +45,7 @@
 	}
 }
 
-// Settle ends the reservation: used tokens are spent, the rest is free again. Only the first call counts.
+// Settle ends the reservation: used tokens are spent, the rest is available again. Only the first call has an effect.
 func (r *Reservation) Settle(used int64) {
 	if r == nil || r.holder == nil {
 		return
@@ -64,10 +64,10 @@
 	})
 }
 
-// Reserve sets aside the most that a request can use. Where the grant does not hold it, it draws on the store if this holder does
-// its own writing, or borrows from others, but waits no longer than Times.Wait and Times.Borrow. rank is the request's among the
-// customer's own, 0 first: what is short is kept for the first ranks. Its errors are verdicts: not run, with the time to come back
-// where that makes sense.
+// Reserve sets aside the most that a request can use. If the holder's grant is too small, Reserve refreshes it, if this
+// holder writes its own rows, or borrows from other holders. It waits no longer than Times.ReserveWait and
+// Times.LoanTimeout. rank is the request's rank among the customer's own requests, 0 first: scarce tokens are reserved
+// for the first ranks. Errors are verdicts: not run, with the time to retry if there is one.
 func (h *Holder) Reserve(ctx context.Context, customer string, maxTokens int64, rank int) (*Reservation, error) {
 	if err := h.checkLot(customer, maxTokens); err != nil {
 		return nil, err
@@ -94,7 +94,7 @@
 	return nil, h.refuse(customer, maxTokens, err, max(retryAfter, lastRetry))
 }
 
-// reserveWithRefresh reserves of this holder's own grant, and draws on the store for it.
+// reserveWithRefresh reserves from this holder's own grant, and waits for a refresh if the grant is too small.
 func (h *Holder) reserveWithRefresh(ctx context.Context, customer string, maxTokens int64, rank int, forLoan bool) (*Reservation, error) {
 	var end <-chan time.Time
 	for {
@@ -123,21 +123,22 @@
 	}
 }
 
-// addWaiting counts a request that waits for a draw, or one that does not any more.
+// addWaiting adds the tokens of a request that starts to wait for a refresh, or removes them with a negative amount.
 func (h *Holder) addWaiting(customer string, tokens int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.accounts[customer].waiting += tokens
 }
 
-// Why a holder's own grant does not serve.
+// Reasons why a holder's own grant does not cover a request.
 var (
-	errGrantTooSmall     = errors.New("the holder's grant does not hold it, nor would a draw")
-	errHeldForFirstRanks = errors.New("what is left of the grant is kept for the customer's first ranks")
+	errGrantTooSmall     = errors.New("the holder's grant is too small, and a refresh does not raise it enough")
+	errHeldForFirstRanks = errors.New("the rest of the grant is reserved for the customer's first ranks")
 )
 
-// tryReserve reserves of this holder's own grant, as it is. Without a reservation or an error it is worth another try once the channel
-// is closed. lent reports that it is for a request at another holder.
+// tryReserve reserves from this holder's own grant without waiting. If it returns neither a reservation nor an error,
+// the caller can try again once the channel is closed. forLoan reports that the reservation is for a request at another
+// holder.
 func (h *Holder) tryReserve(customer string, maxTokens int64, rank int, forLoan bool) (*Reservation, <-chan struct{}, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -164,17 +165,18 @@
 	return nil, h.changed, nil
 }
 
-// Times after which a refused request may be served.
+// Times after which a rejected request may succeed.
 const (
 	retrySoon   = 250 * time.Millisecond
 	retryLater  = 2 * time.Second
-	retryOutage = 3 * time.Second // out of touch with the store
+	retryOutage = 3 * time.Second // the store does not answer
 )
 
-// firstYieldingRank is the rank from which on a customer's requests give way to its first ones.
+// firstYieldingRank is the first rank whose requests yield to the customer's requests of lower ranks.
 const firstYieldingRank = 2
 
-// yieldsToFirstRanks reports whether a request gives way to those of first ranks: in a cut they keep a part of what is granted here. The caller holds mu.
+// yieldsToFirstRanks reports whether a request yields to those of the first ranks: while the store is unreachable, a
+// part of the grant here is reserved for them. The caller holds mu.
 func (h *Holder) yieldsToFirstRanks(a *account, maxTokens int64, rank int) bool {
 	if rank < firstYieldingRank || h.storeAnswering() {
 		return false
@@ -183,14 +185,14 @@
 	return float64(a.confirmed.row.Granted-a.used()-maxTokens) < h.policy.OutageReserve*float64(held)
 }
 
-// countDemand measures what is asked for. The caller holds mu.
+// countDemand measures demand. The caller holds mu.
 func (h *Holder) countDemand(a *account, tokens int64) {
 	a.meter.add(tokens)
 	h.localMeter.add(tokens)
 }
 
-// refuse explains a refusal: the budget is used up, or this instance does not hold enough of it right now. later is when another
-// holder may lend; 0: none has said.
+// refuse returns the error of a rejected request: the budget is exhausted, or this instance holds too little of it now.
+// lenderRetry is when another holder may give a loan; 0: unknown.
 func (h *Holder) refuse(customer string, maxTokens int64, why error, lenderRetry time.Duration) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -209,11 +211,11 @@
 	return refuseBudget("this instance holds too little of the budget now", after)
 }
 
-// storeAnswering reports whether the store has answered lately. The caller holds mu.
+// storeAnswering reports whether the store has answered recently. The caller holds mu.
 func (h *Holder) storeAnswering() bool { return h.now().Sub(h.lastAnswer) < h.times.ContactTimeout }
 
-// retryAfter is when a request that was refused may be served: at the next draw, or in a cut once the steps in which the grant is
-// released allow it. The caller holds mu.
+// retryAfter returns when a rejected request may succeed: at the next refresh or, while the store is unreachable, once
+// enough of the grant is released. The caller holds mu.
 func (h *Holder) retryAfter(a *account, maxTokens int64) time.Duration {
 	if h.storeAnswering() {
 		return retrySoon
@@ -226,19 +228,19 @@
 	return min(retryOutage, max(retrySoon, time.Duration(missing/float64(row.Rate)*float64(time.Second))))
 }
 
-// refuseBudget is a refusal for now.
+// refuseBudget returns a temporary rejection.
 func refuseBudget(detail string, after time.Duration) error {
 	return verdict.New(verdict.NotRun, verdict.CodeBudgetUnready, detail, verdict.WithRetryAfter(after))
 }
 
-// refreshMayHelp reports whether a draw is likely to be answered and to bring something.
+// refreshMayHelp reports whether a refresh is likely to be answered and to raise the grant.
 func (h *Holder) refreshMayHelp(customer string, maxTokens int64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
 	a := h.accounts[customer]
 	if a.ungranted+a.confirmed.row.Granted-a.used() < maxTokens && a.unspent() >= maxTokens {
-		return false // others hold it
+		return false // other holders have it
 	}
 	return !h.lastAnswer.IsZero() && h.storeAnswering() && now.Sub(a.exhaustedAt) > h.times.ExhaustedPause*h.crowdFactor()
 }
--- a/internal/escrow/restore.go
+++ b/internal/escrow/restore.go
@@ -8,27 +8,28 @@
 	"github.com/ledgemount/ledgemount/internal/external"
 )
 
-// A store that was restored from an older copy lacks the last rows that it had acknowledged: grants that were raised, and spent, holders that had
-// joined, and what holders that had left had given back. To hand out what the copy shows as free would overspend.
-//
-// So the first holder that writes a page in the new epoch puts back the newest copy that it knows. Each holder then states its rows anew, with what it
-// holds. Nothing is granted beyond what holders have until they had time for that; after it, a holder that has not done so counts with what its rows
-// show and as much again as it wanted. The rows of one that has ended are settled whole.
-
-// restateWait is how long holders have for stating their rows anew after a restoration.
+// A store that was restored from an older copy lacks the last rows that it had acknowledged: grants that were raised
+// and spent, holders that had joined, and what holders had returned when they left. Granting what the copy shows as
+// available would overspend.
+// Therefore the first holder that writes a page in the new epoch restores the newest copy that it has. Each holder then
+// restates its rows, with what it holds. Until the holders had time for this, nothing is granted beyond what they have.
+// After that, a holder that has not restated its rows counts with their amounts plus its demand. For a holder that has
+// ended, everything granted is settled as spent.
+
+// restateWait is the time that holders have to restate their rows after a restoration.
 const restateWait = 2 * time.Second
 
-// restateSpread is the time over which holders state their rows anew, so that they do not meet in conditional writes.
+// restateSpread is the time over which holders restate their rows, so that their conditional writes do not conflict.
 const restateSpread = 800 * time.Millisecond
 
-// priorCopy is the newest copy of a page that is known of an epoch of the store that is over.
+// priorCopy is the newest known copy of a page from an earlier epoch of the store.
 type priorCopy struct {
 	raw      []byte // nil: none
 	revision int64
 }
 
-// enterEpoch notes that the page is written in an epoch. lived reports that its writer held rows in it before. It returns whether the store was restored
-// since the page was last written.
+// enterEpoch records that the page is written in an epoch. heldRows reports that the writer had rows in the page
+// before. It returns whether the store was restored since the page was last written.
 func (p *Page) enterEpoch(epoch int64, wall time.Time, heldRows bool) bool {
 	if epoch <= p.Epoch {
 		return false
@@ -41,10 +42,11 @@
 	return restored
 }
 
-// stale reports whether a holder has not stated its rows since the store was restored: it may have more than they show.
+// stale reports whether a holder has not restated its rows since the store was restored. It may have more than they
+// show.
 func (p *Page) stale(holder string) bool { return p.Holders[holder].Epoch < p.RestoredEpoch }
 
-// staleHolders counts the holders that have not stated their rows since the store was restored.
+// staleHolders returns the number of stale holders.
 func (p *Page) staleHolders() int {
 	n := 0
 	for id := range p.Holders {
@@ -55,7 +57,7 @@
 	return n
 }
 
-// margin is what doubtful holders may have of an account beyond their rows.
+// margin returns what stale holders may have of an account beyond their rows.
 func (p *Page) margin(a *Account) int64 {
 	if p.RestoredEpoch == 0 {
 		return 0
@@ -69,8 +71,9 @@
 	return total
 }
 
-// isNextPart reports whether a part is the one that comes after what a page has of its holder: the next one, or the first since a restoration, which may
-// have lost several. A holder of a build that names no epoch has to follow its last one also then.
+// isNextPart reports whether a part directly follows what a page has of its holder. After a restoration, which may have
+// lost several writes, the holder's first part in the new epoch follows any earlier one. A part of a build without
+// epochs must directly follow the last one even then.
 func (p *Page) isNextPart(holder string, r Report) bool {
 	before, present := p.Holders[holder]
 	switch {
@@ -83,8 +86,8 @@
 	return before.Count+1 == r.Count && (present || before.Count == 0)
 }
 
-// writeBase is what the next write of a page stands on: the page as the store has it, or, where nothing was written since a restoration, the newest copy
-// that is known.
+// writeBase returns the page that the next write is based on: the page in the store or, if it was not written since a
+// restoration, the newest copy that is known.
 func (p *pageState) writeBase(page *Page) (*Page, bool, error) {
 	if p.prior.raw == nil {
 		return page, false, nil
@@ -96,17 +99,17 @@
 	return page, true, err
 }
 
-// savePrior keeps the copy that is known of a page before one of a later epoch takes its place.
+// savePrior saves the known copy of a page before a copy from a later epoch replaces it.
 func (p *pageState) savePrior(next int64) {
 	if len(p.raw) > 0 && external.EpochOf(next) > external.EpochOf(p.revision) && p.revision > p.prior.revision {
 		p.prior = priorCopy{raw: p.raw, revision: p.revision}
 	}
 }
 
-// mustRestate reports whether this holder has yet to state its rows in the store's epoch.
+// mustRestate reports whether this holder has not stated its rows in the store's current epoch.
 func (h *Holder) mustRestate(p *pageState) bool { return p.joined && p.epoch < h.epochs.Current() }
 
-// restateDue reports whether it is this holder's turn to state its rows anew. The caller holds mu.
+// restateDue reports whether it is this holder's turn to restate its rows. The caller holds mu.
 func (h *Holder) restateDue(p *pageState) bool {
 	restoredAt := h.restoredAt.Load()
 	turn := time.Duration(xxhash.Sum64String(h.id) % uint64(restateSpread))
@@ -125,7 +128,7 @@
 	return since >= 0 && since < restateWait
 }
 
-// handleRestored notes that the store was restored. It is called while the Epochs is locked.
+// handleRestored records that the store was restored. The lock of the Epochs is held during the call.
 func (h *Holder) handleRestored(external.Restoration) {
 	now := h.now()
 	h.restoredAt.Store(&now)
--- a/internal/escrow/spread.go
+++ b/internal/escrow/spread.go
@@ -2,17 +2,20 @@
 
 import "time"
 
-// A loss of power of all instances takes what nobody can account for, so that a budget may end long before its customer has used it up.
-// What is left then is spread over the callers who come until the operator pays in more: requests reserve by lot, more rarely as the
-// rest falls. In the order in which they come the first seconds after the return take all of it, and service ends again.
+// A power loss of all instances loses tokens that cannot be accounted for, so a budget may end long before its customer
+// has used it. The rest is then spread over the requests that come until the operator pays in more: they reserve with a
+// probability that falls with the rest. If requests were served in the order in which they come, the first seconds
+// after the return would use the rest, and service would end again.
 const (
-	// lossThreshold is the unproven part of the prepaid figure from which on the rest is spread: more than the loss of one busy instance takes.
+	// lossThreshold is the unproven part of the prepaid amount from which the rest is spread. It is more than the loss
+	// of one busy instance.
 	lossThreshold = 0.1
-	// spreadHorizon is how much use by all holders the rest holds when it begins to be spread.
+	// spreadHorizon is how much use by all holders the rest covers when spreading begins.
 	spreadHorizon = 5 * time.Second
 )
 
-// reserveProbability are the odds that a request may reserve: 1 but where losses took a large part of the budget and little is left.
+// reserveProbability returns the probability with which a request may reserve. It is 1 unless losses took a large part
+// of the budget and little is left.
 func (a *account) reserveProbability() float64 {
 	if a.prepaid < 0 || float64(a.unproven) < lossThreshold*float64(a.prepaid) {
 		return 1
@@ -29,7 +32,7 @@
 	return left / enough
 }
 
-// checkLot refuses a request where the rest of its budget is spread and the lot falls so. Its errors are as Reserve's.
+// checkLot rejects requests at random while the rest of their budget is spread. Errors are like those of Reserve.
 func (h *Holder) checkLot(customer string, maxTokens int64) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/escrow/submit.go
+++ b/internal/escrow/submit.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// submit lets the leader write this holder's rows: those of all pages on which something has changed.
+// submit has the leader write this holder's rows on all pages on which something has changed.
 func (h *Holder) submit(ctx context.Context, regular bool) {
 	s := h.submission(regular)
 	if len(s.Parts) == 0 {
@@ -19,11 +19,11 @@
 	defer h.mu.Unlock()
 	h.applySubmitOutcome(s, receipt, err)
 	if err != nil {
-		h.log.Debug().Str("event", "escrow_submission_failed").Err(err).Msg("the zone's leader did not write the rows")
+		h.log.Debug().Str("event", "escrow_submission_failed").Err(err).Msg("the availability zone's leader did not write the rows")
 	}
 }
 
-// applySubmitOutcome takes what became of this holder's own rows. The caller holds mu.
+// applySubmitOutcome applies the outcome of submitting this holder's own rows. The caller holds mu.
 func (h *Holder) applySubmitOutcome(s Submission, receipt Receipt, err error) {
 	switch {
 	case err == nil:
@@ -40,7 +40,7 @@
 	}
 }
 
-// submission collects what is to be written, and notes it as possibly in force.
+// submission collects the parts to be written, and records their rows as possibly in force.
 func (h *Holder) submission(regular bool) Submission {
 	s := Submission{Holder: h.id, DemandRates: h.localDemand()}
 	for i, p := range h.pages {
@@ -54,7 +54,7 @@
 	return s
 }
 
-// localDemand is what this holder is asked for, in tokens a second by customer.
+// localDemand returns the demand at this holder, in tokens per second by customer.
 func (h *Holder) localDemand() map[string]float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -67,7 +67,7 @@
 	return out
 }
 
-// part makes the part of one page. The caller holds mu.
+// part creates the part for one page. The caller holds mu.
 func (h *Holder) part(i int, p *pageState) Part {
 	now := h.clock.Now()
 	part := Part{Page: i, Report: h.report(now, p.count+1), Rows: make(map[string]Need)}
@@ -88,7 +88,8 @@
 	return part
 }
 
-// minGrant is the least that a holder's row may become while it does not know what it is: what it has, less what it gives back.
+// minGrant returns the least that a holder's row may become while the row in the store is unknown: the current grant,
+// less what the holder returns.
 func (a *account) minGrant(n Need) int64 {
 	held := a.confirmed.row.Granted
 	for _, u := range a.unconfirmed {
@@ -100,7 +101,7 @@
 	return min(held, n.Spent+max(a.target, n.Urgent))
 }
 
-// epoch is the store's epoch in which a submission's part for a page was made.
+// epoch returns the store's epoch in which a submission's part for a page was created.
 func (s Submission) epoch(page int) int64 {
 	for _, p := range s.Parts {
 		if p.Page == page {
@@ -110,7 +111,8 @@
 	return 0
 }
 
-// applyReceipt takes a leader's receipt for a page, for a part that was made in an epoch of the store. The caller holds mu.
+// applyReceipt applies a leader's receipt for a page. epoch is the store's epoch in which the submitted part was
+// created. The caller holds mu.
 func (h *Holder) applyReceipt(r PartReceipt, epoch int64) {
 	if r.Page < 0 || r.Page >= len(h.pages) {
 		return
@@ -120,7 +122,7 @@
 		return
 	}
 	if r.Present && r.Report.Count <= p.count {
-		return // an older word than the one that is known
+		return // older than the state already known
 	}
 	if !r.Present && !p.joined {
 		return
@@ -144,16 +146,16 @@
 	}
 }
 
-// receiptCurrent reports whether a receipt is of the store's present epoch, in which the part was made too. Else it tells nothing of this holder's rows. The
-// caller holds mu.
+// receiptCurrent reports whether a receipt is from the store's current epoch, and the part was created in it too. Any
+// other receipt does not describe this holder's rows. The caller holds mu.
 func (h *Holder) receiptCurrent(r PartReceipt, epoch int64) bool {
-	if r.Epoch == 0 { // of a build, or a store, that names none
+	if r.Epoch == 0 { // from a build or a store without epochs
 		return !h.epochs.Restored()
 	}
 	return h.epochs.Observe(r.Epoch, 0) == nil && r.Epoch == epoch
 }
 
-// rollBackPart takes back a part that no leader has seen. The caller holds mu.
+// rollBackPart removes the rows of a part that no leader has received. The caller holds mu.
 func (h *Holder) rollBackPart(part Part) {
 	p := h.pages[part.Page]
 	left := false
--- a/internal/escrow/write.go
+++ b/internal/escrow/write.go
@@ -8,7 +8,7 @@
 	"github.com/ledgemount/ledgemount/internal/external"
 )
 
-// abandon takes back what was prepared and will not be written.
+// abandon rolls back prepared writes that will not be made.
 func (h *Holder) abandon(list []pageWrite) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -17,20 +17,20 @@
 	}
 }
 
-// pageWrite is a page as it is to be written, on the condition that it is still as it was known.
+// pageWrite is a prepared write of a page. It succeeds only if the page is still at its base revision.
 type pageWrite struct {
 	state       *pageState
 	raw         []byte
-	page        *Page                // what raw encodes
-	base        int64                // the revision that it stands on
-	count       int64                // of this holder's writes
-	rows        map[string]issuedRow // this holder's rows in it
-	parts       []*pendingPart       // rows of others in it
+	page        *Page                // the decoded form of raw
+	base        int64                // the revision that the write is based on
+	count       int64                // of this holder's writes, with this one
+	rows        map[string]issuedRow // this holder's rows in the page
+	parts       []*pendingPart       // parts of other holders in the page
 	settlements []Settlement
-	// unsettled: it leaves rows of this node's earlier holders
+	// unsettled is set if rows of this node's earlier holders are left.
 	unsettled  bool
-	restored   bool // it is the page's first one since the store was restored
-	reinstated bool // and puts back a copy that this holder knew
+	restored   bool // it is the first write of the page since the store was restored
+	reinstated bool // and it restores a copy that this holder had
 }
 
 // write writes all pages of a list, or none.
@@ -46,7 +46,7 @@
 	return h.applyOutcome(list, revision, err)
 }
 
-// prepare computes the page to be written, and notes its rows as possibly in force.
+// prepare computes the next content of a page, and records its rows as possibly in force.
 func (h *Holder) prepare(p *pageState) (pageWrite, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -92,7 +92,7 @@
 	}, err
 }
 
-// applyOutcome takes the store's answer to a write of pages.
+// applyOutcome applies the store's response to a write of pages.
 func (h *Holder) applyOutcome(list []pageWrite, revision int64, err error) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -119,7 +119,7 @@
 	return err
 }
 
-// confirmWrite takes a page that this holder has written. The caller holds mu.
+// confirmWrite applies the successful write of a page. The caller holds mu.
 func (h *Holder) confirmWrite(w pageWrite, revision int64) {
 	p := w.state
 	if revision > p.revision {
@@ -146,15 +146,15 @@
 	}
 }
 
-// logRestored reports that a page was written for the first time since the store was restored.
+// logRestored logs the first write of a page since the store was restored.
 func (h *Holder) logRestored(w pageWrite) {
 	if w.restored {
 		h.log.Info().Str("event", "escrow_restored").Str("page", w.state.key).Int64("epoch", w.page.Epoch).Bool("put_back", w.reinstated).
-			Int("holders", len(w.page.Holders)).Int("doubtful", w.page.staleHolders()).Msg("the store was restored: a budget page is written anew")
+			Int("holders", len(w.page.Holders)).Int("doubtful", w.page.staleHolders()).Msg("first write of a budget page since the store was restored")
 	}
 }
 
-// rollBack takes back rows that were not written. Earlier writes of unknown outcome stay. The caller holds mu.
+// rollBack removes rows that were not written. Rows of earlier writes with unknown outcome stay. The caller holds mu.
 func (h *Holder) rollBack(p *pageState, rows map[string]issuedRow) {
 	left := false
 	for name := range rows {
