--- a/internal/escrow/bench_test.go
+++ b/internal/escrow/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/ledgemount/ledgemount/internal/external/memkv"
 )
 
-// BenchmarkReserve reserves and settles from a grant.
+// BenchmarkReserve reserves tokens from a grant and settles them.
 func BenchmarkReserve(b *testing.B) {
 	h := New(memkv.New(), "p/", 1, "node", "node/1")
 	h.SetPrepaid([]Prepaid{{Customer: "north", Tokens: 1 << 50}})
@@ -24,7 +24,7 @@
 	}
 }
 
-// BenchmarkPage reads and writes a page of 24 customers and 86 holders.
+// BenchmarkPage decodes and encodes a page of 24 customers and 86 holders.
 func BenchmarkPage(b *testing.B) {
 	p, _ := DecodePage(nil)
 	for h := range 86 {
@@ -50,8 +50,8 @@
 	}
 }
 
-// BenchmarkPrepare computes the page that the leader of all writes: 300 holders, each with new rows for 10 customers. 38 ms while accounts were
-// added up for each holder, 3.6 ms since they are added up once.
+// BenchmarkPrepare computes the page that a leader of the whole fleet writes: 300 holders, each with new rows for 10
+// customers. It took 38 ms when accounts were summed for each holder, and takes 3.6 ms since they are summed once.
 func BenchmarkPrepare(b *testing.B) {
 	const holders, customers = 300, 10
 	h := New(memkv.New(), "p/", 1, "node", "node/1")
--- a/internal/escrow/clock_test.go
+++ b/internal/escrow/clock_test.go
@@ -7,11 +7,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A machine was suspended for eight seconds between a holder's last report and the start of its successor. By a clock that leaves them out two
-// seconds had passed where the time of day said ten, so that the two reports did not count as of one run of the machine: the age was taken as
-// thirteen seconds, and all that was granted counted as spent.
+// Guards against settling too much after a suspension. A machine was suspended for eight seconds between a holder's
+// last report and the start of its successor. A clock that leaves suspensions out measured two seconds where the wall
+// clock measured ten. The two reports therefore did not count as of one boot: the age was taken as thirteen seconds,
+// and the whole grant counted as spent.
 func TestAgeAcrossSuspension(t *testing.T) {
-	Convey("The age of a report is known to the millisecond across a suspension", t, func() {
+	Convey("The age of a report is exact to the millisecond across a suspension", t, func() {
 		const awake, suspended = 2 * time.Second, 8 * time.Second
 		then := Report{Node: "n", Boot: "b", Clock: 5000, Wall: 1_000_000}
 		start := Report{Node: "n", Boot: "b", Clock: 5000 + (awake + suspended).Milliseconds(), Wall: 1_000_000 + (awake + suspended).Milliseconds()}
@@ -19,7 +20,7 @@
 		So(known, ShouldBeTrue)
 		So(age, ShouldEqual, awake+suspended)
 
-		Convey("and is never taken as shorter by a clock that leaves it out", func() {
+		Convey("and is never underestimated with a clock that leaves suspensions out", func() {
 			start.Clock = then.Clock + awake.Milliseconds()
 			age, known = ageOf(then, start)
 			So(known, ShouldBeTrue)
--- a/internal/escrow/fuzz_test.go
+++ b/internal/escrow/fuzz_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// FuzzPage looks for pages that stop the process, grow without bound, or do not come back as they were.
+// FuzzPage searches for pages that crash the process, grow without bound, or change when they are decoded and encoded.
 func FuzzPage(f *testing.F) {
 	p, _ := DecodePage(nil)
 	p.Holders["node-1/1"] = Report{Node: "node-1", Boot: "b", Clock: 1, Count: 2, Wall: 3}
@@ -17,7 +17,7 @@
 	}
 	f.Add(raw)
 	f.Add(compressed)
-	f.Add([]byte{0xa1, 0x18, 90, 1}) // a field that is not known
+	f.Add([]byte{0xa1, 0x18, 90, 1}) // an unknown field
 	f.Add([]byte{0x1f, 0x8b})
 	f.Add([]byte{0xa1, 0x01, 0xa1, 0x61, 'n', 0xf6}) // an account that is null
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -31,14 +31,14 @@
 		p.SettlePredecessors("node-1/2", Report{Node: "node-1"})
 		out, err := p.Encode()
 		if err != nil {
-			return // what is not known cannot be written back: the page is left alone
+			return // unknown fields that cannot be encoded again: the page is not written
 		}
 		again, err := DecodePage(out)
 		if err != nil {
-			t.Fatalf("%x came back as %x, which cannot be read: %v", raw, out, err)
+			t.Fatalf("%x was encoded as %x, which cannot be decoded: %v", raw, out, err)
 		}
 		if len(again.Accounts) != len(p.Accounts) || len(again.Holders) != len(p.Holders) {
-			t.Fatalf("%d accounts and %d holders came back as %d and %d", len(p.Accounts), len(p.Holders), len(again.Accounts), len(again.Holders))
+			t.Fatalf("%d accounts and %d holders became %d and %d", len(p.Accounts), len(p.Holders), len(again.Accounts), len(again.Holders))
 		}
 	})
 }
--- a/internal/escrow/granting_test.go
+++ b/internal/escrow/granting_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestGranterSums plays any mixture of grants, reports and folds on one page, and compares what was kept with what the rows say.
+// TestGranterSums applies any sequence of grants, reports and settlements to one page, and compares the cached sums
+// with the rows.
 func TestGranterSums(t *testing.T) {
 	const nodes, runs, prepaid = 4, 3, 1000
 	rapid.Check(t, func(t *rapid.T) {
@@ -40,7 +41,7 @@
 		a := g.page.account(customer)
 		rest, free := g.unspent(customer, prepaid)
 		if rest != prepaid-a.Spent() || free != prepaid-a.Committed() {
-			t.Fatalf("%s: %d unspent and %d free, by the rows %d and %d", customer, rest, free, prepaid-a.Spent(), prepaid-a.Committed())
+			t.Fatalf("%s: %d unspent and %d ungranted, but %d and %d by the rows", customer, rest, free, prepaid-a.Spent(), prepaid-a.Committed())
 		}
 		if free < 0 {
 			t.Fatalf("%s: %d more than the prepaid amount is granted", customer, -free)
@@ -51,13 +52,13 @@
 		for r := range runs {
 			holder := fmt.Sprintf("%s/%d", node, r)
 			if got, want := g.unsettled(holder, node), predecessorsLeft(g.page, holder, node); got != want {
-				t.Fatalf("rows of earlier holders than %s are left: %v, by the page %v", holder, got, want)
+				t.Fatalf("rows of earlier holders than %s are left: %v, but %v by the page", holder, got, want)
 			}
 		}
 	}
 }
 
-// predecessorsLeft says by the page's reports alone whether earlier holders of a node are left.
+// predecessorsLeft reports whether earlier holders of a node are left, from the page's reports alone.
 func predecessorsLeft(p *Page, successor, node string) bool {
 	for id, r := range p.Holders {
 		if r.Node == node && id != successor {
--- a/internal/escrow/group_test.go
+++ b/internal/escrow/group_test.go
@@ -10,7 +10,7 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// ledWorld is three nodes of which the first leads the others.
+// ledWorld returns three nodes, of which the first leads the others.
 func ledWorld() (w *world, leader, member *simNode) {
 	w = newWorld(DefaultPolicy())
 	leader, member = w.nodes[0], w.nodes[1]
@@ -20,7 +20,7 @@
 	return w, leader, member
 }
 
-// useTokens lets a second pass in which a node uses a little, so that it has something to report.
+// useTokens advances time by a second and uses a few tokens at a node, so that it has something to report.
 func (w *world) useTokens(n *simNode, customer string, tokens int64) {
 	w.elapsed += time.Second
 	w.reserve(n, customer, tokens)
@@ -35,12 +35,12 @@
 
 func TestLedZone(t *testing.T) {
 	const north = "north"
-	Convey("A holder whose zone is led", t, func() {
+	Convey("A holder whose zone has a leader", t, func() {
 		w, leader, member := ledWorld()
 		h := member.holder
 		row := func() Row { return w.page(north).Accounts[north].Rows[h.id] }
 
-		Convey("gets its grants in the leader's writes", func() {
+		Convey("gets its grants through the leader's writes", func() {
 			So(h.Ready(), ShouldBeTrue)
 			So(row().Granted, ShouldBeGreaterThan, 0)
 			So(h.View(north).Granted, ShouldEqual, row().Granted)
@@ -56,7 +56,7 @@
 			So(w.page(north).Holders[h.id].Count, ShouldEqual, 2)
 		})
 
-		Convey("is not set back by rows that come after a newer write of its own", func() {
+		Convey("keeps a newer write of its own if submitted rows arrive later", func() {
 			member.link = linkDelayed
 			w.useTokens(member, north, 10)
 			w.refresh(member)
@@ -69,7 +69,7 @@
 			So(w.page(north).Holders[h.id].Count, ShouldEqual, 2)
 		})
 
-		Convey("counts on the least that may be in force while the leader may still write, though the page moves on", func() {
+		Convey("relies on the smallest row that may be in force while the leader may still write, even after the page has changed", func() {
 			h.stopping = true
 			for range 3 {
 				w.useTokens(member, north, 10)
@@ -89,7 +89,7 @@
 			So(h.View(north).Granted, ShouldEqual, row().Granted)
 		})
 
-		Convey("goes on with what it has where no leader has seen its rows", func() {
+		Convey("keeps its grant if no leader has received its rows", func() {
 			w.useTokens(member, north, 10)
 			before := h.View(north).Available
 			member.link = linkDown
@@ -98,13 +98,13 @@
 			So(h.pageOf(north).submitted, ShouldBeFalse)
 		})
 
-		Convey("is told at once that the leader does not reach the store", func() {
+		Convey("is rejected at once by a leader that does not reach the store", func() {
 			w.elapsed += 3 * leader.holder.times.ContactTimeout
 			_, err := leader.holder.Submit(context.Background(), h.submission(true))
 			So(verdict.Of(err), ShouldEqual, verdict.NotRun)
 		})
 
-		Convey("is told that its rows are gone, and spends nothing more", func() {
+		Convey("is notified that its rows were removed, and spends nothing more", func() {
 			entry, _, _ := w.store.Read(context.Background(), h.pageOf(north).key)
 			p, _ := DecodePage(entry.Data)
 			p.Leave(h.id, nil, false)
@@ -125,7 +125,7 @@
 		h := member.holder
 		row := func() Row { return w.page(north).Accounts[north].Rows[h.id] }
 
-		Convey("has them written by the leader of another zone, with its own", func() {
+		Convey("has them written by the leader of another zone, together with its own", func() {
 			before := leader.store.commits
 			w.useTokens(member, north, 10)
 			w.useTokens(relayLeader, north, 20)
@@ -137,7 +137,7 @@
 			So(relayLeader.store.commits, ShouldEqual, 0)
 		})
 
-		Convey("leaves the page to one writer, which need not read what it has written itself", func() {
+		Convey("leaves the page to one writer, which does not read again what it has written itself", func() {
 			w.useTokens(leader, north, 5)
 			w.refresh(leader)
 			before := leader.store.reads
@@ -150,7 +150,7 @@
 			So(leader.holder.accounts[north].fleetMeter.rate(), ShouldBeGreaterThan, 5)
 		})
 
-		Convey("passes them on with each of its own, however often it has some", func() {
+		Convey("relays them with each of its own submissions, however frequent these are", func() {
 			relayLeader.holder.times.MinGroupGap = time.Hour
 			for range 3 {
 				w.useTokens(relayLeader, north, 10)
@@ -160,7 +160,7 @@
 			So(row().Spent, ShouldEqual, 30)
 		})
 
-		Convey("tells them what their own zone is asked for, not the writer's", func() {
+		Convey("returns its own zone's demand to them, not the writer's", func() {
 			for range 3 {
 				w.useTokens(member, north, 100)
 				w.refresh(member)
@@ -169,7 +169,7 @@
 			So(h.accounts[north].zoneRate, ShouldEqual, relayLeader.holder.accounts[north].zoneRate)
 		})
 
-		Convey("writes them itself where that one cannot be reached, and once only where its answer was lost", func() {
+		Convey("writes them itself if the other leader cannot be reached, and only once if its response was lost", func() {
 			for i, link := range []int{linkDown, linkReplyLost, linkDelayed} {
 				relayLeader.link = link
 				w.useTokens(member, north, 10)
@@ -187,7 +187,7 @@
 		ctx := context.Background()
 		loan := Loan{Holder: member.holder.id, Number: 1, Customer: north, MaxTokens: 100}
 
-		Convey("is a part of the leader's grant until it is returned, and what was used of it is spent there", func() {
+		Convey("is a part of the leader's grant until it is repaid, and what was used of it is spent there", func() {
 			before := leader.holder.View(north).Available
 			So(leader.holder.Lend(ctx, loan), ShouldBeNil)
 			So(leader.holder.View(north).Available, ShouldEqual, before-100)
@@ -197,14 +197,14 @@
 			So(leader.holder.View(north).Available, ShouldEqual, before-30)
 		})
 
-		Convey("that was returned before it was given is not given", func() {
+		Convey("that was repaid before it was given is not given", func() {
 			before := leader.holder.View(north).Available
 			leader.holder.Repaid(Repayment{Holder: loan.Holder, Used: map[int64]int64{1: 0}})
 			So(verdict.Of(leader.holder.Lend(ctx, loan)), ShouldEqual, verdict.NotRun)
 			So(leader.holder.View(north).Available, ShouldEqual, before)
 		})
 
-		Convey("that nobody returns counts as used in the end", func() {
+		Convey("that is never repaid counts as used in the end", func() {
 			before := leader.holder.View(north).Available
 			So(leader.holder.Lend(ctx, loan), ShouldBeNil)
 			w.elapsed += loanLife + time.Second
@@ -214,7 +214,7 @@
 			So(before, ShouldBeGreaterThan, 100)
 		})
 
-		Convey("whose answer was lost is returned, and the request refused as not run", func() {
+		Convey("whose response was lost is repaid, and the request is rejected as not run", func() {
 			w.useTokens(member, north, 8000)
 			member.link = linkReplyLost
 			maxTokens := member.holder.View(north).Available + 10
--- a/internal/escrow/herd_test.go
+++ b/internal/escrow/herd_test.go
@@ -13,7 +13,7 @@
 	"github.com/ledgemount/ledgemount/internal/external/memkv"
 )
 
-// slowKV takes a moment for each call, as a store on a network does, so that holders meet.
+// slowKV delays each call like a store on a network, so that the holders' writes conflict.
 type slowKV struct{ external.KV }
 
 const (
@@ -32,7 +32,7 @@
 }
 
 func TestConcurrentStart(t *testing.T) {
-	Convey("Forty holders that start at once, twice, are all ready in a few beats", t, func() {
+	Convey("Forty holders that start at once, twice, are all ready within eight seconds", t, func() {
 		store := slowKV{memkv.New()}
 		for start := range 2 {
 			ctx, cancel := context.WithCancel(context.Background())
--- a/internal/escrow/loss_test.go
+++ b/internal/escrow/loss_test.go
@@ -12,12 +12,14 @@
 	"github.com/ledgemount/ledgemount/internal/external/memkv"
 )
 
-// All instances of a fleet had lost power, twice on one day, both times while the store was away, and from twelve seconds after the
-// second return on no stream was served, only requests without a budget. Each holder was settled at all that it had been granted:
-// "age_ms":12536,"spent":1059448,"granted":4262987,"settled":4262987. The first loss took 10.6 of 19.8 million tokens that way, of which
-// requests had used 4.9; the second one 7.0, of which they had used 6.4; then 402 answered 295 of 349 streams, though a third of what was
-// paid had been used by nobody. Nothing limited what all holders together might have spent unseen: at the second loss it was 97% of
-// what was left.
+// Guards against an exhausted budget after power losses. All instances of a fleet lost power twice on one day, both
+// times while the store was unreachable. From twelve seconds after the second return no stream was served, only
+// requests without a budget. For each holder the whole grant was settled as spent, for example
+// "age_ms":12536,"spent":1059448,"granted":4262987,"settled":4262987.
+// The first loss took 10.6 of 19.8 million tokens in this way, of which requests had used 4.9; the second took 7.0, of
+// which they had used 6.4. Then 295 of 349 streams were rejected with status 402, although nobody had used a third of
+// the prepaid tokens. Nothing limited what all holders together could have spent unreported: at the second loss it was
+// 97% of the rest.
 
 const (
 	lossHolders    = 6
@@ -27,10 +29,10 @@
 	lossSmall      = 1_000
 	lossLarge      = 12_000
 	lossLargeShare = 0.3
-	lossMean       = lossSmall + lossLargeShare*(lossLarge-lossSmall) // tokens of a request
+	lossMean       = lossSmall + lossLargeShare*(lossLarge-lossSmall) // mean tokens of a request
 )
 
-// lossFleet is a small fleet in virtual time, whose holders are asked for requests of uneven sizes and report each second.
+// lossFleet is a small fleet in virtual time. Its holders receive requests of varying sizes and report each second.
 type lossFleet struct {
 	store     *memkv.Store
 	elapsed   time.Duration
@@ -39,7 +41,7 @@
 	holders   []*Holder
 	random    *rand.Rand
 	lotRandom *rand.Rand
-	prepaid   int64 // each customer's, in tokens
+	prepaid   int64 // of each customer, in tokens
 	reserve   func(h *Holder, customer string, tokens int64) *Reservation
 	spent     map[string]int64
 	served    int
@@ -57,20 +59,20 @@
 	return f
 }
 
-// reserveFromGrant reserves of what a holder has, whatever is decided about a request before.
+// reserveFromGrant reserves from what a holder has, without the checks of Reserve.
 func reserveFromGrant(h *Holder, customer string, tokens int64) *Reservation {
 	r, _, _ := h.tryReserve(customer, tokens, 0, false)
 	return r
 }
 
-// reserveWithoutWaiting reserves as requests do, but waits for no draw.
+// reserveWithoutWaiting reserves like a request, but does not wait for a refresh.
 func reserveWithoutWaiting(h *Holder, customer string, tokens int64) *Reservation {
 	h.times.ReserveWait = 0
 	r, _ := h.Reserve(context.Background(), customer, tokens, 0)
 	return r
 }
 
-// lossClock is a machine's steady clock: it begins anew with each loss of power.
+// lossClock is a machine's steady clock, which restarts with each power loss.
 type lossClock struct {
 	fleet *lossFleet
 	boot  string
@@ -80,7 +82,7 @@
 func (c lossClock) Now() time.Duration { return c.fleet.elapsed - c.since }
 func (c lossClock) Boot() string       { return c.boot }
 
-// start begins all processes anew, on machines that have just got their power back and know nothing.
+// start starts all processes again, on machines without any state, as after a power loss.
 func (f *lossFleet) start() {
 	now := func() time.Time { return time.Unix(1_000_000, 0).Add(f.elapsed) }
 	for i := range f.holders {
@@ -99,7 +101,7 @@
 
 func lossCustomer(c int) string { return fmt.Sprintf("customer-%d", c) }
 
-// run lets time pass up to a moment, with the store in reach or not.
+// run advances time to a moment, with the store reachable or not.
 func (f *lossFleet) run(until time.Duration, unreachable bool) {
 	for _, g := range f.stores {
 		g.unreachable = unreachable
@@ -119,7 +121,7 @@
 	}
 }
 
-// request makes one request of a holder, and another try after the draw that the first one asked for.
+// request makes one request at a holder, and retries it after the refresh that the first attempt caused.
 func (f *lossFleet) request(h *Holder, customer string, unreachable bool) {
 	tokens := int64(lossSmall)
 	if f.random.Float64() < lossLargeShare {
@@ -141,13 +143,13 @@
 }
 
 const (
-	lossBudget = 72 * time.Second // of mean use by all holders are paid
-	// lossPrepaid is each customer's figure, in tokens.
+	lossBudget = 72 * time.Second // the prepaid amounts cover the mean use by all holders for this long
+	// lossPrepaid is each customer's prepaid amount, in tokens.
 	lossPrepaid = int64(lossHolders * lossPerStep * lossMean * float64(lossBudget/lossStep))
 )
 
 func TestServiceResumesAfterPowerLosses(t *testing.T) {
-	Convey("After all holders have lost power twice with the store away, a quarter of the requests or more is served", t, func() {
+	Convey("After all holders have lost power twice with the store unreachable, at least a quarter of the requests is served", t, func() {
 		for seed := range uint64(8) {
 			f := newLossFleet(seed)
 			f.run(8*time.Second, false)
@@ -165,7 +167,7 @@
 				used += n
 				So(n, ShouldBeLessThanOrEqualTo, lossPrepaid)
 			}
-			t.Logf("seed %d: %d served, %d refused; %.2f used of what was paid", seed, f.served, f.refused, float64(used)/float64(lossCustomers*lossPrepaid))
+			t.Logf("seed %d: %d served, %d refused; %.2f of the prepaid tokens used", seed, f.served, f.refused, float64(used)/float64(lossCustomers*lossPrepaid))
 			So(4*f.served, ShouldBeGreaterThanOrEqualTo, f.served+f.refused)
 		}
 	})
@@ -173,7 +175,7 @@
 
 func TestOutstandingGrantsAreLimited(t *testing.T) {
 	const north, prepaid = "north", 1_000_000
-	Convey("However much holders want, a part of the unspent rest stays ungranted once each has reported its use", t, func() {
+	Convey("Whatever the demand, a part of the unspent rest stays ungranted once each holder has reported its use", t, func() {
 		p, err := DecodePage(nil)
 		So(err, ShouldBeNil)
 		a := p.account(north)
@@ -186,7 +188,7 @@
 		So(outstanding, ShouldBeGreaterThan, 0)
 		So(float64(outstanding), ShouldBeLessThanOrEqualTo, maxOutstanding*float64(prepaid-a.Spent()))
 
-		Convey("and goes to requests that wait", func() {
+		Convey("and is granted to waiting requests", func() {
 			row := a.Grant("node-0", Need{Spent: 60_000, Demand: 400_000, Urgent: 300_000}, prepaid)
 			So(row.Granted-row.Spent, ShouldEqual, 300_000)
 			So(a.Committed(), ShouldBeLessThanOrEqualTo, prepaid)
@@ -195,7 +197,7 @@
 }
 
 func TestStoppingHolderDemandsMeanUse(t *testing.T) {
-	Convey("A holder that is about to stop asks for its mean use and nothing beside: its callers come to others", t, func() {
+	Convey("A stopping holder requests its mean use and nothing more, since its callers move to others", t, func() {
 		const each, perSecond = 5_000, 4
 		h, a := loadedHolder(RoleStandalone, each, perSecond)
 		running := h.need("north", a, 3).Demand
@@ -207,21 +209,24 @@
 	})
 }
 
-// All instances had lost power with the store away, and again 16 s later, and from twelve seconds after the second return on 108 of 480
-// requests were served, nearly all of them without a budget. What was left of the budgets then had been used up in the first eight seconds
-// by whoever came first: "status":402,"detail":"what remains of the budget cannot hold the request; 3120006 tokens of it count as spent by
-// instances that were lost", 114 a second at 56 s, beside one stream served, while 118 a second were served at 29 s. A quarter of what
-// was paid had been used by nobody. Callers who came later had no chance at what was left, and the operator no time to pay in more.
+// Guards against rejecting nearly all later requests after power losses. All instances lost power with the store
+// unreachable, and again 16 s later. From twelve seconds after the second return 108 of 480 requests were served,
+// nearly all of them without a budget. In the first eight seconds the rest of the budgets had been used in the order in
+// which requests came. Then they were rejected with "status":402,"detail":"what remains of the budget cannot hold the
+// request; 3120006 tokens of it count as spent by instances that were lost": 114 per second at 56 s, while one stream
+// was served. At 29 s, 118 per second had been served. Nobody had used a quarter of the prepaid tokens. Later callers
+// got nothing of the rest, and the operator had no time to pay in more.
 
 func TestServiceContinuesAfterPowerLosses(t *testing.T) {
-	Convey("Where a loss has taken a large part of budgets and they end, some of those that come later are served, too", t, func() {
+	Convey("Where a loss has taken a large part of budgets and they run out, some of the later requests are served", t, func() {
 		checkServedLater(t, 50*time.Second)
 	})
 
-	Convey("also where they end sooner", t, func() { checkServedLater(t, 42*time.Second) })
+	Convey("also where they run out sooner", t, func() { checkServedLater(t, 42*time.Second) })
 }
 
-// checkServedLater plays the day with budgets of so much mean use by all holders, and wants a tenth of the last requests served.
+// checkServedLater repeats these losses with prepaid amounts for the given time of mean use by all holders, and
+// requires that more than a tenth of the last requests is served.
 func checkServedLater(t *testing.T, paid time.Duration) {
 	prepaid := int64(float64(lossPrepaid) * paid.Seconds() / lossBudget.Seconds())
 	var served, total int
@@ -242,7 +247,7 @@
 		for _, n := range f.spent {
 			So(n, ShouldBeLessThanOrEqualTo, prepaid)
 		}
-		t.Logf("seed %d: %d served in the first ten seconds, %d of %d in four seconds later on", seed, early, f.served, f.served+f.refused)
+		t.Logf("seed %d: %d served in the first ten seconds, %d of %d in four later seconds", seed, early, f.served, f.served+f.refused)
 		served, total = served+f.served, total+f.served+f.refused
 	}
 	So(float64(served), ShouldBeGreaterThan, 0.1*float64(total))
--- a/internal/escrow/page_test.go
+++ b/internal/escrow/page_test.go
@@ -14,7 +14,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// laterPage is a page as a later build may write it: with a field of a row, of an account and of a report that this build does not know.
+// laterPage is a page as a later build may write it. A row, an account and a report each have a field that this build
+// does not have.
 type laterPage struct {
 	Accounts map[string]laterAccount `cbor:"1,keyasint,omitempty"`
 	Holders  map[string]laterReport  `cbor:"2,keyasint,omitempty"`
@@ -37,11 +38,11 @@
 	}
 )
 
-// While a version is replaced instances of both builds write the same pages. What the later one has put into a row was gone after the next write of
-// the earlier one.
+// Guards against losing data of a later build. During an upgrade instances of both builds write the same pages. The
+// next write of the earlier build removed what the later one had put into a row.
 func TestPageOfLaterBuild(t *testing.T) {
-	Convey("A page that a later build has written keeps what this one does not know of it", t, func() {
-		for _, holders := range []int{2, 200} { // small, and so large that it is compressed
+	Convey("Writing a page of a later build preserves the fields that this build does not have", t, func() {
+		for _, holders := range []int{2, 200} { // small, and large enough to be compressed
 			later := laterPage{Accounts: map[string]laterAccount{"north": {Settled: 4, Debt: 9, Rows: map[string]laterRow{}}}, Holders: map[string]laterReport{}}
 			for i := range holders {
 				id := fmt.Sprintf("node-%d/1", i)
@@ -73,9 +74,10 @@
 	})
 }
 
-// A page whose account had no value ended the process of each instance that read it; one with an amount below 0 would have freed tokens.
+// Guards against invalid pages. A page with an account without a value ended each instance that read it; a negative
+// amount would have released tokens.
 func TestInvalidPage(t *testing.T) {
-	Convey("A page that no holder can have written is not read", t, func() {
+	Convey("A page that no holder can have written is rejected", t, func() {
 		type raw = map[int]any
 		row := func(key int, n int64) raw {
 			return raw{1: map[string]any{"north": raw{2: map[string]any{"node-1/1": raw{key: n}}}}}
@@ -99,11 +101,12 @@
 	})
 }
 
-// An earlier build reports by the steady clock under the machine's boot ID, this one by the clock that counts suspensions. On a machine that had been
-// suspended for less than a time of day may step, one build's age of the other's report was too short by that: tokens that may have been spent
-// were free again.
+// Guards against underestimating ages across builds. An earlier build reports by the steady clock under the machine's
+// boot ID, this one by a clock that includes suspensions. If a machine had been suspended for less than a wall clock
+// may step, each build underestimated the age of the other's report by that time: tokens that may have been spent
+// became available again.
 func TestAgeAcrossBuilds(t *testing.T) {
-	Convey("No build takes the report of another build's clock for younger than it is", t, func() {
+	Convey("No build underestimates the age of a report by another build's clock", t, func() {
 		raw, err := os.ReadFile(bootIDPath)
 		So(err, ShouldBeNil)
 		const suspended, elapsed = 2500 * time.Millisecond, 5 * time.Second
@@ -118,7 +121,7 @@
 		thisBuild := func(t time.Duration) Report { return at(MachineClock().Boot(), t) }
 		for _, c := range []struct{ then, now Report }{
 			{earlierBuild(time.Minute), thisBuild(time.Minute + elapsed)}, // an upgrade
-			{thisBuild(time.Minute), earlierBuild(time.Minute + elapsed)}, // a rollback: the earlier build judges in the same way
+			{thisBuild(time.Minute), earlierBuild(time.Minute + elapsed)}, // a rollback: the earlier build uses the same rules
 			{thisBuild(time.Minute), thisBuild(time.Minute + elapsed)},
 		} {
 			age, known := ageOf(c.then, c.now)
@@ -140,8 +143,8 @@
 		return p
 	}
 
-	Convey("What a dead holder may have spent", t, func() {
-		Convey("is told by the time from its report to the start of its successor", func() {
+	Convey("What a holder that has ended may have spent", t, func() {
+		Convey("depends on the time from its report to the start of its successor", func() {
 			p := page()
 			f := p.SettlePredecessors("node/2", report(10*time.Second+Grace+time.Second))
 			So(f[0].Settled, ShouldEqual, 100+50+200)
@@ -151,12 +154,12 @@
 			So(p.Holders, ShouldBeEmpty)
 		})
 
-		Convey("is all that was granted where no clock tells that time", func() {
+		Convey("is its whole grant if the clocks do not give that time", func() {
 			p := page()
 			So(p.SettlePredecessors("node/2", Report{Node: "node"})[0].Settled, ShouldEqual, 1000)
 		})
 
-		Convey("is taken to be more across a loss of power, by as much as a time of day may step", func() {
+		Convey("is more across a power loss, by as much as a wall clock may step", func() {
 			p := page()
 			other := report(10*time.Second + Grace)
 			other.Boot, other.Clock = "two", 5
@@ -164,7 +167,7 @@
 		})
 	})
 
-	Convey("Across a loss of power the fleet's time tells more than one machine's", t, func() {
+	Convey("Across a power loss the fleet's time gives a better bound than one machine's clock", t, func() {
 		p := page()
 		then := report(10 * time.Second)
 		then.FleetTime = 5_000_000
@@ -177,16 +180,16 @@
 			return Row{Granted: 1000, Spent: 100, Burst: 50, Rate: 200}.Ceiling(age)
 		}
 
-		Convey("where its own time of day was set back", func() {
+		Convey("where the machine's wall clock was set back", func() {
 			So(p.SettlePredecessors("node/2", start)[0].Settled, ShouldEqual, spent(Grace+seconds*time.Second+FleetTimeError))
 		})
 
-		Convey("unless its own says more", func() {
+		Convey("unless the machine's wall clock gives a longer time", func() {
 			start.Wall = then.Wall + (Grace + 2*seconds*time.Second).Milliseconds()
 			So(p.SettlePredecessors("node/2", start)[0].Settled, ShouldEqual, spent(Grace+2*seconds*time.Second))
 		})
 
-		Convey("and is waited for where it will be known soon", func() {
+		Convey("and settlement waits for it where it will be known soon", func() {
 			start.FleetTime, start.FleetTimePending = 0, true
 			So(p.SettlePredecessors("node/2", start), ShouldBeEmpty)
 			So(newGranter(p).unsettled("node/2", "node"), ShouldBeTrue)
@@ -196,7 +199,7 @@
 		})
 	})
 
-	Convey("A successor settles once it knows the fleet's time, by its leader as by itself", t, func() {
+	Convey("A successor settles once it has the fleet's time, through its leader or by itself", t, func() {
 		for _, link := range []int{linkNone, linkUp} {
 			w := newWorld(DefaultPolicy())
 			lead, n := w.nodes[0], w.nodes[1]
@@ -236,7 +239,7 @@
 }
 
 func TestPageOfManyHolders(t *testing.T) {
-	Convey("A page of many holders is small, and reads as it was written", t, func() {
+	Convey("A page of many holders is small, and decodes to what was encoded", t, func() {
 		const holders = 300
 		p, _ := DecodePage(nil)
 		for i := range holders {
--- a/internal/escrow/pooled_test.go
+++ b/internal/escrow/pooled_test.go
@@ -8,10 +8,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// loadedHolder is a holder with a role that was asked for requests of one size at a rate for long.
+// loadedHolder returns a holder with a role that has received requests of one size at a constant rate for a minute.
 func loadedHolder(role Role, tokens, perSecond int64) (*Holder, *account) {
 	w := newWorld(DefaultPolicy())
-	n := w.nodes[0] // its role is that of a pool
+	n := w.nodes[0] // its role is RolePool
 	if role != RolePool {
 		n = w.nodes[1]
 		n.role = role
@@ -30,7 +30,7 @@
 	return h, a
 }
 
-// needOf is what such a holder asks for.
+// needOf returns what such a holder requests.
 func needOf(role Role, tokens, perSecond int64) Need {
 	h, a := loadedHolder(role, tokens, perSecond)
 	h.mu.Lock()
@@ -42,7 +42,7 @@
 	Convey("A holder whose zone pools tokens", t, func() {
 		policy := DefaultPolicy()
 
-		Convey("holds none where it does not expect several requests: what it holds is lost with its power", func() {
+		Convey("holds none unless it expects several requests, since a power loss would take them", func() {
 			const each = 50_000
 			n := needOf(RolePooled, each, 0)
 			So(n.Demand, ShouldEqual, 0)
@@ -50,7 +50,7 @@
 			So(n.Rate, ShouldEqual, 0)
 		})
 
-		Convey("holds what it expects and nothing beside, as the pool makes up for its unevenness", func() {
+		Convey("holds its expected use and nothing more, since the pool absorbs unevenness", func() {
 			const each, perSecond = 100, 50
 			n := needOf(RolePooled, each, perSecond)
 			mean := float64(each*perSecond) * policy.Surge * policy.PooledHorizon.Seconds()
@@ -62,7 +62,7 @@
 }
 
 func TestStartShare(t *testing.T) {
-	Convey("A pool that dies before anything is measured is known not to have spent most of its zone's share", t, func() {
+	Convey("A pool that ends before anything is measured can have spent only a small part of its zone's share", t, func() {
 		w := newWorld(DefaultPolicy())
 		n := w.nodes[0]
 		w.refresh(n)
@@ -75,7 +75,7 @@
 
 func TestRefreshCoversAllWaitingRequests(t *testing.T) {
 	const north = "north"
-	Convey("A draw brings what all requests need that wait for one, not what the largest needs", t, func() {
+	Convey("A refresh brings what all waiting requests need, not only what the largest needs", t, func() {
 		policy := DefaultPolicy()
 		policy.StartShare, policy.PoolStartShare = 0, 0
 		w := newWorld(policy)
@@ -100,7 +100,7 @@
 		So(h.accounts[north].waiting, ShouldEqual, 0)
 	})
 
-	Convey("After a call that failed, requests that wait cause no further one for a while", t, func() {
+	Convey("After a failed call, waiting requests cause no further call for a while", t, func() {
 		w := newWorld(DefaultPolicy())
 		n := w.nodes[0]
 		w.refresh(n)
--- a/internal/escrow/property_test.go
+++ b/internal/escrow/property_test.go
@@ -23,19 +23,19 @@
 
 var propertyCustomers = []string{"north"}
 
-// simClock is a machine's steady clock in a test. Its zero moves with each loss of power.
+// simClock is a machine's steady clock in a test. Its zero moves with each power loss.
 type simClock struct {
 	world *world
 	base  time.Duration
 	boot  string
-	// lost is the time in which the machine was suspended, as far as the clock leaves it out
+	// suspended is the time of the machine's suspensions that the clock leaves out.
 	suspended time.Duration
 }
 
 func (c *simClock) Now() time.Duration { return c.world.elapsed + c.base - c.suspended }
 func (c *simClock) Boot() string       { return c.boot }
 
-// nodeKV is one node's path to the store.
+// nodeKV is one node's connection to the store.
 type nodeKV struct {
 	external.KV
 	unreachable bool
@@ -66,24 +66,24 @@
 	return g.KV.Commit(ctx, c)
 }
 
-// What becomes of calls to a leader.
+// Outcomes of calls to a leader.
 const (
 	linkNone      = iota // there is no leader
-	linkUp               // they are answered
-	linkReplyLost        // they are done, and the answers are lost
-	linkDelayed          // rows are taken, and written at the leader's next draw
+	linkUp               // calls are answered
+	linkReplyLost        // calls are executed, and the responses are lost
+	linkDelayed          // rows are received, and written at the leader's next refresh
 	linkDown             // the leader cannot be reached
 	linkModes
 )
 
-// simFleet is a node's way to the first node, which leads and lends. A node of another zone hands its rows to that zone's leader,
-// which relays them to the first node.
+// simFleet is a node's connection to the first node, which leads and gives loans. A node of another zone submits its
+// rows to that zone's leader, which relays them to the first node.
 type simFleet struct {
 	world *world
 	node  *simNode
 }
 
-// Time is off by as much as messages may delay it, to the unsafe side.
+// Time is off by as much as message delays allow, in the unsafe direction.
 func (f *simFleet) Time() (fleettime.Bounds, bool) {
 	now := time.Unix(2_000_000, 0).Add(f.world.elapsed)
 	const off = 300 * time.Millisecond
@@ -131,7 +131,7 @@
 	return out, nil
 }
 
-// receiptIfWritten is the receipt of parts that have been written by now.
+// receiptIfWritten returns the receipt of parts, and an error unless all are written.
 func receiptIfWritten(list []*pendingPart) (Receipt, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -177,7 +177,7 @@
 	name         string
 	clock        *simClock
 	store        *nodeKV
-	kv           external.KV // through the gate
+	kv           external.KV // connects through store
 	epochs       *external.Epochs
 	link         int
 	role         Role
@@ -187,7 +187,7 @@
 	holder       *Holder
 	reservations []*simReservation
 	starts       int
-	wallStep     time.Duration // of the time of day
+	wallStep     time.Duration // of the wall clock
 }
 
 type simReservation struct {
@@ -196,10 +196,10 @@
 	reservation *Reservation
 }
 
-// world is a small fleet under one store, in virtual time.
+// world is a small fleet with one store, in virtual time.
 type world struct {
 	policy            Policy
-	countsSuspensions bool // the machines' clocks count suspensions, as those of holders do
+	countsSuspensions bool // the machines' clocks include suspensions, like MachineClock
 	store             *memkv.Store
 	elapsed           time.Duration
 	nodes             []*simNode
@@ -208,7 +208,7 @@
 	lastEnd           int64 // the store's revision when a holder last ended, or the store was last restored
 }
 
-// leaderOf is the node that a node hands its rows to.
+// leaderOf returns the node to which a node submits its rows.
 func (w *world) leaderOf(n *simNode) *simNode {
 	if n.inLedZone && !n.leadsZone {
 		for _, x := range w.nodes {
@@ -240,7 +240,7 @@
 	w.lastEnd = w.store.Number()
 	now := func() time.Time { return time.Unix(1_000_000, 0).Add(w.elapsed + n.wallStep) }
 	times := DefaultTimes()
-	times.GatherWindow, times.MinGroupGap, times.MinRelayedGap = 0, 0, 0 // time stands still while rows are handed on
+	times.GatherWindow, times.MinGroupGap, times.MinRelayedGap = 0, 0, 0 // time does not advance while rows are submitted
 	n.epochs = external.NewEpochs(external.WithEpochClock(now))
 	n.kv = external.Fence(n.store, "", n.epochs)
 	n.holder = New(n.kv, propertyPrefix, 2, n.name, fmt.Sprintf("%s/%d", n.name, n.starts), WithClock(n.clock), WithNow(now), WithWall(now),
@@ -256,7 +256,7 @@
 	n.holder.SetPrepaid(list)
 }
 
-// refresh makes one round of draws, as the holder's loop does.
+// refresh makes one round of refreshes, like the holder's loop.
 func (w *world) refresh(n *simNode) {
 	n.holder.startRound()
 	switch {
@@ -271,14 +271,14 @@
 
 func (w *world) reserve(n *simNode, customer string, maxTokens int64) {
 	ctx, cancel := context.WithCancel(context.Background())
-	cancel() // nothing waits
+	cancel() // no request waits
 	r, err := n.holder.Reserve(ctx, customer, maxTokens, 0)
 	if err == nil && r != nil {
 		n.reservations = append(n.reservations, &simReservation{customer: customer, maxTokens: maxTokens, reservation: r})
 	}
 }
 
-// settle ends the oldest reservation. What is used leaves the fleet at once, whatever becomes of the node.
+// settle ends the oldest reservation. Used tokens count as spent by the fleet at once, whatever happens to the node.
 func (w *world) settle(n *simNode, used int64) {
 	if len(n.reservations) == 0 {
 		return
@@ -290,7 +290,7 @@
 	o.reservation.Settle(used)
 }
 
-// kill ends a node's process; the requests it had open have been handed out in full.
+// kill ends a node's process. Its open reservations count as used in full.
 func (w *world) kill(n *simNode) {
 	for len(n.reservations) > 0 {
 		w.settle(n, n.reservations[0].maxTokens)
@@ -304,7 +304,7 @@
 	w.start(n)
 }
 
-// spendAll spends all that the holder believes it may spend.
+// spendAll spends everything that the holder considers available.
 func (w *world) spendAll(n *simNode, customer string) {
 	if left := n.holder.View(customer).Available; left > 0 {
 		w.reserve(n, customer, left)
@@ -320,8 +320,9 @@
 	}
 }
 
-// TestNoOverspendAcrossSuspensions adds suspensions of machines, alone and in series, of the one that leads too, during cuts and before losses of
-// power: by clocks that count them, as the holders' do, and by clocks that leave them out, which must not overspend either.
+// TestNoOverspendAcrossSuspensions adds suspensions of machines, the leader's included: single ones and series, during
+// outages and before power losses. Clocks include suspensions, as MachineClock does, or leave them out, which must not
+// overspend either.
 func TestNoOverspendAcrossSuspensions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(DefaultPolicy())
@@ -334,7 +335,7 @@
 	})
 }
 
-// TestNoOverspend plays any mixture of use, cuts, lost and late answers, kills, losses of power and planned stops.
+// TestNoOverspend runs any sequence of use, outages, lost and late responses, kills, power losses and planned stops.
 func TestNoOverspend(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := DefaultPolicy()
@@ -399,7 +400,7 @@
 	}
 }
 
-// suspend lets time pass while a machine does nothing.
+// suspend advances time while a machine is suspended.
 func (w *world) suspend(n *simNode, d time.Duration) {
 	w.elapsed += d
 	if !w.countsSuspensions {
@@ -407,7 +408,7 @@
 	}
 }
 
-// observe shows a node the pages as they are.
+// observe passes the current pages to a node.
 func (w *world) observe(n *simNode) {
 	entries, _, err := n.kv.ReadAll(context.Background(), propertyPrefix)
 	if err != nil {
@@ -418,7 +419,7 @@
 	}
 }
 
-// stopAndRestart is a planned stop and a new start. It reports whether everything was given back.
+// stopAndRestart is a planned stop and a new start. It reports whether everything was returned.
 func (w *world) stopAndRestart(n *simNode) bool {
 	w.kill(n)
 	all := true
@@ -432,11 +433,11 @@
 	return all
 }
 
-// maxRollback is the number of revisions that a restoration goes back at most.
+// maxRollback is the largest number of revisions by which a restoration goes back.
 const maxRollback = 40
 
-// restore restores the store from a copy, as far back as it may be. Instances that reach the store know its pages as they were, and one of them lives to
-// write them once.
+// restore restores the store from a copy of any permitted age. Instances that reach the store have its latest pages,
+// and one of them stays alive until it has written them once.
 func (w *world) restore(t *rapid.T) {
 	var reach []*simNode
 	for _, n := range w.nodes {
@@ -456,7 +457,7 @@
 	first := reach[rapid.IntRange(0, len(reach)-1).Draw(t, "first")]
 	link, leadsZone := first.link, first.leadsZone
 	first.link, first.leadsZone = linkNone, false
-	for range 3 { // the first write may meet the new epoch unawares
+	for range 3 { // the first write may run into the new epoch
 		w.refresh(first)
 	}
 	first.link, first.leadsZone = link, leadsZone
@@ -468,8 +469,9 @@
 	w.lastEnd = w.store.Number()
 }
 
-// restoreWithoutCopies restores the store from a copy while no instance knows its pages as they were, but each its own rows. All holders that have written
-// since the copy live, hear of the restoration, and state their rows within the time that they have for it, some of them several times.
+// restoreWithoutCopies restores the store from a copy while each instance has its own rows, but none has the latest
+// pages. All holders that have written since the copy are alive, notice the restoration, and restate their rows within
+// restateWait, some of them several times.
 func (w *world) restoreWithoutCopies(t *rapid.T) {
 	w.store.SetLose(false)
 	w.store.SetLate(false)
@@ -502,8 +504,8 @@
 	w.lastEnd = w.store.Number()
 }
 
-// TestNoOverspendAcrossRestorations adds restorations of the store, several in a row, beside late writes of epochs before, cuts, losses of power, stops
-// and suspensions.
+// TestNoOverspendAcrossRestorations adds restorations of the store, also several in a row, to late writes of earlier
+// epochs, outages, power losses, stops and suspensions.
 func TestNoOverspendAcrossRestorations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := DefaultPolicy()
@@ -522,7 +524,8 @@
 	})
 }
 
-// spendInTurns lets all nodes in turn ask for a request's tokens and spend all that they get, until nothing more has come for some rounds.
+// spendInTurns lets all nodes in turn request tokens and spend what they get, until a number of rounds in a row brought
+// nothing.
 func (w *world) spendInTurns(idleRounds int) {
 	const request = 1_000
 	customer := propertyCustomers[0]
@@ -531,7 +534,7 @@
 		for _, n := range w.nodes {
 			n.store.unreachable, n.link = false, linkNone
 			w.elapsed += time.Second
-			w.reserve(n, customer, request) // a draw brings what it waits for
+			w.reserve(n, customer, request) // the refresh brings what the request waits for
 			w.refresh(n)
 			w.spendAll(n, customer)
 		}
@@ -541,8 +544,8 @@
 	}
 }
 
-// TestBudgetUsableAfterRestorations lets holders draw, use a little, stop and start between restorations, and spend all that they can get at the end: nothing
-// of that is overspent, and where no holder was lost nearly all is used.
+// TestBudgetUsableAfterRestorations lets holders refresh, use a little, stop and start between restorations, and
+// finally spend all they can get. Nothing is overspent, and nearly everything is used if no holder was lost.
 func TestBudgetUsableAfterRestorations(t *testing.T) {
 	const (
 		rounds  = 4
@@ -574,7 +577,7 @@
 				n.store.unreachable = !n.store.unreachable
 			case 11:
 				n.link = rapid.IntRange(linkNone, linkModes-1).Draw(t, "link")
-				lost = lost || n.link == linkDelayed // rows may be written once their holder has stopped
+				lost = lost || n.link == linkDelayed // rows may be written after their holder has stopped
 			case 12:
 				w.store.SetLate(rapid.Bool().Draw(t, "late"))
 			case 13:
--- a/internal/escrow/rank_test.go
+++ b/internal/escrow/rank_test.go
@@ -28,7 +28,7 @@
 			So(err, ShouldBeNil)
 		})
 
-		Convey("keeps a quarter of the grant for first ranks in a cut", func() {
+		Convey("reserves a quarter of the grant for first ranks while the store is unreachable", func() {
 			begin(1_000_000)
 			now = now.Add(2 * h.times.ContactTimeout)
 			held := h.View("north").Granted
@@ -40,7 +40,7 @@
 			So(err, ShouldBeNil)
 		})
 
-		Convey("gives the last of a budget to whoever asks first while the store answers, whatever the rank, and nothing beyond it", func() {
+		Convey("gives the rest of a budget to the first request of any rank while the store answers, and nothing beyond it", func() {
 			begin(10_000)
 			granted := h.View("north").Granted
 			r, err := h.Reserve(ctx, "north", granted, firstYieldingRank)
@@ -52,7 +52,7 @@
 			So(h.yieldsToFirstRanks(h.accounts["north"], 10_000, firstYieldingRank), ShouldBeFalse)
 		})
 
-		Convey("says at a budget's end how much of it counts as spent by instances that were lost", func() {
+		Convey("reports, once a budget is exhausted, how much of it counts as spent by instances that were lost", func() {
 			begin(10_000)
 			So(h.View("north").Outstanding, ShouldEqual, h.View("north").Granted)
 			_, err := h.Reserve(ctx, "north", 10_001, 0)
@@ -65,7 +65,7 @@
 }
 
 func TestRetryAfter(t *testing.T) {
-	Convey("A refused request is told when to come back", t, func() {
+	Convey("A rejected request gets a time to retry", t, func() {
 		w := newWorld(DefaultPolicy())
 		n := w.nodes[0]
 		w.refresh(n)
@@ -78,7 +78,7 @@
 			So(h.retryAfter(a, 500), ShouldEqual, retrySoon)
 		})
 
-		Convey("in a cut, when enough of the grant is released", func() {
+		Convey("when enough of the grant is released, while the store is unreachable", func() {
 			w.elapsed += Grace + 500*time.Millisecond
 			So(a.headroom(h.clock.Now()), ShouldEqual, 200)
 			So(h.retryAfter(a, 500), ShouldEqual, 1500*time.Millisecond)
@@ -87,7 +87,7 @@
 			So(h.retryAfter(a, 1001), ShouldEqual, retryOutage)
 		})
 
-		Convey("by a lender too", func() {
+		Convey("also from a holder that could give a loan", func() {
 			w.elapsed += Grace + 500*time.Millisecond
 			err := h.Lend(context.Background(), Loan{Holder: "other", Number: 1, Customer: "north", MaxTokens: 500, HeldOnly: true})
 			So(verdict.From(err).RetryAfter(), ShouldEqual, 1500*time.Millisecond)
--- a/internal/escrow/restore_test.go
+++ b/internal/escrow/restore_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// restoredWorld is three nodes that write for themselves, under a store that names its epoch.
+// restoredWorld returns three nodes that write for themselves, with a store that has epochs.
 func restoredWorld() (w *world, a, b *simNode) {
 	w = newWorld(DefaultPolicy())
 	w.store.SetEpoch(1)
@@ -18,7 +18,8 @@
 	return w, w.nodes[0], w.nodes[1]
 }
 
-// reserveAfterRefresh lets a node reserve an amount that only a draw brings.
+// reserveAfterRefresh lets a node reserve an amount that it has only after a refresh. It reports whether the node got
+// it.
 func (w *world) reserveAfterRefresh(n *simNode, customer string, maxTokens int64) (got bool) {
 	before := len(n.reservations)
 	w.reserve(n, customer, maxTokens)
@@ -30,7 +31,7 @@
 	return len(n.reservations) > before
 }
 
-// forgetPages lets a node know its own rows only, as one that has not seen the others' writes.
+// forgetPages leaves a node with its own rows only, as if it had not observed the others' writes.
 func (n *simNode) forgetPages() {
 	for _, p := range n.holder.pages {
 		p.raw, p.known, p.prior = nil, false, priorCopy{}
@@ -50,7 +51,7 @@
 		w, a, b := restoredWorld()
 		copied := w.store.Number()
 
-		Convey("a grant that the copy lacks is put back by whoever knows it", func() {
+		Convey("a grant that the copy lacks is restored by a holder that has a newer copy", func() {
 			So(w.reserveAfterRefresh(a, north, 30_000), ShouldBeTrue)
 			granted := a.holder.View(north).Granted
 			w.observe(b)
@@ -61,7 +62,7 @@
 			So(w.page(north).RestoredEpoch, ShouldEqual, 2)
 		})
 
-		Convey("one that nobody else knows is not handed out again before its holder had time to state it", func() {
+		Convey("a grant that only its holder has is not granted again before that holder had time to restate it", func() {
 			So(w.reserveAfterRefresh(a, north, 35_000), ShouldBeTrue)
 			w.settle(a, 0)
 			for _, n := range w.nodes {
@@ -74,7 +75,7 @@
 			So(w.page(north).Accounts[north].Committed(), ShouldBeLessThanOrEqualTo, propertyPrepaid)
 		})
 
-		Convey("a holder spends nothing of what it had given back, though the copy has it", func() {
+		Convey("a holder spends nothing of what it had returned, although the copy has it", func() {
 			So(w.reserveAfterRefresh(a, north, 30_000), ShouldBeTrue)
 			w.settle(a, 0)
 			copied = w.store.Number()
@@ -96,7 +97,7 @@
 			So(a.holder.View(north).Available, ShouldBeLessThanOrEqualTo, left)
 		})
 
-		Convey("holders go on with what they have", func() {
+		Convey("holders continue with what they have", func() {
 			left := a.holder.View(north).Available
 			w.restoreTo(0)
 			w.reserve(a, north, left)
@@ -106,7 +107,7 @@
 			So(w.page(north).Accounts[north].Rows[a.holder.id].Granted, ShouldBeGreaterThanOrEqualTo, left)
 		})
 
-		Convey("a holder that stops settles what it has spent, though the copy does not know it", func() {
+		Convey("a stopping holder settles what it has spent, although the copy does not have it", func() {
 			a.forgetPages()
 			w.restoreTo(0)
 			w.reserve(a, north, 2_000)
@@ -115,7 +116,7 @@
 			So(w.page(north).Accounts[north].Settled, ShouldEqual, 2_000)
 		})
 
-		Convey("the rows of a holder that has ended are settled whole, unless it had stated them since", func() {
+		Convey("the whole grant of a holder that has ended is settled, unless it had restated its rows", func() {
 			for epoch, settled := range map[int64]int64{1: 100, 2: 15} {
 				p := &Page{
 					RestoredEpoch: 2, Holders: map[string]Report{"a/1": {Node: "a", Boot: "one", Clock: 1000, Wall: 1000, Epoch: epoch}},
@@ -126,7 +127,7 @@
 			}
 		})
 
-		Convey("a holder that the copy does not know loses nothing by a receipt for rows that it had stated before", func() {
+		Convey("a holder that is not in the copy loses nothing by a receipt for rows that it stated before the restoration", func() {
 			b.link = linkUp
 			w.useTokens(b, north, 10)
 			s := b.holder.submission(true)
@@ -148,7 +149,7 @@
 			So(b.holder.View(north).Granted, ShouldEqual, before)
 		})
 
-		Convey("a leader writes no rows that were stated before it, and says why", func() {
+		Convey("a leader does not write rows that were stated before the restoration, and its receipt shows why", func() {
 			b.link = linkUp
 			w.useTokens(b, north, 10)
 			s := b.holder.submission(true)
@@ -173,7 +174,7 @@
 }
 
 func TestLimitAfterRestoration(t *testing.T) {
-	Convey("A row is raised no further than the margin of doubtful holders allows, not at all while others have yet to state theirs, and never lowered for that", t, func() {
+	Convey("A row is raised at most as far as the margin of stale holders allows, not at all while others have to restate theirs, and never lowered because of it", t, func() {
 		for _, c := range []struct {
 			frozen                     bool
 			old, free, margin, reaches int64
@@ -181,7 +182,7 @@
 			{false, 10, 100, 0, 100},
 			{false, 10, 100, 30, 70},
 			{false, 10, 25, 20, 10},
-			{false, 30, 20, 0, 20}, // what was paid in has become less
+			{false, 30, 20, 0, 20}, // the prepaid amount was reduced
 			{true, 10, 100, 0, 10},
 			{true, 30, 20, 0, 20},
 		} {
@@ -192,7 +193,7 @@
 }
 
 func TestPageIsNextPart(t *testing.T) {
-	Convey("A part is written if it comes after what the page has of its holder", t, func() {
+	Convey("A part is written if it directly follows what the page has of its holder", t, func() {
 		for _, c := range []struct {
 			restored int64
 			before   *Report
@@ -203,7 +204,7 @@
 			{0, nil, Report{Count: 2}, false},
 			{0, &Report{Count: 3}, Report{Count: 4}, true},
 			{0, &Report{Count: 3}, Report{Count: 5}, false},
-			{0, &Report{Count: 3, Epoch: 1}, Report{Count: 4}, true}, // of an older build
+			{0, &Report{Count: 3, Epoch: 1}, Report{Count: 4}, true}, // from an older build
 			{2, &Report{Count: 3, Epoch: 1}, Report{Count: 4, Epoch: 1}, false},
 			{2, &Report{Count: 3, Epoch: 1}, Report{Count: 9, Epoch: 2}, true},
 			{2, &Report{Count: 3, Epoch: 1}, Report{Count: 3, Epoch: 2}, false},
--- a/internal/escrow/spread_test.go
+++ b/internal/escrow/spread_test.go
@@ -12,12 +12,12 @@
 )
 
 func TestReserveProbability(t *testing.T) {
-	Convey("A request reserves by lot", t, func() {
-		const prepaid, rate = 1_000_000, 10_000.0 // tokens, tokens a second
+	Convey("A request reserves with a probability", t, func() {
+		const prepaid, rate = 1_000_000, 10_000.0 // tokens, tokens per second
 		enough := int64(rate * spreadHorizon.Seconds())
 		a := &account{prepaid: prepaid, unproven: prepaid / 5, led: true, leaderRate: rate}
 
-		Convey("where losses took a large part of the budget and little is left, more rarely as that falls", func() {
+		Convey("that falls with the rest where losses took a large part of the budget and little is left", func() {
 			a.remaining = enough / 2
 			So(a.reserveProbability(), ShouldEqual, 0.5)
 			a.remaining = enough / 10
@@ -26,17 +26,17 @@
 			So(a.reserveProbability(), ShouldEqual, 0)
 		})
 
-		Convey("not while enough is left", func() {
+		Convey("that is 1 while enough is left", func() {
 			a.remaining = enough
 			So(a.reserveProbability(), ShouldEqual, 1)
 		})
 
-		Convey("not at a budget's end that no loss has brought about", func() {
+		Convey("that is 1 at the end of a budget without losses", func() {
 			a.remaining, a.unproven = enough/2, int64(lossThreshold*prepaid)-1
 			So(a.reserveProbability(), ShouldEqual, 1)
 		})
 
-		Convey("not while no use is known, nor without a limit", func() {
+		Convey("that is 1 while no use is known, or without a limit", func() {
 			a.remaining, a.leaderRate = enough/2, 0
 			So(a.reserveProbability(), ShouldEqual, 1)
 			a.leaderRate, a.prepaid = rate, Unlimited
@@ -44,7 +44,7 @@
 		})
 	})
 
-	Convey("One that draws a blank has not run and is told when to come back, unless the rest cannot hold it anyway", t, func() {
+	Convey("A request that is rejected at random has not run and gets a time to retry, unless the rest is too small for it anyway", t, func() {
 		const prepaid = 10_000
 		now := time.Unix(1000, 0)
 		lot := 0.9
--- a/internal/escrow/start_test.go
+++ b/internal/escrow/start_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestStartIsRoundedUp(t *testing.T) {
-	Convey("A process's start is told to the millisecond after it: an earlier one of its machine may have spent until then", t, func() {
+	Convey("A process's start is rounded up to the next millisecond, since an earlier process of the machine may have spent until then", t, func() {
 		w := newWorld(DefaultPolicy())
 		n := w.nodes[0]
 		w.elapsed += 1500 * time.Microsecond
