--- a/internal/escrow/account.go
+++ b/internal/escrow/account.go
@@ -37,7 +37,7 @@
 	// unproven is Account.Unproven, as last read.
 	unproven int64
 
-	// The following fields are set by the zone's leader.
+	// led is set once the zone's leader has returned a receipt, which sets the fields below.
 	led        bool
 	target     int64   // what this holder should have unspent
 	leaderRate float64 // tokens per second that all holders use
--- a/internal/escrow/borrow.go
+++ b/internal/escrow/borrow.go
@@ -46,8 +46,8 @@
 	return &Reservation{holder: h, customer: customer, maxTokens: maxTokens, lender: result.Lender, number: number}, 0
 }
 
-// nextLoan returns the number of the next loan. It returns false if this holder is standalone, or if a loan of this amount
-// or less was refused within Times.ExhaustedPause.
+// nextLoan returns the number of the next loan. It returns false if this holder is standalone, or if a loan of this
+// amount or less was refused within Times.ExhaustedPause.
 func (h *Holder) nextLoan(customer string, maxTokens int64) (int64, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/escrow/draw.go
+++ b/internal/escrow/draw.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	joinSpread      = 3                       // spreads attempts to join over this many gaps, multiplied by crowdFactor
+	joinSpread      = 3                       // spreads attempts to join over this many gaps, multiplied by fleetSizeFactor
 	refreshAttempts = 6                       // successive conflicts before a refresh waits for the next round
 	idleRefresh     = 4 * time.Second         // an idle page is reported this often
 	stoppingHorizon = 2500 * time.Millisecond // horizon of grants while the process is about to stop
@@ -65,7 +65,7 @@
 
 // pause waits for the next round, or for a request that needs one. It returns false if ctx has ended.
 func (h *Holder) pause(ctx context.Context, last time.Time) bool {
-	wait, least := h.waitBounds()
+	wait, shortest := h.waitBounds()
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
@@ -75,7 +75,7 @@
 		return true
 	case <-h.wakeups:
 	}
-	gap := time.NewTimer(max(0, least-h.now().Sub(last)))
+	gap := time.NewTimer(max(0, shortest-h.now().Sub(last)))
 	defer gap.Stop()
 	select {
 	case <-ctx.Done():
@@ -87,23 +87,23 @@
 
 // waitBounds returns the longest and the shortest time until the next round. A holder that has not joined all its pages
 // cannot serve, so it tries again soon. The time is random, since many holders may start at once after a fault.
-func (h *Holder) waitBounds() (longest, least time.Duration) {
+func (h *Holder) waitBounds() (longest, shortest time.Duration) {
 	follower := h.isFollower()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	least = h.times.MinGap * h.crowdFactor()
+	shortest = h.times.MinGap * h.fleetSizeFactor()
 	for _, p := range h.pages {
 		if !p.joined && len(h.accounts) > 0 {
-			return h.times.MinGap + rand.N(h.times.MinGap*joinSpread*h.crowdFactor()), least
+			return h.times.MinGap + rand.N(h.times.MinGap*joinSpread*h.fleetSizeFactor()), shortest
 		}
 		if len(p.pending) > 0 {
-			return h.times.UrgentGatherWindow, least
+			return h.times.UrgentGatherWindow, shortest
 		}
 	}
 	if follower {
-		return h.times.SubmitInterval, least
+		return h.times.SubmitInterval, shortest
 	}
-	return h.refreshInterval() * 3 / 2, least
+	return h.refreshInterval() * 3 / 2, shortest
 }
 
 // startRound begins a round of refreshes and reports whether it is a regular one. Other rounds refresh only what
--- a/internal/escrow/fleet.go
+++ b/internal/escrow/fleet.go
@@ -20,7 +20,7 @@
 	Large() bool
 	// Leads reports whether this holder writes its own rows: it leads its zone, or no leader can be reached.
 	Leads() bool
-	// Stranded reports whether it writes its own rows only because the leaders cannot be reached.
+	// Stranded reports whether this holder writes its own rows only because the leaders cannot be reached.
 	Stranded() bool
 	// Relays reports whether this holder leads its zone, and the leader of another zone writes for this zone too.
 	Relays() bool
@@ -76,7 +76,8 @@
 	Page   int             `cbor:"1,keyasint"`
 	Report Report          `cbor:"2,keyasint"`
 	Rows   map[string]Need `cbor:"3,keyasint,omitempty"` // by customer
-	Start  Report          `cbor:"4,keyasint,omitempty"` // this process's start, until rows of earlier processes are settled
+	// Start is the report of this process's start. It is set until the rows of earlier processes are settled.
+	Start Report `cbor:"4,keyasint,omitempty"`
 }
 
 // Receipt is the response to a Submission.
--- a/internal/escrow/granting.go
+++ b/internal/escrow/granting.go
@@ -2,17 +2,17 @@
 
 // sums are the totals of an account's rows, in tokens.
 type sums struct {
-	spent, granted, want int64
-	margin               int64 // see Page.margin
+	spent, granted, demand int64
+	margin                 int64 // see Page.margin
 }
 
 func (s sums) add(r Row) sums {
-	s.spent, s.granted, s.want = s.spent+r.Spent, s.granted+r.Granted, s.want+r.Demand
+	s.spent, s.granted, s.demand = s.spent+r.Spent, s.granted+r.Granted, s.demand+r.Demand
 	return s
 }
 
 func (s sums) minus(r Row) sums {
-	s.spent, s.granted, s.want = s.spent-r.Spent, s.granted-r.Granted, s.want-r.Demand
+	s.spent, s.granted, s.demand = s.spent-r.Spent, s.granted-r.Granted, s.demand-r.Demand
 	return s
 }
 
@@ -49,8 +49,8 @@
 	}
 }
 
-// fold settles the rows of a node's earlier holders; see Page.SettlePredecessors.
-func (g *granter) fold(successor string, start Report) []Settlement {
+// settlePredecessors settles the rows of a node's earlier holders; see Page.SettlePredecessors.
+func (g *granter) settlePredecessors(successor string, start Report) []Settlement {
 	out := g.page.SettlePredecessors(successor, start)
 	if len(out) > 0 {
 		g.reset()
@@ -101,8 +101,8 @@
 	return row, target
 }
 
-// limit returns the upper limit of a row. free is what no other row holds. After a restoration the row is raised only
-// as far as the margin allows, but never lowered because of it.
+// limit returns the upper limit of a row. ungranted is what no other row holds. After a restoration the row is raised
+// only as far as the margin allows, but never lowered because of it.
 func (g *granter) limit(old Row, ungranted, margin int64) int64 {
 	if g.frozen || ungranted-margin < old.Granted {
 		return min(ungranted, old.Granted)
--- a/internal/escrow/granting_test.go
+++ b/internal/escrow/granting_test.go
@@ -22,7 +22,7 @@
 			case 0:
 				g.report(holder, Report{Node: node, Count: 1})
 			case 1:
-				g.fold(holder, Report{Node: node})
+				g.settlePredecessors(holder, Report{Node: node})
 			default:
 				before := *p.account(customer)
 				n := Need{Demand: rapid.Int64Range(0, prepaid).Draw(t, "want"), Spent: before.Rows[holder].Spent}
--- a/internal/escrow/group.go
+++ b/internal/escrow/group.go
@@ -185,7 +185,7 @@
 	report := x.part.Report
 	x.settlements = nil
 	if x.part.Start.Node != "" {
-		x.settlements = g.fold(x.holder, x.part.Start)
+		x.settlements = g.settlePredecessors(x.holder, x.part.Start)
 	}
 	g.report(x.holder, report)
 	for name, need := range x.part.Rows {
--- a/internal/escrow/holder.go
+++ b/internal/escrow/holder.go
@@ -25,18 +25,19 @@
 // Times are a holder's intervals and time limits.
 type Times struct {
 	RefreshInterval time.Duration // between regular refreshes
-	MinGap          time.Duration // least time between refreshes that waiting requests cause
+	MinGap          time.Duration // minimum time between refreshes that waiting requests cause
 	CallTimeout     time.Duration // limit of one call to the store
 	Backoff         time.Duration // pause after a failed call
 	ReserveWait     time.Duration // how long a reservation waits for a refresh
 	ContactTimeout  time.Duration // no reservation waits if the store has not answered for this long
-	ExhaustedPause  time.Duration // after a refresh that brought too little, no reservation of the customer waits for this long
+	// ExhaustedPause is how long no reservation of a customer waits after a refresh that brought too little.
+	ExhaustedPause time.Duration
 
 	// The following apply to zones with a leader.
 	SubmitInterval     time.Duration // from a leader's receipt to the next submission
 	GatherWindow       time.Duration // how long rows of other holders wait for more of them
 	UrgentGatherWindow time.Duration // the same, if one of these holders cannot serve until its row is written
-	MinGroupGap        time.Duration // least time between writes of a page for other holders
+	MinGroupGap        time.Duration // minimum time between writes of a page for other holders
 	// MinRelayedGap is the same if leaders of other zones wait as well, since these hold back their zones' next rows
 	// meanwhile.
 	MinRelayedGap time.Duration
@@ -59,8 +60,8 @@
 	holdersPerInterval = 12 // number of holders that add one RefreshInterval to the time between regular refreshes
 	maxIntervalFactor  = 6
 	copyFreshFor       = 300 * time.Millisecond // older copies of a page are read again before the page is written
-	// The same for a page that this holder wrote last. A longer time is safe, since a write reports a conflict if
-	// another holder has written the page.
+	// selfWrittenFreshFor is the same for a page that this holder wrote last. A longer time is safe, since a write
+	// reports a conflict if another holder has written the page.
 	selfWrittenFreshFor = 3 * time.Second
 )
 
@@ -113,7 +114,7 @@
 	key             string
 	raw             []byte
 	revision        int64
-	known           bool
+	known           bool  // raw was read and is not known to be outdated
 	count           int64 // of this holder's last write that is known to have succeeded
 	unconfirmedBase int64 // the base revision of a write with unknown outcome; -1: none
 	// submitted is set while a leader may still write rows of this holder that follow count.
@@ -243,12 +244,12 @@
 // refreshInterval returns the time between regular refreshes. A large fleet refreshes less often, since all holders
 // write the same pages. The caller holds mu.
 func (h *Holder) refreshInterval() time.Duration {
-	return h.times.RefreshInterval * h.crowdFactor()
+	return h.times.RefreshInterval * h.fleetSizeFactor()
 }
 
-// crowdFactor returns by how much refreshes are less frequent than in a small fleet. In zones with a leader few holders
+// fleetSizeFactor returns by how much refreshes are less frequent than in a small fleet. In zones with a leader few holders
 // write. The caller holds mu.
-func (h *Holder) crowdFactor() time.Duration {
+func (h *Holder) fleetSizeFactor() time.Duration {
 	if h.fleet != nil && h.fleet.Large() && !h.fleet.Stranded() {
 		return 1
 	}
--- a/internal/escrow/leave.go
+++ b/internal/escrow/leave.go
@@ -20,7 +20,7 @@
 				break
 			}
 			if ctx.Err() != nil {
-				return eris.Wrapf(err, "giving back the escrow on %s", p.key)
+				return eris.Wrapf(err, "returning the grants on %s", p.key)
 			}
 			if !errors.Is(err, external.ErrConflict) {
 				time.Sleep(h.times.MinGap)
--- a/internal/escrow/loss_test.go
+++ b/internal/escrow/loss_test.go
@@ -16,6 +16,7 @@
 // times while the store was unreachable. From twelve seconds after the second return no stream was served, only
 // requests without a budget. For each holder the whole grant was settled as spent, for example
 // "age_ms":12536,"spent":1059448,"granted":4262987,"settled":4262987.
+//
 // The first loss took 10.6 of 19.8 million tokens in this way, of which requests had used 4.9; the second took 7.0, of
 // which they had used 6.4. Then 295 of 349 streams were rejected with status 402, although nobody had used a third of
 // the prepaid tokens. Nothing limited what all holders together could have spent unreported: at the second loss it was
--- a/internal/escrow/need.go
+++ b/internal/escrow/need.go
@@ -99,6 +99,6 @@
 }
 
 // priorRequests is the weight of the assumption that a customer's callers are distributed over the holders like all
-// callers, as a number of the customer's requests at all holders. Without measurements a customer whose callers use one
-// instance would have as much held at instances that they never use.
+// callers, as a number of the customer's requests at all holders. If measurements did not outweigh it, a customer whose
+// callers use one instance would have as much held at instances that they never use.
 const priorRequests = 4
--- a/internal/escrow/page.go
+++ b/internal/escrow/page.go
@@ -1,5 +1,6 @@
 // Package escrow lets each instance spend prepaid budgets on its own while it reaches neither the store nor any other
 // instance.
+//
 // An instance holds grants: amounts that a page in the store reserves for it before it spends them. The grants of all
 // holders and the settled amounts together never exceed the prepaid amount, so no combination of faults overspends a
 // budget. A grant becomes spendable in steps, counted from the holder's last report. This bounds what a holder that
@@ -73,11 +74,13 @@
 
 // Page holds the accounts of some customers in one value of the store.
 type Page struct {
-	Accounts      map[string]*Account `cbor:"1,keyasint,omitempty"`
-	Holders       map[string]Report   `cbor:"2,keyasint,omitempty"`
-	Epoch         int64               `cbor:"3,keyasint,omitempty"` // the store's at the last write; 0: none
-	RestoredEpoch int64               `cbor:"4,keyasint,omitempty"` // the store's first after its last restoration; 0: never restored
-	RestoredAt    int64               `cbor:"5,keyasint,omitempty"` // wall clock, in ms, of the first write in RestoredEpoch
+	Accounts map[string]*Account `cbor:"1,keyasint,omitempty"`
+	Holders  map[string]Report   `cbor:"2,keyasint,omitempty"`
+	Epoch    int64               `cbor:"3,keyasint,omitempty"` // of the store at the last write; 0: none
+	// RestoredEpoch is the first epoch of the store after its last restoration; 0: never restored.
+	RestoredEpoch int64 `cbor:"4,keyasint,omitempty"`
+	// RestoredAt is the wall clock, in ms, at the page's first write in that epoch.
+	RestoredAt int64 `cbor:"5,keyasint,omitempty"`
 
 	unknown compat.Unknown // fields written by a later build
 }
--- a/internal/escrow/property_test.go
+++ b/internal/escrow/property_test.go
@@ -43,27 +43,27 @@
 	commits     int
 }
 
-func (g *nodeKV) Read(ctx context.Context, key string) (external.Entry, int64, error) {
-	if g.unreachable {
+func (n *nodeKV) Read(ctx context.Context, key string) (external.Entry, int64, error) {
+	if n.unreachable {
 		return external.Entry{}, 0, external.ErrUnavailable
 	}
-	g.reads++
-	return g.KV.Read(ctx, key)
+	n.reads++
+	return n.KV.Read(ctx, key)
 }
 
-func (g *nodeKV) ReadAll(ctx context.Context, prefix string) ([]external.Entry, int64, error) {
-	if g.unreachable {
+func (n *nodeKV) ReadAll(ctx context.Context, prefix string) ([]external.Entry, int64, error) {
+	if n.unreachable {
 		return nil, 0, external.ErrUnavailable
 	}
-	return g.KV.ReadAll(ctx, prefix)
+	return n.KV.ReadAll(ctx, prefix)
 }
 
-func (g *nodeKV) Commit(ctx context.Context, c external.Commit) (int64, error) {
-	if g.unreachable {
+func (n *nodeKV) Commit(ctx context.Context, c external.Commit) (int64, error) {
+	if n.unreachable {
 		return 0, external.ErrUnavailable
 	}
-	g.commits++
-	return g.KV.Commit(ctx, c)
+	n.commits++
+	return n.KV.Commit(ctx, c)
 }
 
 // Outcomes of calls to a leader.
@@ -105,7 +105,7 @@
 	return f.node.role
 }
 
-var errReplyLost = errors.New("the answer was lost")
+var errReplyLost = errors.New("the response was lost")
 
 func (f *simFleet) Submit(_ context.Context, s Submission) (Receipt, error) {
 	if f.node.link == linkDown {
@@ -290,15 +290,15 @@
 	o.reservation.Settle(used)
 }
 
-// kill ends a node's process. Its open reservations count as used in full.
-func (w *world) kill(n *simNode) {
+// settleAll ends a node's open reservations as used in full, as when its process ends.
+func (w *world) settleAll(n *simNode) {
 	for len(n.reservations) > 0 {
 		w.settle(n, n.reservations[0].maxTokens)
 	}
 }
 
 func (w *world) powerLoss(n *simNode) {
-	w.kill(n)
+	w.settleAll(n)
 	n.clock.base += 77 * time.Hour
 	n.clock.boot += "+"
 	w.start(n)
@@ -308,7 +308,7 @@
 func (w *world) spendAll(n *simNode, customer string) {
 	if left := n.holder.View(customer).Available; left > 0 {
 		w.reserve(n, customer, left)
-		w.kill(n)
+		w.settleAll(n)
 	}
 }
 
@@ -320,8 +320,8 @@
 	}
 }
 
-// TestNoOverspendAcrossSuspensions adds suspensions of machines, the leader's included: single ones and series, during
-// outages and before power losses. Clocks include suspensions, as MachineClock does, or leave them out, which must not
+// TestNoOverspendAcrossSuspensions extends TestNoOverspend by suspensions of machines, the leader's included: single ones
+// and series, during outages and before power losses. Clocks include suspensions, as MachineClock does, or leave them out, which must not
 // overspend either.
 func TestNoOverspendAcrossSuspensions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -367,7 +367,7 @@
 	case 10:
 		n.store.unreachable = !n.store.unreachable
 	case 11:
-		w.kill(n)
+		w.settleAll(n)
 		w.start(n)
 	case 12:
 		n.wallStep = time.Duration(rapid.IntRange(0, 2900).Draw(t, "step")) * time.Millisecond
@@ -421,7 +421,7 @@
 
 // stopAndRestart is a planned stop and a new start. It reports whether everything was returned.
 func (w *world) stopAndRestart(n *simNode) bool {
-	w.kill(n)
+	w.settleAll(n)
 	all := true
 	for _, p := range n.holder.pages {
 		if n.holder.leaveOnce(context.Background(), p) != nil {
@@ -504,8 +504,8 @@
 	w.lastEnd = w.store.Number()
 }
 
-// TestNoOverspendAcrossRestorations adds restorations of the store, also several in a row, to late writes of earlier
-// epochs, outages, power losses, stops and suspensions.
+// TestNoOverspendAcrossRestorations extends TestNoOverspendAcrossSuspensions by restorations of the store, also several in
+// a row, which late writes of earlier epochs can follow.
 func TestNoOverspendAcrossRestorations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := DefaultPolicy()
@@ -570,7 +570,7 @@
 			case 8:
 				lost = !w.stopAndRestart(n) || lost
 			case 9:
-				w.kill(n)
+				w.settleAll(n)
 				w.start(n)
 				lost = true
 			case 10:
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -64,12 +64,12 @@
 	})
 }
 
-// Reserve sets aside the most that a request can use. If the holder's grant is too small, Reserve refreshes it, if this
-// holder writes its own rows, or borrows from other holders. It waits no longer than Times.ReserveWait and
+// Reserve sets aside the most that a request can use. If the holder's grant is too small, Reserve waits for a refresh
+// (only if this holder writes its own rows) or borrows from other holders. It waits no longer than Times.ReserveWait and
 // Times.LoanTimeout. rank is the request's rank among the customer's own requests, 0 first: scarce tokens are reserved
 // for the first ranks. Errors are verdicts: not run, with the time to retry if there is one.
 func (h *Holder) Reserve(ctx context.Context, customer string, maxTokens int64, rank int) (*Reservation, error) {
-	if err := h.checkLot(customer, maxTokens); err != nil {
+	if err := h.rejectAtRandom(customer, maxTokens); err != nil {
 		return nil, err
 	}
 	r, _, err := h.tryReserve(customer, maxTokens, rank, false)
@@ -242,5 +242,5 @@
 	if a.ungranted+a.confirmed.row.Granted-a.used() < maxTokens && a.unspent() >= maxTokens {
 		return false // other holders have it
 	}
-	return !h.lastAnswer.IsZero() && h.storeAnswering() && now.Sub(a.exhaustedAt) > h.times.ExhaustedPause*h.crowdFactor()
+	return !h.lastAnswer.IsZero() && h.storeAnswering() && now.Sub(a.exhaustedAt) > h.times.ExhaustedPause*h.fleetSizeFactor()
 }
--- a/internal/escrow/restore.go
+++ b/internal/escrow/restore.go
@@ -11,10 +11,11 @@
 // A store that was restored from an older copy lacks the last rows that it had acknowledged: grants that were raised
 // and spent, holders that had joined, and what holders had returned when they left. Granting what the copy shows as
 // available would overspend.
-// Therefore the first holder that writes a page in the new epoch restores the newest copy that it has. Each holder then
-// restates its rows, with what it holds. Until the holders had time for this, nothing is granted beyond what they have.
-// After that, a holder that has not restated its rows counts with their amounts plus its demand. For a holder that has
-// ended, everything granted is settled as spent.
+//
+// Therefore the first holder that writes a page in the new epoch writes back the newest copy that it has. Each holder
+// then restates its rows, with what it holds. Until the holders had time for this, nothing is granted beyond what they
+// have. After that, a holder that has not restated its rows counts with their amounts plus its demand. For a holder that
+// has ended, everything granted is settled as spent.
 
 // restateWait is the time that holders have to restate their rows after a restoration.
 const restateWait = 2 * time.Second
@@ -42,8 +43,8 @@
 	return restored
 }
 
-// stale reports whether a holder has not restated its rows since the store was restored. It may have more than they
-// show.
+// stale reports whether a holder has not restated its rows since the store was restored. Such a holder may have more
+// than its rows show.
 func (p *Page) stale(holder string) bool { return p.Holders[holder].Epoch < p.RestoredEpoch }
 
 // staleHolders returns the number of stale holders.
--- a/internal/escrow/restore_test.go
+++ b/internal/escrow/restore_test.go
@@ -51,7 +51,7 @@
 		w, a, b := restoredWorld()
 		copied := w.store.Number()
 
-		Convey("a grant that the copy lacks is restored by a holder that has a newer copy", func() {
+		Convey("a grant that the copy lacks is written back by a holder that has a newer copy", func() {
 			So(w.reserveAfterRefresh(a, north, 30_000), ShouldBeTrue)
 			granted := a.holder.View(north).Granted
 			w.observe(b)
@@ -111,7 +111,7 @@
 			a.forgetPages()
 			w.restoreTo(0)
 			w.reserve(a, north, 2_000)
-			w.kill(a)
+			w.settleAll(a)
 			So(w.stopAndRestart(a), ShouldBeTrue)
 			So(w.page(north).Accounts[north].Settled, ShouldEqual, 2_000)
 		})
--- a/internal/escrow/sizing.go
+++ b/internal/escrow/sizing.go
@@ -14,7 +14,7 @@
 	// PooledHorizon is how long a holder can serve without its zone's pools, if it expects several requests in this
 	// time.
 	PooledHorizon   time.Duration
-	Surge           float64 // by how much a customer's rate may exceed the measured one
+	Surge           float64 // factor by which a customer's rate may exceed the measured one
 	Deviations      float64 // standard deviations of the use that are held in addition to its mean
 	BurstDeviations float64 // standard deviations that are spendable at once
 	StartShare      float64 // part of the unspent amount that all holders together request while nothing is measured
@@ -75,13 +75,13 @@
 	burstSpan := scarceHorizon + time.Duration(float64(burstHorizon-scarceHorizon)*abundance)
 	horizon = max(burstSpan, time.Duration(float64(horizon)*abundance))
 	b := p.amount(f, burstSpan, p.BurstDeviations*abundance)
-	w := max(b, p.amount(f, time.Duration(p.ReserveFactor*float64(horizon)), p.Deviations*abundance))
+	held := max(b, p.amount(f, time.Duration(p.ReserveFactor*float64(horizon)), p.Deviations*abundance))
 	if span := (horizon - Grace).Seconds(); span > 0 {
-		rate = int64((w - b) / span)
+		rate = int64((held - b) / span)
 	} else {
-		w = b
+		held = b
 	}
-	return int64(w), int64(b), rate
+	return int64(held), int64(b), rate
 }
 
 // releaseSchedule spreads a share over the horizon: what is spendable at once, and per second later. This bounds what a
@@ -105,6 +105,7 @@
 }
 
 // Grant sets a holder's row of an account so that nothing is overspent, and returns it. prepaid < 0 means no limit.
+//
 // A holder gets its demand while maxOutstanding of the unspent rest covers the demand of all, otherwise its
 // proportional part. What it holds beyond that is released. A row never falls below what is already spent.
 func (a *Account) Grant(holder string, n Need, prepaid int64) Row {
@@ -134,7 +135,7 @@
 // share returns the part of the unspent rest that a holder may have beside the others.
 func (a *Account) share(n Need, prepaid int64, others sums) int64 {
 	remaining := prepaid - a.Settled - others.spent - n.Spent
-	demand := others.want + n.Demand
+	demand := others.demand + n.Demand
 	if remaining <= 0 {
 		return 0
 	}
--- a/internal/escrow/spread.go
+++ b/internal/escrow/spread.go
@@ -32,8 +32,8 @@
 	return left / enough
 }
 
-// checkLot rejects requests at random while the rest of their budget is spread. Errors are like those of Reserve.
-func (h *Holder) checkLot(customer string, maxTokens int64) error {
+// rejectAtRandom rejects requests at random while the rest of their budget is spread. Errors are like those of Reserve.
+func (h *Holder) rejectAtRandom(customer string, maxTokens int64) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.accounts[customer]
--- a/internal/escrow/write.go
+++ b/internal/escrow/write.go
@@ -30,7 +30,7 @@
 	// unsettled is set if rows of this node's earlier holders are left.
 	unsettled  bool
 	restored   bool // it is the first write of the page since the store was restored
-	reinstated bool // and it restores a copy that this holder had
+	reinstated bool // and it writes back a copy that this holder had
 }
 
 // write writes all pages of a list, or none.
@@ -54,7 +54,7 @@
 	if err != nil {
 		return pageWrite{}, err
 	}
-	page, putBack, err := p.writeBase(page)
+	page, reinstated, err := p.writeBase(page)
 	if err != nil {
 		return pageWrite{}, err
 	}
@@ -64,7 +64,7 @@
 	g := newGranter(page)
 	g.frozen = h.frozen(page)
 	if !p.joined || p.unsettled || restates {
-		settlements = g.fold(h.id, h.startReport())
+		settlements = g.settlePredecessors(h.id, h.startReport())
 	}
 	g.report(h.id, report)
 	rows := make(map[string]issuedRow)
@@ -83,12 +83,12 @@
 		}
 		a.unconfirmed = append(a.unconfirmed, rows[name])
 	}
-	others := h.applyPending(p, g)
+	parts := h.applyPending(p, g)
 	p.unconfirmedBase = p.revision
 	raw, err := page.Encode()
 	return pageWrite{
-		state: p, raw: raw, page: page, base: p.revision, count: report.Count, rows: rows, parts: others, settlements: settlements,
-		unsettled: g.unsettled(h.id, h.node), restored: restored, reinstated: restored && putBack,
+		state: p, raw: raw, page: page, base: p.revision, count: report.Count, rows: rows, parts: parts, settlements: settlements,
+		unsettled: g.unsettled(h.id, h.node), restored: restored, reinstated: restored && reinstated,
 	}, err
 }
 
