--- a/internal/escrow/account.go
+++ b/internal/escrow/account.go
@@ -9,8 +9,8 @@
 type issuedRow struct {
 	row       Row
 	clock     time.Duration // reading of the steady clock in the report
-	remaining int64         // unspent part of the whole account, with this row
-	ungranted int64         // part of the whole account that is granted to nobody, with this row
+	remaining int64         // unspent part of the entire account, with this row
+	ungranted int64         // part of the entire account, granted to nobody, with this row
 	// unproven is Account.Unproven with this row.
 	unproven int64
 }
@@ -32,8 +32,8 @@
 	confirmed       issuedRow        // last row that the store is known to have
 	unconfirmed     []issuedRow      // written with unknown outcome, may be older than confirmed
 	prepaid         int64            // as last configured; Unlimited: no limit
-	remaining       int64            // unspent part of the whole account, as last read
-	ungranted       int64            // part of the whole account that is granted to nobody, as last read
+	remaining       int64            // unspent part of the entire account, as last read
+	ungranted       int64            // part of the entire account, granted to nobody, as last read
 	// unproven is Account.Unproven, as last read.
 	unproven int64
 
@@ -47,7 +47,7 @@
 // used returns the tokens that are spent or reserved.
 func (a *account) used() int64 { return a.spent + a.reserved }
 
-// unspent returns what nobody has spent of the whole account, as far as it is known here.
+// unspent returns the unspent part of the entire account, as far as this holder has observed it.
 func (a *account) unspent() int64 { return a.remaining - max(0, a.used()-a.confirmed.row.Spent) }
 
 // exhaustedDetail explains the rejection of a request because the budget is exhausted. If instances were lost, it
--- a/internal/escrow/bench_test.go
+++ b/internal/escrow/bench_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// BenchmarkPrepare computes the page that a leader of the whole fleet writes: 300 holders, each with new rows for 10
+// BenchmarkPrepare computes the page that the leader of the entire fleet writes: 300 holders, each with new rows for 10
 // customers. It took 38 ms when accounts were summed for each holder, and takes 3.6 ms since they are summed once.
 func BenchmarkPrepare(b *testing.B) {
 	const holders, customers = 300, 10
--- a/internal/escrow/clock_test.go
+++ b/internal/escrow/clock_test.go
@@ -7,10 +7,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against settling too much after a suspension. A machine was suspended for eight seconds between a holder's
-// last report and the start of its successor. A clock that leaves suspensions out measured two seconds where the wall
-// clock measured ten. The two reports therefore did not count as of one boot: the age was taken as thirteen seconds,
-// and the whole grant counted as spent.
+// TestAgeAcrossSuspension guards against settling too much after a suspension. A machine was suspended for eight
+// seconds between a holder's last report and the start of its successor. A clock that leaves suspensions out measured
+// two seconds where the wall clock measured ten. The two reports therefore did not count as of one boot: the age was
+// taken as thirteen seconds, and the entire grant counted as spent.
 func TestAgeAcrossSuspension(t *testing.T) {
 	Convey("The age of a report is exact to the millisecond across a suspension", t, func() {
 		const awake, suspended = 2 * time.Second, 8 * time.Second
--- a/internal/escrow/draw.go
+++ b/internal/escrow/draw.go
@@ -16,8 +16,7 @@
 	stoppingHorizon = 2500 * time.Millisecond // horizon of grants while the process is about to stop
 )
 
-// Run refreshes the holder's grants until ctx ends: it reports use, requests tokens and returns what is no longer
-// needed.
+// Run refreshes the holder's grants until ctx ends: it reports use, requests tokens and returns those not needed.
 func (h *Holder) Run(ctx context.Context) error {
 	var last time.Time
 	for {
--- a/internal/escrow/fleet.go
+++ b/internal/escrow/fleet.go
@@ -20,8 +20,8 @@
 	Large() bool
 	// Leads reports whether this holder writes its own rows: it leads its zone, or no leader can be reached.
 	Leads() bool
-	// Stranded reports whether this holder writes its own rows only because the leaders cannot be reached.
-	Stranded() bool
+	// LeadersUnreachable reports whether this holder writes its own rows only because the leaders cannot be reached.
+	LeadersUnreachable() bool
 	// Relays reports whether this holder leads its zone, and the leader of another zone writes for this zone too.
 	Relays() bool
 	// Submit passes rows to the leader. A holder that relays passes its zone's rows to the leader of another zone.
@@ -42,9 +42,9 @@
 
 // The roles.
 const (
-	RoleStandalone Role = iota // holds what it needs itself
-	RolePool                   // holds what its zone needs
-	RolePooled                 // another holder of its zone holds what the zone needs
+	RoleStandalone Role = iota // holds tokens for itself
+	RolePool                   // holds tokens for its zone
+	RolePooled                 // another holder of its zone holds tokens for the zone
 )
 
 // LoanResult is the outcome of a loan request.
--- a/internal/escrow/holder.go
+++ b/internal/escrow/holder.go
@@ -250,7 +250,7 @@
 // fleetSizeFactor returns by how much refreshes are less frequent than in a small fleet. In zones with a leader few holders
 // write. The caller holds mu.
 func (h *Holder) fleetSizeFactor() time.Duration {
-	if h.fleet != nil && h.fleet.Large() && !h.fleet.Stranded() {
+	if h.fleet != nil && h.fleet.Large() && !h.fleet.LeadersUnreachable() {
 		return 1
 	}
 	return time.Duration(max(1, min(h.holderCount/holdersPerInterval, maxIntervalFactor)))
--- a/internal/escrow/loss_test.go
+++ b/internal/escrow/loss_test.go
@@ -12,14 +12,14 @@
 	"github.com/ledgemount/ledgemount/internal/external/memkv"
 )
 
-// Guards against an exhausted budget after power losses. All instances of a fleet lost power twice on one day, both
-// times while the store was unreachable. From twelve seconds after the second return no stream was served, only
-// requests without a budget. For each holder the whole grant was settled as spent, for example
-// "age_ms":12536,"spent":1059448,"granted":4262987,"settled":4262987.
+// TestServiceResumesAfterPowerLosses guards against an exhausted budget after power losses. All instances of a fleet
+// lost power twice on one day, both times while the store was unreachable. From twelve seconds after the second return
+// no stream was served, only requests without a budget. For each holder the entire grant was settled as spent, for
+// example "age_ms":12536,"spent":1059448,"granted":4262987,"settled":4262987.
 //
 // The first loss took 10.6 of 19.8 million tokens in this way, of which requests had used 4.9; the second took 7.0, of
-// which they had used 6.4. Then 295 of 349 streams were rejected with status 402, although nobody had used a third of
-// the prepaid tokens. Nothing limited what all holders together could have spent unreported: at the second loss it was
+// which they had used 6.4. Then 295 of 349 streams were rejected with status 402, although a third of the prepaid
+// tokens was unused. Nothing limited what all holders together could have spent unreported: at the second loss it was
 // 97% of the rest.
 
 const (
@@ -210,13 +210,13 @@
 	})
 }
 
-// Guards against rejecting nearly all later requests after power losses. All instances lost power with the store
-// unreachable, and again 16 s later. From twelve seconds after the second return 108 of 480 requests were served,
-// nearly all of them without a budget. In the first eight seconds the rest of the budgets had been used in the order in
-// which requests came. Then they were rejected with "status":402,"detail":"what remains of the budget cannot hold the
-// request; 3120006 tokens of it count as spent by instances that were lost": 114 per second at 56 s, while one stream
-// was served. At 29 s, 118 per second had been served. Nobody had used a quarter of the prepaid tokens. Later callers
-// got nothing of the rest, and the operator had no time to pay in more.
+// TestServiceContinuesAfterPowerLosses guards against rejecting nearly all later requests after power losses. All
+// instances lost power with the store unreachable, and again 16 s later. From twelve seconds after the second return
+// 108 of 480 requests were served, nearly all of them without a budget. In the first eight seconds the rest of the
+// budgets had been used in the order in which requests came. Later ones were rejected with "status":402,"detail":"what
+// remains of the budget cannot hold the request; 3120006 tokens of it count as spent by instances that were lost": 114
+// per second at 56 s, while one stream was served. At 29 s, 118 per second had been served. A quarter of the prepaid
+// tokens was unused. Later callers got nothing of the rest, and the operator had no time to pay in more.
 
 func TestServiceContinuesAfterPowerLosses(t *testing.T) {
 	Convey("Where a loss has taken a large part of budgets and they run out, some of the later requests are served", t, func() {
--- a/internal/escrow/need.go
+++ b/internal/escrow/need.go
@@ -34,7 +34,7 @@
 		share := h.startShare(a, role, max(1, holders))
 		burst, rate := share, int64(0)
 		if h.fleet != nil && h.fleet.Large() {
-			burst, rate = policy.releaseSchedule(share) // the share covers a whole zone
+			burst, rate = policy.releaseSchedule(share) // the share covers an entire zone
 		}
 		n.Demand, n.Burst, n.Rate = max(n.Demand, share), max(n.Burst, burst), max(n.Rate, rate)
 	}
--- a/internal/escrow/page_test.go
+++ b/internal/escrow/page_test.go
@@ -38,8 +38,8 @@
 	}
 )
 
-// Guards against losing data of a later build. During an upgrade instances of both builds write the same pages. The
-// next write of the earlier build removed what the later one had put into a row.
+// TestPageOfLaterBuild guards against losing data of a later build. During an upgrade instances of both builds write
+// the same pages. The next write of the earlier build removed what the later one had put into a row.
 func TestPageOfLaterBuild(t *testing.T) {
 	Convey("Writing a page of a later build preserves the fields that this build does not have", t, func() {
 		for _, holders := range []int{2, 200} { // small, and large enough to be compressed
@@ -74,8 +74,8 @@
 	})
 }
 
-// Guards against invalid pages. A page with an account without a value ended each instance that read it; a negative
-// amount would have released tokens.
+// TestInvalidPage guards against invalid pages. A page with an account without a value ended each instance that read
+// it; a negative amount would have released tokens.
 func TestInvalidPage(t *testing.T) {
 	Convey("A page that no holder can have written is rejected", t, func() {
 		type raw = map[int]any
@@ -101,10 +101,10 @@
 	})
 }
 
-// Guards against underestimating ages across builds. An earlier build reports by the steady clock under the machine's
-// boot ID, this one by a clock that includes suspensions. If a machine had been suspended for less than a wall clock
-// may step, each build underestimated the age of the other's report by that time: tokens that may have been spent
-// became available again.
+// TestAgeAcrossBuilds guards against underestimating ages across builds. An earlier build reports by the steady clock
+// under the machine's boot ID, this one by a clock that includes suspensions. If a machine had been suspended for less
+// than a wall clock may step, one of the builds underestimated the age of the other's report by that time: tokens that
+// may have been spent became available again.
 func TestAgeAcrossBuilds(t *testing.T) {
 	Convey("No build underestimates the age of a report by another build's clock", t, func() {
 		raw, err := os.ReadFile(bootIDPath)
--- a/internal/escrow/property_test.go
+++ b/internal/escrow/property_test.go
@@ -90,9 +90,9 @@
 	return fleettime.Bounds{Low: now.Add(off), High: now.Add(-off)}, f.node.hasFleetTime
 }
 
-func (f *simFleet) Settled() bool  { return true }
-func (f *simFleet) Large() bool    { return true }
-func (f *simFleet) Stranded() bool { return false }
+func (f *simFleet) Settled() bool            { return true }
+func (f *simFleet) Large() bool              { return true }
+func (f *simFleet) LeadersUnreachable() bool { return false }
 func (f *simFleet) Leads() bool {
 	return f.node == f.world.nodes[0] || f.node.link == linkNone || f.node.leadsZone
 }
--- a/internal/escrow/remote/remote.go
+++ b/internal/escrow/remote/remote.go
@@ -56,8 +56,8 @@
 // Leads implements escrow.Fleet.
 func (f *Fleet) Leads() bool { return f.dir.Leads() }
 
-// Stranded implements escrow.Fleet.
-func (f *Fleet) Stranded() bool { return f.dir.Stranded() }
+// LeadersUnreachable implements escrow.Fleet.
+func (f *Fleet) LeadersUnreachable() bool { return f.dir.Stranded() }
 
 // Relays implements escrow.Fleet.
 func (f *Fleet) Relays() bool { return f.dir.Leads() && len(f.dir.FleetLeaders()) > 0 }
--- a/internal/escrow/restore.go
+++ b/internal/escrow/restore.go
@@ -13,7 +13,7 @@
 // available would overspend.
 //
 // Therefore the first holder that writes a page in the new epoch writes back the newest copy that it has. Each holder
-// then restates its rows, with what it holds. Until the holders had time for this, nothing is granted beyond what they
+// then restates its rows with its current grants. Until the holders had time for this, nothing is granted beyond what they
 // have. After that, a holder that has not restated its rows counts with their amounts plus its demand. For a holder that
 // has ended, everything granted is settled as spent.
 
--- a/internal/escrow/share_test.go
+++ b/internal/escrow/share_test.go
@@ -8,8 +8,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against holding too much. To bridge an outage of ten seconds, six holders together held 24 s of mean use: each
-// held two deviations of its own few requests. A power loss while the store is unreachable loses all of that.
+// TestDeviationsOfFleet guards against holding too much. To bridge an outage of ten seconds, six holders together held
+// 24 s of mean use: each held two deviations of its own few requests. A power loss while the store is unreachable loses
+// all of that.
 
 func TestDeviationsOfFleet(t *testing.T) {
 	Convey("All holders together hold the mean use and the deviation of the fleet's use, not the deviations of each holder's use", t, func() {
@@ -38,9 +39,9 @@
 	})
 }
 
-// Guards against holding tokens at the wrong instances. All callers of the largest customer used one instance, with
-// 110,000 tokens per second. It held 5.3 s of that use when it lost contact with the store for seven seconds. Five
-// others held as much again, which nobody requested there.
+// TestShareFollowsCallers guards against holding tokens at the wrong instances. All callers of the largest customer
+// used one instance, with 110,000 tokens per second. It held 5.3 s of that use when it lost contact with the store for
+// seven seconds. Five others held as much again, which nobody requested there.
 
 func TestShareFollowsCallers(t *testing.T) {
 	Convey("A holder that a busy customer's callers use requests what they use there", t, func() {
@@ -73,9 +74,9 @@
 	return h.flow(a, RoleStandalone)
 }
 
-// Guards against a negative rate. A holder without any request divided zero by zero when it stopped, and wrote the
-// result, a rate far below zero, into its row. If the process had then been killed, its settlement would have raised
-// the budget above the prepaid amount.
+// TestStoppingIdleHolder guards against a negative rate. A holder without any request divided zero by zero when it
+// stopped, and wrote the result, a rate far below zero, into its row. If the process had then been killed, its
+// settlement would have raised the budget above the prepaid amount.
 func TestStoppingIdleHolder(t *testing.T) {
 	Convey("A stopping holder without any request demands nothing, and its ceiling is never below what it has spent", t, func() {
 		w := newWorld(DefaultPolicy())
--- a/internal/escrow/sizing.go
+++ b/internal/escrow/sizing.go
@@ -45,7 +45,7 @@
 	weightedSize float64 // tokens; see meter.weightedSize
 }
 
-// amount returns the use within a time. It includes this holder's part of the deviation of the whole fleet's use:
+// amount returns the use within a time. It includes this holder's part of the deviation of the fleet's use:
 // request sizes vary, so the use of a few requests is uneven. Holders lend each other what one of them lacks. A power
 // loss of all holders loses the sum of their grants, which would be much larger if each held the deviation of its own
 // use.
@@ -107,7 +107,7 @@
 // Grant sets a holder's row of an account so that nothing is overspent, and returns it. prepaid < 0 means no limit.
 //
 // A holder gets its demand while maxOutstanding of the unspent rest covers the demand of all, otherwise its
-// proportional part. What it holds beyond that is released. A row never falls below what is already spent.
+// proportional part. Any excess is released. A row never falls below what is already spent.
 func (a *Account) Grant(holder string, n Need, prepaid int64) Row {
 	others := a.sums().minus(a.Rows[holder])
 	row, _ := a.setRow(holder, n, prepaid, others, prepaid-a.Settled-others.granted)
