--- a/internal/escrow/loss_test.go
+++ b/internal/escrow/loss_test.go
@@ -35,18 +35,18 @@
 
 // lossFleet is a small fleet in virtual time. Its holders receive requests of varying sizes and report each second.
 type lossFleet struct {
-	store     *memkv.Store
-	elapsed   time.Duration
-	stores    []*nodeKV
-	boots     []int
-	holders   []*Holder
-	random    *rand.Rand
-	lotRandom *rand.Rand
-	prepaid   int64 // of each customer, in tokens
-	reserve   func(h *Holder, customer string, tokens int64) *Reservation
-	spent     map[string]int64
-	served    int
-	refused   int
+	store           *memkv.Store
+	elapsed         time.Duration
+	stores          []*nodeKV
+	boots           []int
+	holders         []*Holder
+	random          *rand.Rand
+	admissionRandom *rand.Rand
+	prepaid         int64 // of each customer, in tokens
+	reserve         func(h *Holder, customer string, tokens int64) *Reservation
+	spent           map[string]int64
+	served          int
+	refused         int
 }
 
 func newLossFleet(seed uint64) *lossFleet { return newLossFleetOf(seed, lossPrepaid, reserveFromGrant) }
@@ -54,7 +54,7 @@
 func newLossFleetOf(seed uint64, prepaid int64, reserve func(*Holder, string, int64) *Reservation) *lossFleet {
 	f := &lossFleet{
 		store: memkv.New(), stores: make([]*nodeKV, lossHolders), boots: make([]int, lossHolders), holders: make([]*Holder, lossHolders),
-		random: rand.New(rand.NewPCG(seed, 0)), lotRandom: rand.New(rand.NewPCG(seed, 1)), prepaid: prepaid, reserve: reserve, spent: make(map[string]int64),
+		random: rand.New(rand.NewPCG(seed, 0)), admissionRandom: rand.New(rand.NewPCG(seed, 1)), prepaid: prepaid, reserve: reserve, spent: make(map[string]int64),
 	}
 	f.start()
 	return f
@@ -91,7 +91,7 @@
 		f.stores[i] = &nodeKV{KV: f.store}
 		node := fmt.Sprintf("node-%d", i)
 		id := fmt.Sprintf("%s/%d", node, f.boots[i])
-		f.holders[i] = New(f.stores[i], "loss/", 1, node, id, WithNow(now), WithWall(now), WithRandom(f.lotRandom.Float64), WithClock(lossClock{fleet: f, boot: id, since: f.elapsed}))
+		f.holders[i] = New(f.stores[i], "loss/", 1, node, id, WithNow(now), WithWall(now), WithRandom(f.admissionRandom.Float64), WithClock(lossClock{fleet: f, boot: id, since: f.elapsed}))
 		list := make([]Prepaid, lossCustomers)
 		for c := range list {
 			list[c] = Prepaid{Customer: lossCustomer(c), Tokens: f.prepaid}
--- a/internal/escrow/property_test.go
+++ b/internal/escrow/property_test.go
@@ -320,9 +320,9 @@
 	}
 }
 
-// TestNoOverspendAcrossSuspensions extends TestNoOverspend by suspensions of machines, the leader's included: single ones
-// and series, during outages and before power losses. Clocks include suspensions, as MachineClock does, or leave them out, which must not
-// overspend either.
+// TestNoOverspendAcrossSuspensions extends TestNoOverspend by suspensions of machines, the leader's included: single
+// ones and series, during outages and before power losses. Clocks include suspensions, as MachineClock does, or leave
+// them out, which must not overspend either.
 func TestNoOverspendAcrossSuspensions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(DefaultPolicy())
@@ -489,9 +489,9 @@
 	for _, n := range w.nodes {
 		_ = n.epochs.Observe(w.store.Epoch(), 0)
 	}
-	const draws = 8
-	step := restateWait / (draws + propertyNodes + 1)
-	for range draws {
+	const rounds = 8
+	step := restateWait / (rounds + propertyNodes + 1)
+	for range rounds {
 		n := w.nodes[rapid.IntRange(0, propertyNodes-1).Draw(t, "early")]
 		w.elapsed += step
 		w.reserve(n, propertyCustomers[0], rapid.Int64Range(1, 9_000).Draw(t, "most"))
@@ -504,8 +504,8 @@
 	w.lastEnd = w.store.Number()
 }
 
-// TestNoOverspendAcrossRestorations extends TestNoOverspendAcrossSuspensions by restorations of the store, also several in
-// a row, which late writes of earlier epochs can follow.
+// TestNoOverspendAcrossRestorations extends TestNoOverspendAcrossSuspensions by restorations of the store, also several
+// in a row, which late writes of earlier epochs can follow.
 func TestNoOverspendAcrossRestorations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := DefaultPolicy()
--- a/internal/escrow/spread_test.go
+++ b/internal/escrow/spread_test.go
@@ -47,8 +47,8 @@
 	Convey("A request that is rejected at random has not run and gets a time to retry, unless the rest is too small for it anyway", t, func() {
 		const prepaid = 10_000
 		now := time.Unix(1000, 0)
-		lot := 0.9
-		h := New(memkv.New(), "p/", 1, "node", "node/1", WithNow(func() time.Time { return now }), WithWall(func() time.Time { return now }), WithRandom(func() float64 { return lot }))
+		randomValue := 0.9
+		h := New(memkv.New(), "p/", 1, "node", "node/1", WithNow(func() time.Time { return now }), WithWall(func() time.Time { return now }), WithRandom(func() float64 { return randomValue }))
 		h.SetPrepaid([]Prepaid{{Customer: "north", Tokens: prepaid}})
 		h.startRound()
 		h.refresh(context.Background(), h.pages[0])
@@ -63,7 +63,7 @@
 		_, err = h.Reserve(context.Background(), "north", prepaid+1, 0)
 		So(verdict.From(err).Code(), ShouldEqual, verdict.CodeBudgetExhausted)
 
-		lot = 0.4
+		randomValue = 0.4
 		r, err := h.Reserve(context.Background(), "north", 100, 0)
 		So(err, ShouldBeNil)
 		r.Settle(100)
