--- a/internal/escrow/granting_test.go
+++ b/internal/escrow/granting_test.go
@@ -7,12 +7,13 @@
 	"pgregory.net/rapid"
 )
 
-// TestGrantingKeepsSums plays any mixture of grants, reports and folds on one page, and compares what was kept with what the rows say.
-func TestGrantingKeepsSums(t *testing.T) {
+// TestGranterSums applies any sequence of grants, reports and settlements to one page, and compares the cached sums
+// with the rows.
+func TestGranterSums(t *testing.T) {
 	const nodes, runs, prepaid = 4, 3, 1000
 	rapid.Check(t, func(t *rapid.T) {
 		p, _ := DecodePage(nil)
-		g := newGranting(p)
+		g := newGranter(p)
 		for range propertySteps {
 			node := fmt.Sprintf("node-%d", rapid.IntRange(0, nodes-1).Draw(t, "node"))
 			holder := fmt.Sprintf("%s/%d", node, rapid.IntRange(0, runs-1).Draw(t, "run"))
@@ -21,7 +22,7 @@
 			case 0:
 				g.report(holder, Report{Node: node, Count: 1})
 			case 1:
-				g.fold(holder, Report{Node: node})
+				g.settlePredecessors(holder, Report{Node: node})
 			default:
 				before := *p.account(customer)
 				n := Need{Demand: rapid.Int64Range(0, prepaid).Draw(t, "want"), Spent: before.Rows[holder].Spent}
@@ -30,17 +31,17 @@
 					t.Fatalf("the target of %s is %d, not %d", holder, target, exact)
 				}
 			}
-			checkGranting(t, g, nodes, runs, prepaid)
+			checkGranter(t, g, nodes, runs, prepaid)
 		}
 	})
 }
 
-func checkGranting(t *rapid.T, g *granting, nodes, runs int, prepaid int64) {
+func checkGranter(t *rapid.T, g *granter, nodes, runs int, prepaid int64) {
 	for _, customer := range propertyCustomers {
 		a := g.page.account(customer)
-		rest, free := g.rest(customer, prepaid)
+		rest, free := g.unspent(customer, prepaid)
 		if rest != prepaid-a.Spent() || free != prepaid-a.Committed() {
-			t.Fatalf("%s: %d unspent and %d free, by the rows %d and %d", customer, rest, free, prepaid-a.Spent(), prepaid-a.Committed())
+			t.Fatalf("%s: %d unspent and %d ungranted, but %d and %d by the rows", customer, rest, free, prepaid-a.Spent(), prepaid-a.Committed())
 		}
 		if free < 0 {
 			t.Fatalf("%s: %d more than the prepaid amount is granted", customer, -free)
@@ -50,15 +51,15 @@
 		node := fmt.Sprintf("node-%d", n)
 		for r := range runs {
 			holder := fmt.Sprintf("%s/%d", node, r)
-			if got, want := g.unsettled(holder, node), earlierLeft(g.page, holder, node); got != want {
-				t.Fatalf("rows of earlier holders than %s are left: %v, by the page %v", holder, got, want)
+			if got, want := g.unsettled(holder, node), predecessorsLeft(g.page, holder, node); got != want {
+				t.Fatalf("rows of earlier holders than %s are left: %v, but %v by the page", holder, got, want)
 			}
 		}
 	}
 }
 
-// earlierLeft says by the page's reports alone whether earlier holders of a node are left.
-func earlierLeft(p *Page, successor, node string) bool {
+// predecessorsLeft reports whether earlier holders of a node are left, from the page's reports alone.
+func predecessorsLeft(p *Page, successor, node string) bool {
 	for id, r := range p.Holders {
 		if r.Node == node && id != successor {
 			return true
