--- a/internal/pool/born_test.go
+++ b/internal/pool/born_test.go
@@ -9,7 +9,7 @@
 
 // An endpoint came back under its ID and address. Its record was taken for that of the process before: its pause, its share of failures, the
 // requests counted as open there and what others had under way all went on, and an older record that came late put the dead process back.
-func TestStartAgain(t *testing.T) {
+func TestEndpointRestart(t *testing.T) {
 	Convey("An endpoint that has seen requests", t, func() {
 		now := time.Unix(1000, 0)
 		gone := 0
@@ -29,7 +29,7 @@
 			So(lease.ProcessState(), ShouldEqual, ProcessEnded)
 			m := l.byID["e"]
 			So(m.open, ShouldEqual, 0)
-			So(m.others, ShouldResemble, Load{})
+			So(m.peerLoad, ShouldResemble, Load{})
 			again := l.Pick(Query{Service: "s"})
 			So(again, ShouldNotBeNil)
 
--- a/internal/pool/cascade_test.go
+++ b/internal/pool/cascade_test.go
@@ -14,35 +14,35 @@
 
 // cascade is some instances before a few endpoints that turn requests away, and ask for rest, when they are full. It plays in virtual time.
 type cascade struct {
-	clock     *testClock
-	random    *rand.Rand
-	pools     []*Pool
-	running   []int // at each endpoint
-	events    calendar
-	at        time.Duration
-	served    int
-	turned    int           // away by endpoints
-	refused   int           // by instances, with no endpoint that takes work
-	rest      time.Duration // that a full endpoint asks for
-	load      float64       // part of what all endpoints bear
-	forced    int           // the endpoint that rests whatever it runs, until forcedTil
-	forcedTil time.Duration
-	needs     int  // the endpoint that takes a quarter of what it did; -1: none
-	names     bool // endpoints name limits
+	clock           *testClock
+	random          *rand.Rand
+	pools           []*Pool
+	running         []int // at each endpoint
+	events          eventQueue
+	at              time.Duration
+	served          int
+	rejected        int           // away by endpoints
+	refused         int           // by instances, with no endpoint that takes work
+	rest            time.Duration // that a full endpoint asks for
+	load            float64       // part of what all endpoints bear
+	forcedRest      int           // the endpoint that rests whatever it runs, until forcedTil
+	forcedRestUntil time.Duration
+	degraded        int  // the endpoint that takes a quarter of what it did; -1: none
+	announceLimits  bool // endpoints name limits
 }
 
 // What the model's endpoints bear, and how they are loaded.
 const (
 	cascadeInstances = 6
 	cascadeEndpoints = 5
-	cascadeRoom      = 20 // requests that an endpoint runs at once
-	cascadeRuns      = time.Second
-	cascadeAnswers   = 50 * time.Millisecond // from a request to the head of its answer
+	cascadeCapacity  = 20 // requests that an endpoint runs at once
+	cascadeDuration  = time.Second
+	cascadeHeadDelay = 50 * time.Millisecond // from a request to the head of its answer
 	cascadeRest      = 2 * time.Second
 	cascadeLoad      = 0.9
 	cascadeLength    = 30 * time.Second
 	cascadeSubjects  = 40
-	cascadeTell      = 500 * time.Millisecond
+	cascadeExchange  = 500 * time.Millisecond
 )
 
 // event is something that happens at a moment of the model.
@@ -52,15 +52,15 @@
 	do func()
 }
 
-type calendar []event
+type eventQueue []event
 
-func (c calendar) Len() int { return len(c) }
-func (c calendar) Less(i, j int) bool {
+func (c eventQueue) Len() int { return len(c) }
+func (c eventQueue) Less(i, j int) bool {
 	return c[i].at < c[j].at || (c[i].at == c[j].at && c[i].n < c[j].n)
 }
-func (c calendar) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
-func (c *calendar) Push(x any)   { *c = append(*c, x.(event)) }
-func (c *calendar) Pop() any {
+func (c eventQueue) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
+func (c *eventQueue) Push(x any)   { *c = append(*c, x.(event)) }
+func (c *eventQueue) Pop() any {
 	old := *c
 	x := old[len(old)-1]
 	*c = old[:len(old)-1]
@@ -68,11 +68,11 @@
 }
 
 func newCascade(seed uint64, policy Policy) *cascade {
-	c := &cascade{clock: &testClock{at: time.Unix(1000, 0)}, random: rand.New(rand.NewPCG(seed, seed)), running: make([]int, cascadeEndpoints), forced: -1, rest: cascadeRest, load: cascadeLoad, needs: -1}
+	c := &cascade{clock: &testClock{at: time.Unix(1000, 0)}, random: rand.New(rand.NewPCG(seed, seed)), running: make([]int, cascadeEndpoints), forcedRest: -1, rest: cascadeRest, load: cascadeLoad, degraded: -1}
 	for range cascadeInstances {
 		p := New("a", WithNow(c.clock.now), WithPolicy(policy), WithRandom(c.random.IntN))
 		for i := range cascadeEndpoints {
-			p.Put(Endpoint{ID: fmt.Sprintf("e-%d", i), Service: "models", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: "a", Slots: 4 * cascadeRoom})
+			p.Put(Endpoint{ID: fmt.Sprintf("e-%d", i), Service: "models", Addr: fmt.Sprintf("10.0.0.%d:80", i), Zone: "a", Slots: 4 * cascadeCapacity})
 		}
 		c.pools = append(c.pools, p)
 	}
@@ -83,12 +83,12 @@
 	heap.Push(&c.events, event{at: c.at + d, n: len(c.events), do: do})
 }
 
-// play lets requests come at random until the time is up. One endpoint asks for rest after a second.
-func (c *cascade) play() {
-	perSecond := c.load * cascadeEndpoints * cascadeRoom / cascadeRuns.Seconds()
+// run lets requests come at random until the time is up. One endpoint asks for rest after a second.
+func (c *cascade) run() {
+	perSecond := c.load * cascadeEndpoints * cascadeCapacity / cascadeDuration.Seconds()
 	var arrive func()
 	arrive = func() {
-		c.ask(c.pools[c.random.IntN(len(c.pools))])
+		c.send(c.pools[c.random.IntN(len(c.pools))])
 		c.after(time.Duration(c.random.ExpFloat64()/perSecond*float64(time.Second)), arrive)
 	}
 	var tell func()
@@ -102,11 +102,11 @@
 			}
 			p.SetPeerLoads(others)
 		}
-		c.after(cascadeTell, tell)
+		c.after(cascadeExchange, tell)
 	}
 	c.after(0, arrive)
 	c.after(0, tell)
-	c.after(2*time.Second, func() { c.forced, c.forcedTil = 0, c.at+100*time.Millisecond })
+	c.after(2*time.Second, func() { c.forcedRest, c.forcedRestUntil = 0, c.at+100*time.Millisecond })
 	for len(c.events) > 0 && c.events[0].at < cascadeLength {
 		e := heap.Pop(&c.events).(event)
 		c.clock.pass(e.at - c.at)
@@ -115,8 +115,8 @@
 	}
 }
 
-// ask sends one request through an instance, and to a second endpoint if the first turns it away.
-func (c *cascade) ask(p *Pool) {
+// send sends one request through an instance, and to a second endpoint if the first turns it away.
+func (c *cascade) send(p *Pool) {
 	q := Query{Service: "models", Affinity: fmt.Sprint(c.random.IntN(cascadeSubjects)), Tried: make(map[string]bool)}
 	for range 2 {
 		lease := p.Pick(q)
@@ -127,18 +127,18 @@
 		q.Tried[lease.Endpoint().ID] = true
 		var i int
 		_, _ = fmt.Sscanf(lease.Endpoint().ID, "e-%d", &i)
-		if c.running[i] >= c.room(i) || (c.forced == i && c.at < c.forcedTil) {
-			c.turned++
-			lease.ObserveNotice(Notice{Rest: c.rest, Limit: c.limit(i)}, Answer{})
+		if c.running[i] >= c.capacity(i) || (c.forcedRest == i && c.at < c.forcedRestUntil) {
+			c.rejected++
+			lease.ObserveNotice(Notice{Rest: c.rest, Limit: c.announcedLimit(i)}, Answer{})
 			lease.Done(EndBusy)
 			continue
 		}
 		c.running[i]++
-		c.after(cascadeAnswers, func() {
+		c.after(cascadeHeadDelay, func() {
 			lease.Accepted()
-			lease.ObserveNotice(Notice{Limit: c.limit(i)}, Answer{})
+			lease.ObserveNotice(Notice{Limit: c.announcedLimit(i)}, Answer{})
 		})
-		c.after(cascadeRuns, func() {
+		c.after(cascadeDuration, func() {
 			c.running[i]--
 			c.served++
 			lease.Done(EndGood)
@@ -148,20 +148,20 @@
 	c.refused++
 }
 
-// room is how many requests an endpoint runs at once: the one in need a quarter of what it did.
-func (c *cascade) room(i int) int {
-	if i == c.needs && c.at > 2*time.Second {
-		return cascadeRoom / 4
+// capacity is how many requests an endpoint runs at once: the one in need a quarter of what it did.
+func (c *cascade) capacity(i int) int {
+	if i == c.degraded && c.at > 2*time.Second {
+		return cascadeCapacity / 4
 	}
-	return cascadeRoom
+	return cascadeCapacity
 }
 
-// limit is what an endpoint names that is in need, or nearly full: what it bears.
-func (c *cascade) limit(i int) limit.Rate {
-	if !c.names || (i != c.needs && c.running[i] < c.room(i)-2) || c.at < 2*time.Second {
+// announcedLimit is what an endpoint names that is in need, or nearly full: what it bears.
+func (c *cascade) announcedLimit(i int) limit.Rate {
+	if !c.announceLimits || (i != c.degraded && c.running[i] < c.capacity(i)-2) || c.at < 2*time.Second {
 		return limit.Rate{}
 	}
-	return limit.PerSecond(float64(c.room(i)) / cascadeRuns.Seconds())
+	return limit.PerSecond(float64(c.capacity(i)) / cascadeDuration.Seconds())
 }
 
 // An endpoint that takes a quarter of what it did leaves the rest to four others, which have 80 in 100 of what they bear already, and name limits in
@@ -172,12 +172,12 @@
 		play := func(names bool) (served, turned, refused int) {
 			for seed := range uint64(seeds) {
 				c := newCascade(seed+1, DefaultPolicy())
-				c.names, c.needs, c.rest, c.load = names, 0, 0, 0.8
+				c.announceLimits, c.degraded, c.rest, c.load = names, 0, 0, 0.8
 				for _, p := range c.pools {
 					p.owners = fleetOf(cascadeInstances)
 				}
-				c.play()
-				served, turned, refused = served+c.served, turned+c.turned, refused+c.refused
+				c.run()
+				served, turned, refused = served+c.served, turned+c.rejected, refused+c.refused
 			}
 			return served, turned, refused
 		}
@@ -199,8 +199,8 @@
 				policy := DefaultPolicy()
 				edit(&policy)
 				c := newCascade(seed+1, policy)
-				c.play()
-				served, turned, refused = served+c.served, turned+c.turned, refused+c.refused
+				c.run()
+				served, turned, refused = served+c.served, turned+c.rejected, refused+c.refused
 			}
 			return served, turned, refused
 		}
--- a/internal/pool/chooser.go
+++ b/internal/pool/chooser.go
@@ -158,21 +158,21 @@
 // DefaultChooser is the one in use; docs/design/balancing.md has the measurements.
 func DefaultChooser() Chooser[Candidate] { return PrefixAffinity{Bound: 1.05, Sample: 6} }
 
-// chosen lets the pool's Chooser pick among the sound endpoints. The caller holds mu.
-func (l *Pool) chosen(members []*member, q Query) *member {
-	l.candidates, l.chosenFrom = l.candidates[:0], l.chosenFrom[:0]
+// pickByChooser lets the pool's Chooser pick among the sound endpoints. The caller holds mu.
+func (l *Pool) pickByChooser(members []*member, q Query) *member {
+	l.candidates, l.candidateMembers = l.candidates[:0], l.candidateMembers[:0]
 	for _, m := range members {
-		if !m.good {
+		if !m.healthy {
 			continue
 		}
-		l.chosenFrom = append(l.chosenFrom, m)
+		l.candidateMembers = append(l.candidateMembers, m)
 		l.candidates = append(l.candidates, Candidate{
-			ID: m.ID, Own: m.open, Zone: l.elsewhere(m.ID), Limit: m.Slots,
-			FirstToken: m.pace.first, PerToken: m.pace.token, Cached: l.prompts.Share(m.ID, q.Blocks),
+			ID: m.ID, Own: m.open, Zone: l.zoneLoad(m.ID), Limit: m.Slots,
+			FirstToken: m.pace.first, PerToken: m.pace.token, Cached: l.prefixes.Share(m.ID, q.Blocks),
 		})
 	}
-	m := l.chosenFrom[l.chooser.Pick(l.candidates, l.choice)]
-	l.prompts.Add(m.ID, q.Blocks)
+	m := l.candidateMembers[l.chooser.Pick(l.candidates, l.chooserRand)]
+	l.prefixes.Add(m.ID, q.Blocks)
 	return m
 }
 
@@ -180,19 +180,19 @@
 func (l *Pool) BlockCached(endpoint string, block uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.prompts.Add(endpoint, []uint64{block})
+	l.prefixes.Add(endpoint, []uint64{block})
 }
 
 // BlockEvicted notes that an endpoint does not keep a block of prompts any more.
 func (l *Pool) BlockEvicted(endpoint string, block uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.prompts.Remove(endpoint, block)
+	l.prefixes.Remove(endpoint, block)
 }
 
 // ForgetPrompts drops all that is known of what an endpoint keeps.
 func (l *Pool) ForgetPrompts(endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.prompts.Forget(endpoint)
+	l.prefixes.Forget(endpoint)
 }
--- a/internal/pool/connections.go
+++ b/internal/pool/connections.go
@@ -7,17 +7,17 @@
 // together have opened less than half of what the endpoint takes, as far as others tell: requests of one subject belong together, and a few endpoints
 // before hundreds of instances would else be closed to most of them.
 type connections struct {
-	most    int // that are opened to an endpoint by all instances
-	part    int // of this instance; 0: there are more instances than that
+	limit   int // that are opened to an endpoint by all instances
+	share   int // of this instance; 0: there are more instances than that
 	place   uint64
 	size    uint64
 	checked time.Time
 }
 
 const (
-	// usedConnections is the part of the connections that is planned for: instances that have just started, or look whether an endpoint has ended,
+	// plannedConnections is the part of the connections that is planned for: instances that have just started, or look whether an endpoint has ended,
 	// open some beside.
-	usedConnections = 0.9
+	plannedConnections = 0.9
 	// freeConnections is the part of those below which anybody may open one: what others have is told half a second late.
 	freeConnections = 0.5
 )
@@ -29,33 +29,33 @@
 	l.connections = make(map[string]*connections, len(byService))
 	for service, most := range byService {
 		if most > 0 {
-			l.connections[service] = &connections{most: max(1, int(usedConnections*float64(most)))}
+			l.connections[service] = &connections{limit: max(1, int(plannedConnections*float64(most)))}
 		}
 	}
 }
 
-// connected is what this instance may open to endpoints of a service; nil: any number. The caller holds mu.
-func (l *Pool) connected(service string, now time.Time) *connections {
+// connectionsOf is what this instance may open to endpoints of a service; nil: any number. The caller holds mu.
+func (l *Pool) connectionsOf(service string, now time.Time) *connections {
 	c := l.connections[service]
-	if c == nil || (!c.checked.IsZero() && now.Sub(c.checked) < ownersFor) {
+	if c == nil || (!c.checked.IsZero() && now.Sub(c.checked) < ownersTTL) {
 		return c
 	}
 	place, size := l.owners.Place()
 	c.place, c.size = uint64(max(0, place)), uint64(max(1, size)) //nolint:gosec // neither is below 0
-	c.part = c.most / max(1, size)
+	c.share = c.limit / max(1, size)
 	c.checked = now
 	return c
 }
 
-// connects reports whether one more connection may be opened to an endpoint. The caller holds mu.
-func (l *Pool) connects(m *member, c *connections, now time.Time) bool {
+// mayConnect reports whether one more connection may be opened to an endpoint. The caller holds mu.
+func (l *Pool) mayConnect(m *member, c *connections, now time.Time) bool {
 	switch {
-	case c == nil, m.open < c.part:
+	case c == nil, m.open < c.share:
 		return true
-	case l.othersKnown(now) && float64(m.open+m.others.Open) < freeConnections*float64(c.most):
+	case l.peerLoadsFresh(now) && float64(m.open+m.peerLoad.Open) < freeConnections*float64(c.limit):
 		return true
-	case c.part > 0 || m.open > 0:
+	case c.share > 0 || m.open > 0:
 		return false
 	}
-	return (c.place+m.hash)%c.size < uint64(c.most) //nolint:gosec // it is above 0
+	return (c.place+m.hash)%c.size < uint64(c.limit) //nolint:gosec // it is above 0
 }
--- a/internal/pool/connections_test.go
+++ b/internal/pool/connections_test.go
@@ -9,13 +9,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// oneOf is the place of an instance in a fleet that all know; the order for a key is that of places, turned by the key.
-type oneOf struct{ place, size int }
+// fleetMember is the place of an instance in a fleet that all know; the order for a key is that of places, turned by the key.
+type fleetMember struct{ place, size int }
 
-func (oneOf) Known() bool         { return true }
-func (o oneOf) Place() (int, int) { return o.place, o.size }
-func (o oneOf) Size() int         { return o.size }
-func (o oneOf) Owns(key string, first int) bool {
+func (fleetMember) Known() bool         { return true }
+func (o fleetMember) Place() (int, int) { return o.place, o.size }
+func (o fleetMember) Size() int         { return o.size }
+func (o fleetMember) Owns(key string, first int) bool {
 	return (o.place+int(key[len(key)-1]))%o.size < first
 }
 
@@ -28,7 +28,7 @@
 			clock := &testClock{at: time.Unix(1000, 0)}
 			opened := make(map[string]int)
 			for i := range instances {
-				p := New("a", WithNow(clock.now), WithOwners(oneOf{place: i, size: instances}))
+				p := New("a", WithNow(clock.now), WithOwners(fleetMember{place: i, size: instances}))
 				p.SetConnections(map[string]int{"s": most})
 				for _, id := range []string{"e-1", "e-2"} {
 					p.Put(Endpoint{ID: id, Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 8})
@@ -46,7 +46,7 @@
 	}
 	Convey("An instance that has no part opens a connection all the same while all together have few there, as far as others tell", t, func() {
 		clock := &testClock{at: time.Unix(1000, 0)}
-		p := New("a", WithNow(clock.now), WithOwners(oneOf{place: 299, size: 300}))
+		p := New("a", WithNow(clock.now), WithOwners(fleetMember{place: 299, size: 300}))
 		p.SetConnections(map[string]int{"s": most})
 		e := Endpoint{ID: "e-1", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 8}
 		for p.Put(e); p.Pick(Query{Service: "s"}) != nil; p.Put(e) {
@@ -64,7 +64,7 @@
 		So(p.Availability(Query{Service: "s"}).Open, ShouldBeFalse)
 	})
 	Convey("A service that names no number bounds none", t, func() {
-		p := New("a", WithOwners(oneOf{size: 300}))
+		p := New("a", WithOwners(fleetMember{size: 300}))
 		p.SetConnections(map[string]int{"s": 0})
 		p.Put(Endpoint{ID: "e-1", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 8})
 		for range 8 {
--- a/internal/pool/draw.go
+++ b/internal/pool/draw.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// farShare is by how much more than one of another availability zone an endpoint of the own zone may get: a path between zones may be cut, and
+// crossZoneSurcharge is by how much more than one of another availability zone an endpoint of the own zone may get: a path between zones may be cut, and
 // costs a little.
-const farShare = 0.1
+const crossZoneSurcharge = 0.1
 
-// clearly is by how much busier one of two endpoints must be for the other to be taken for that: below it the difference is chance, and to go
+// busierFactor is by how much busier one of two endpoints must be for the other to be taken for that: below it the difference is chance, and to go
 // by it would send half of all requests to one endpoint until its load is told again.
-const clearly = 1.2
+const busierFactor = 1.2
 
-// drawn picks one of two sound endpoints drawn at random, the other one if it is clearly less busy, for requests that nothing keeps anywhere.
+// pickOfTwo picks one of two sound endpoints pickOfTwo at random, the other one if it is clearly less busy, for requests that nothing keeps anywhere.
 //
 // The load that it answers: a large fleet before a few small endpoints, as of plain services. Each instance has next to nothing under way there
 // itself, so that by its own count all are equal, and any fixed order sends the requests of all instances to the same endpoint. What others have
 // there is told half a second late, when work of some 60 ms has long changed: by the requests that are open all instances would run to one
 // endpoint after the other. So it goes by how many have ended in the last seconds.
 // Replayed by TestDrawn.
-func (l *Pool) drawn(members []*member, now time.Time) *member {
+func (l *Pool) pickOfTwo(members []*member, now time.Time) *member {
 	var a, b *member
 	n := 0
 	for _, m := range members {
-		if !m.good {
+		if !m.healthy {
 			continue
 		}
 		n++ // each pair of those seen so far is as likely as any other
@@ -44,9 +44,9 @@
 	}
 	x, y := l.busyness(a, now), l.busyness(b, now)
 	switch {
-	case x > clearly*y:
+	case x > busierFactor*y:
 		return b
-	case y > clearly*x:
+	case y > busierFactor*x:
 		return a
 	}
 	return [...]*member{a, b}[l.random(2)]
@@ -56,7 +56,7 @@
 func (l *Pool) busyness(m *member, now time.Time) float64 {
 	load := l.total(m, now).Ended / m.slots()
 	if m.Zone != l.zone {
-		load *= 1 + farShare
+		load *= 1 + crossZoneSurcharge
 	}
 	return load
 }
--- a/internal/pool/draw_test.go
+++ b/internal/pool/draw_test.go
@@ -9,9 +9,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// plainService plays 87 instances in three zones before four endpoints of a plain service, two of them in one zone, at 176 requests a second of
+// simulatePlainService plays 87 instances in three zones before four endpoints of a plain service, two of them in one zone, at 176 requests a second of
 // 60 ms. It returns how much more than the mean the busiest endpoint gets, and the part of requests that find all slots taken.
-func plainService(pick func(p *Pool) *Lease) (imbalance, full float64) {
+func simulatePlainService(pick func(p *Pool) *Lease) (imbalance, full float64) {
 	const (
 		instances, requests, slots = 87, 176, 6
 		work, lasts                = 60 * time.Millisecond, 20 * time.Second
@@ -39,7 +39,7 @@
 		clock.pass(time.Duration(random.ExpFloat64() * float64(time.Second) / requests))
 		if clock.at.Sub(told) >= tellEvery {
 			told = clock.at
-			tellAll(pools)
+			exchangeLoads(pools)
 		}
 		for len(running) > 0 && clock.at.After(running[0].until) {
 			busy[running[0].lease.Endpoint().ID]--
@@ -63,8 +63,8 @@
 	return float64(most) * float64(len(sent)) / float64(asked), float64(waited) / float64(asked)
 }
 
-// tellAll lets each instance know what all others have under way.
-func tellAll(pools []*Pool) {
+// exchangeLoads lets each instance know what all others have under way.
+func exchangeLoads(pools []*Pool) {
 	own := make([]Loads, len(pools))
 	for i, p := range pools {
 		own[i] = p.Loads()
@@ -80,18 +80,18 @@
 	}
 }
 
-func TestDrawn(t *testing.T) {
+func TestPickOfTwo(t *testing.T) {
 	Convey("Many instances before a few endpoints of a plain service spread their requests", t, func() {
-		standing, full := plainService(func(p *Pool) *Lease {
+		standing, full := simulatePlainService(func(p *Pool) *Lease {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			members := p.services["app"]
-			m := p.leastLoaded(members, Query{Service: "app"}, func(*member) bool { return true })
+			m := p.pickLeastLoaded(members, Query{Service: "app"}, func(*member) bool { return true })
 			m.open++
-			return &Lease{pool: p, member: m, at: m.Endpoint}
+			return &Lease{pool: p, member: m, endpoint: m.Endpoint}
 		})
 		So(standing, ShouldBeGreaterThan, 1.25)
-		drawn, fullDrawn := plainService(func(p *Pool) *Lease { return p.Pick(Query{Service: "app"}) })
+		drawn, fullDrawn := simulatePlainService(func(p *Pool) *Lease { return p.Pick(Query{Service: "app"}) })
 		So(drawn, ShouldBeLessThan, 1.15)
 		So(fullDrawn, ShouldBeLessThan, full*6/10)
 	})
--- a/internal/pool/health.go
+++ b/internal/pool/health.go
@@ -10,26 +10,26 @@
 	errorDecay  = 4 * time.Second // the time constant with which that share is forgotten
 )
 
-// failing is the share of failures among an endpoint's last answers, older ones counting less.
-func (m *member) failing(now time.Time) float64 {
-	if m.errors == 0 {
+// errorShareNow is the share of failures among an endpoint's last answers, older ones counting less.
+func (m *member) errorShareNow(now time.Time) float64 {
+	if m.errorShare == 0 {
 		return 0
 	}
-	return m.errors * math.Exp(-now.Sub(m.errorsAt).Seconds()/errorDecay.Seconds())
+	return m.errorShare * math.Exp(-now.Sub(m.errorShareAt).Seconds()/errorDecay.Seconds())
 }
 
-// learn takes one more answer into the share: 1 for a failure, 0 for none.
-func (m *member) learn(now time.Time, failure float64) {
-	m.errors = m.failing(now)*(1-errorWeight) + failure*errorWeight
-	m.errorsAt = now
+// recordResult takes one more answer into the share: 1 for a failure, 0 for none.
+func (m *member) recordResult(now time.Time, failure float64) {
+	m.errorShare = m.errorShareNow(now)*(1-errorWeight) + failure*errorWeight
+	m.errorShareAt = now
 }
 
-// sound reports whether nothing speaks against an endpoint.
-func (l *Pool) sound(m *member, now time.Time) bool {
+// healthy reports whether nothing speaks against an endpoint.
+func (l *Pool) healthy(m *member, now time.Time) bool {
 	switch {
-	case l.cutOff(m, now), before(now, m.pausedTil), before(now, m.busyTil):
+	case l.zoneSuspect(m, now), before(now, m.pausedUntil), before(now, m.busyUntil):
 		return false
-	case m.failing(now) > l.policy.ErrorShare, l.failsForAll(m, now):
+	case m.errorShareNow(now) > l.policy.ErrorShare, l.failsForAll(m, now):
 		return false
 	}
 	return !l.silent(m, now)
@@ -43,18 +43,18 @@
 	if m.open == 0 {
 		return false
 	}
-	since := m.asked
+	since := m.awaitingSince
 	if m.receivedAt.After(since) {
 		since = m.receivedAt
 	}
-	return now.Sub(since) > max(l.policy.MinResponseTimeout, m.patience)
+	return now.Sub(since) > max(l.policy.MinResponseTimeout, m.responseTimeout)
 }
 
 // Received notes that the endpoint has sent something.
 func (s *Lease) Received() {
 	s.pool.mu.Lock()
 	s.member.receivedAt = s.pool.now()
-	s.pool.reached(s.member)
+	s.pool.markReached(s.member)
 	s.pool.mu.Unlock()
 }
 
@@ -106,12 +106,12 @@
 
 // Accepted notes that the endpoint runs the request.
 func (s *Lease) Accepted() {
-	if s.back == nil {
+	if s.window == nil {
 		return
 	}
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	s.back.answered()
+	s.window.grow()
 }
 
 // Done ends the use and learns from how it ended.
@@ -126,34 +126,34 @@
 	s.ended = true
 	m := s.member
 	if m.open--; m.open == 0 {
-		delete(l.leftovers, m)
+		delete(l.removedInUse, m)
 	}
 	switch end {
 	case EndGood:
-		m.learn(now, 0)
+		m.recordResult(now, 0)
 		m.pause, m.failures = 0, 0
 		m.ended.add(now, 1)
 	case EndFailed:
-		m.learn(now, 1)
+		m.recordResult(now, 1)
 		m.ended.add(now, 1)
 		m.failed.add(now, 1)
 	case EndBroken:
-		l.fails(m, now)
+		l.recordFailure(m, now)
 		m.ended.add(now, 1)
 		m.failed.add(now, 1)
 	case EndUnreachable:
-		s.unsent()
-		l.miss(m, now)
-		l.fails(m, now)
+		s.returnPermit()
+		l.markUnreachable(m, now)
+		l.recordFailure(m, now)
 	case EndBusy:
-		m.busyTil = now.Add(busyPause)
-		if l.policy.BusyDecrease > 0 && m.abstains(now) == NotExcluded {
-			m.comeback = m.comeback.after(now, m.open, l.policy.BusyDecrease)
+		m.busyUntil = now.Add(busyPause)
+		if l.policy.BusyDecrease > 0 && m.noticeExclusion(now) == NotExcluded {
+			m.window = m.window.shrunk(now, m.open, l.policy.BusyDecrease)
 		}
 	case EndMoved:
 		l.observe(m, Notice{Moved: true}, Answer{})
 	case EndUnsent:
-		s.unsent()
+		s.returnPermit()
 	case EndNeutral:
 	}
 }
@@ -161,8 +161,8 @@
 // busyPause is how long an endpoint that is full gets no work.
 const busyPause = 100 * time.Millisecond
 
-// fails notes a failure, which pauses an endpoint if there were enough in a row.
-func (l *Pool) fails(m *member, now time.Time) {
+// recordFailure notes a failure, which pauses an endpoint if there were enough in a row.
+func (l *Pool) recordFailure(m *member, now time.Time) {
 	if m.failures++; m.failures >= l.policy.PauseAfter {
 		l.pauseMember(m, now)
 	}
@@ -178,9 +178,9 @@
 	} else {
 		m.pause = min(2*m.pause, l.policy.MaxPause)
 	}
-	m.pausedTil = now.Add(m.pause)
+	m.pausedUntil = now.Add(m.pause)
 	if l.policy.ProbeAfterPause {
-		m.comeback = firstAgain()
+		m.window = probeWindow()
 	}
 }
 
--- a/internal/pool/limits.go
+++ b/internal/pool/limits.go
@@ -8,7 +8,7 @@
 
 // limits is the limit of one run of an endpoint's process, and what this instance may send under it.
 type limits struct {
-	own    limit.Known // as this instance has heard it itself
+	direct limit.Known // as this instance has heard it itself
 	known  limit.Known // as all instances have heard it, as far as this one was told
 	bucket limit.Bucket
 	active bool // it holds, as of the last look
@@ -35,25 +35,25 @@
 	if !r.Named() && (m.announced == nil || !m.announced.limits.active) {
 		return
 	}
-	x := l.saidBy(m.Endpoint)
+	x := l.announcedBy(m.Endpoint)
 	if x == nil {
 		return
 	}
 	now := l.now()
 	before := x.limits.known.Rate(now)
-	x.wall = l.wall().UnixMilli()
-	x.limits.own.Observe(r, s.picked, now)
+	x.receivedUnixMilli = l.wall().UnixMilli()
+	x.limits.direct.Observe(r, s.picked, now)
 	x.limits.known.Observe(r, s.picked, now)
-	l.turned(m, x, before, NoticeTaken{Endpoint: m.Endpoint, Answer: a, Age: now.Sub(m.recordAt)})
+	l.limitChanged(m, x, before, NoticeTaken{Endpoint: m.Endpoint, Answer: a, Age: now.Sub(m.recordAt)})
 }
 
-// turned reports that a limit holds, has changed or does not hold any more. The caller holds mu.
-func (l *Pool) turned(m *member, x *announced, before limit.Rate, h NoticeTaken) {
+// limitChanged reports that a limit holds, has changed or does not hold any more. The caller holds mu.
+func (l *Pool) limitChanged(m *member, x *announced, before limit.Rate, h NoticeTaken) {
 	now := l.now()
 	r := x.limits.known.Rate(now)
 	if x.limits.active = r.Named(); x.limits.active && !before.Named() {
 		l.limited++
-		l.lend(m, r, now)
+		l.renewEvenShare(m, r, now)
 	}
 	switch {
 	case r == before:
@@ -75,21 +75,21 @@
 	return r
 }
 
-// lend brings what this instance may send up to date where nobody grants it. The caller holds mu.
-func (l *Pool) lend(m *member, r limit.Rate, now time.Time) {
+// renewEvenShare brings what this instance may send up to date where nobody grants it. The caller holds mu.
+func (l *Pool) renewEvenShare(m *member, r limit.Rate, now time.Time) {
 	if l.leased {
 		return
 	}
-	m.announced.limits.bucket.Set(limit.NewLease(r, l.evenPart(r), now.Add(leaseAlone)), r, now)
+	m.announced.limits.bucket.Set(limit.NewLease(r, l.evenShare(r), now.Add(evenShareTTL)), r, now)
 }
 
-// evenPart is this instance's even part of a limit, in requests a second. The caller holds mu.
-func (l *Pool) evenPart(r limit.Rate) float64 {
-	return r.Bound() / float64(max(1, l.share(), l.owners.Size()))
+// evenShare is this instance's even part of a limit, in requests a second. The caller holds mu.
+func (l *Pool) evenShare(r limit.Rate) float64 {
+	return r.Bound() / float64(max(1, l.zoneInstances(), l.owners.Size()))
 }
 
-// leaseAlone is how long an even part counts that is renewed whenever it is asked for.
-const leaseAlone = time.Minute
+// evenShareTTL is how long an even part counts that is renewed whenever it is asked for.
+const evenShareTTL = time.Minute
 
 // allows reports whether an endpoint takes a request of this instance under the limit that it names. The caller holds mu.
 func (l *Pool) allows(m *member, now time.Time) bool {
@@ -97,15 +97,15 @@
 	if !r.Named() {
 		return true
 	}
-	l.lend(m, r, now)
+	l.renewEvenShare(m, r, now)
 	return m.announced.limits.bucket.Has(r, now)
 }
 
-// permits is the number of requests a second that callers here may hope for at an endpoint under a limit: what this instance is lent, or its even
+// expectedRate is the number of requests a second that callers here may hope for at an endpoint under a limit: what this instance is lent, or its even
 // part, since what it is lent follows its callers. The caller holds mu.
-func (l *Pool) permits(m *member, now time.Time) float64 {
+func (l *Pool) expectedRate(m *member, now time.Time) float64 {
 	r := m.limit(now)
-	return max(m.announced.limits.bucket.Rate(r, now), l.evenPart(r))
+	return max(m.announced.limits.bucket.Rate(r, now), l.evenShare(r))
 }
 
 // takePermit counts a request under the limit of its endpoint; nil if it names none. The caller holds mu.
@@ -130,14 +130,14 @@
 	return true
 }
 
-// drawing finds an endpoint that is to get any request of the service, for it takes one that no session of its own asks for. The caller holds mu.
-func (l *Pool) drawing(members []*member, now time.Time) *member {
+// underusedLimited finds an endpoint that is to get any request of the service, for it takes one that no session of its own asks for. The caller holds mu.
+func (l *Pool) underusedLimited(members []*member, now time.Time) *member {
 	if l.limited == 0 {
 		return nil
 	}
 	even := 1 / float64(max(1, len(members)))
 	for _, m := range members {
-		if !m.good || m.announced == nil {
+		if !m.healthy || m.announced == nil {
 			continue
 		}
 		if r := m.limit(now); r.Named() && m.announced.limits.bucket.Draws(r, even, now) {
@@ -147,8 +147,8 @@
 	return nil
 }
 
-// unsent gives back what was counted for a request that did not leave.
-func (s *Lease) unsent() {
+// returnPermit gives back what was counted for a request that did not leave.
+func (s *Lease) returnPermit() {
 	if s.permit != nil {
 		s.permit.Give()
 		s.permit = nil
@@ -172,13 +172,13 @@
 	defer l.mu.RUnlock()
 	var out Limits
 	for _, x := range l.announced {
-		if x.limits.own == (limit.Known{}) || x.limits.own.Over(now) {
+		if x.limits.direct == (limit.Known{}) || x.limits.direct.Over(now) {
 			continue
 		}
 		if out == nil {
 			out = make(Limits)
 		}
-		out[runKey(x.run)] = x.limits.own
+		out[runKey(x.run)] = x.limits.direct
 	}
 	return out
 }
@@ -188,7 +188,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.peersLimits = told
-	l.eachReported(len(told), l.applyPeersLimit)
+	l.applyFromPeers(len(told), l.applyPeersLimit)
 }
 
 // applyPeersLimit takes what other instances have observed of an endpoint's limit. The caller holds mu.
@@ -197,14 +197,14 @@
 	if !ok {
 		return
 	}
-	x := l.saidBy(m.Endpoint)
+	x := l.announcedBy(m.Endpoint)
 	if x == nil {
 		return
 	}
 	before := x.limits.known.Rate(l.now())
-	x.wall = max(x.wall, l.wall().Add(-l.now().Sub(told.Named())).UnixMilli())
+	x.receivedUnixMilli = max(x.receivedUnixMilli, l.wall().Add(-l.now().Sub(told.Named())).UnixMilli())
 	x.limits.known.Merge(told)
-	l.turned(m, x, before, NoticeTaken{Endpoint: m.Endpoint, FromPeer: true, Age: l.now().Sub(m.recordAt)})
+	l.limitChanged(m, x, before, NoticeTaken{Endpoint: m.Endpoint, FromPeer: true, Age: l.now().Sub(m.recordAt)})
 }
 
 // Limited is an endpoint under a limit, as an exchange between instances sees it.
@@ -230,7 +230,7 @@
 		}
 		l.limited++
 		f := l.demand[m.Service]
-		out[m.key()] = Limited{Rate: r, Demand: f.now(now)}
+		out[m.key()] = Limited{Rate: r, Demand: f.rate(now)}
 	}
 	return out
 }
--- a/internal/pool/limits_test.go
+++ b/internal/pool/limits_test.go
@@ -17,8 +17,8 @@
 func (fleetOf) Owns(string, int) bool { return true }
 func (n fleetOf) Place() (int, int)   { return 0, int(n) }
 
-// taken counts the requests that the endpoint gets in some time.
-func (w *words) taken(d time.Duration) int {
+// countTaken counts the requests that the endpoint gets in some time.
+func (w *noticePool) countTaken(d time.Duration) int {
 	const step = 10 * time.Millisecond
 	n := 0
 	for range d / step {
@@ -30,10 +30,10 @@
 	return n
 }
 
-func TestLimitWord(t *testing.T) {
+func TestLimitNotice(t *testing.T) {
 	two := Notice{Limit: limit.PerSecond(2)}
 	Convey("An endpoint that names a limit in an answer", t, func() {
-		w := newWords()
+		w := newNoticePool()
 		lease := w.lease()
 		w.clock.pass(time.Second)
 		lease.ObserveNotice(two, Answer{Request: "r", Status: 200})
@@ -41,21 +41,21 @@
 
 		Convey("gets that from an instance that is by itself, though it is the only endpoint, and is told of once", func() {
 			So(w.takes(), ShouldBeFalse)
-			So(w.taken(10*time.Second), ShouldBeBetween, 17, 21)
-			So(len(w.heard), ShouldEqual, 1)
-			So(w.heard[0].Notice, ShouldResemble, two)
+			So(w.countTaken(10*time.Second), ShouldBeBetween, 17, 21)
+			So(len(w.notices), ShouldEqual, 1)
+			So(w.notices[0].Notice, ShouldResemble, two)
 			So(w.Len(), ShouldEqual, 1)
 		})
 		Convey("gets an even part from one of four", func() {
 			w.owners = fleetOf(4)
-			So(w.taken(40*time.Second), ShouldBeBetween, 16, 21)
+			So(w.countTaken(40*time.Second), ShouldBeBetween, 16, 21)
 		})
 		Convey("gets what is lent of it, where it is lent", func() {
 			w.leased, w.byID["e"].announced.limits.bucket = true, limit.Bucket{}
-			So(w.taken(10*time.Second), ShouldEqual, 0)
+			So(w.countTaken(10*time.Second), ShouldEqual, 0)
 			key := runKey(w.record(0, false))
 			w.SetLeases(map[uint32]limit.Lease{key: limit.NewLease(two.Limit, 1, w.clock.now().Add(5*time.Second))})
-			So(w.taken(10*time.Second), ShouldBeBetween, 3, 5)
+			So(w.countTaken(10*time.Second), ShouldBeBetween, 3, 5)
 		})
 		Convey("tells why it gets nothing, and what callers may hope for", func() {
 			So(w.Statuses()[0].Exclusion, ShouldEqual, ExcludedLimited)
@@ -68,7 +68,7 @@
 				lease := w.lease()
 				So(w.takes(), ShouldBeFalse)
 				lease.Done(end)
-				w.byID["e"].pausedTil = time.Time{}
+				w.byID["e"].pausedUntil = time.Time{}
 				So(w.takes(), ShouldBeTrue)
 				w.clock.pass(time.Second)
 			}
@@ -78,8 +78,8 @@
 			turned := w.lease()
 			turned.ObserveNotice(Notice{Rest: 3 * time.Second, Limit: two.Limit}, Answer{})
 			turned.Done(EndBusy)
-			So(w.taken(2900*time.Millisecond), ShouldEqual, 0)
-			So(w.taken(10*time.Second), ShouldBeBetween, 15, 21)
+			So(w.countTaken(2900*time.Millisecond), ShouldEqual, 0)
+			So(w.countTaken(10*time.Second), ShouldBeBetween, 15, 21)
 		})
 		Convey("keeps its limit when its record is told again, goes and comes back, and loses it with a later start", func() {
 			for _, tell := range []func(){
@@ -92,7 +92,7 @@
 				So(w.takes(), ShouldBeFalse)
 			}
 			w.Put(w.record(8000, false))
-			So(w.taken(time.Second), ShouldEqual, 100)
+			So(w.countTaken(time.Second), ShouldEqual, 100)
 		})
 		Convey("is not freed by an answer to a request that was sent before", func() {
 			lease.ObserveNotice(Notice{}, Answer{})
@@ -104,27 +104,27 @@
 			w.clock.pass(time.Second)
 			later.ObserveNotice(Notice{}, Answer{})
 			later.Done(EndGood)
-			So(w.taken(time.Second), ShouldEqual, 100)
+			So(w.countTaken(time.Second), ShouldEqual, 100)
 			So(w.ended, ShouldResemble, []NoticeEnd{NoticeLifted})
 			So(w.byID["e"].announced, ShouldBeNil)
 
 			Convey("also where another instance was told before, and tells it", func() {
 				key := runKey(w.record(0, false))
 				w.ObserveLimits(Limits{key: limit.Reported(two.Limit, w.clock.now().Add(-2500*time.Millisecond), time.Time{})})
-				So(w.taken(time.Second), ShouldEqual, 100)
+				So(w.countTaken(time.Second), ShouldEqual, 100)
 				w.ObserveLimits(Limits{key: limit.Reported(two.Limit, w.clock.now(), time.Time{})})
-				So(w.taken(time.Second), ShouldBeLessThan, 3)
+				So(w.countTaken(time.Second), ShouldBeLessThan, 3)
 			})
 		})
 		Convey("is kept to by an instance that is told", func() {
-			other := newWords()
+			other := newNoticePool()
 			other.ObserveLimits(w.Limits())
 			So(other.takes(), ShouldBeFalse)
-			So(other.heard[0].FromPeer, ShouldBeTrue)
+			So(other.notices[0].FromPeer, ShouldBeTrue)
 			So(other.Limits(), ShouldBeEmpty) // it tells only what it has observed itself
 
 			Convey("also where its record comes later", func() {
-				late := newWords()
+				late := newNoticePool()
 				late.Remove("e")
 				late.ObserveLimits(w.Limits())
 				late.Put(late.record(0, false))
@@ -133,7 +133,7 @@
 		})
 	})
 	Convey("A request that was picked before an endpoint named its limit is sent only if it is within it", t, func() {
-		w := newWords()
+		w := newNoticePool()
 		first, second := w.lease(), w.lease()
 		w.clock.pass(time.Second)
 		first.ObserveNotice(two, Answer{})
@@ -145,7 +145,7 @@
 		So(w.takes(), ShouldBeTrue)
 	})
 	Convey("Others serve what an endpoint does not take, and the request's affinity names its next choice at once", t, func() {
-		w := newWords()
+		w := newNoticePool()
 		e := w.record(0, false)
 		e.ID, e.Addr = "f", "10.0.0.2:80"
 		w.Put(e)
--- a/internal/pool/load.go
+++ b/internal/pool/load.go
@@ -34,30 +34,30 @@
 
 // silent reports whether an endpoint has fallen silent for all: to most of those who wait there, and to more than one instance's request,
 // whose own path may be at fault.
-func (x Load) silent() bool { return x.Silent >= leastSilent && silentShare*x.Silent >= x.Open }
+func (x Load) silent() bool { return x.Silent >= minSilent && silentFraction*x.Silent >= x.Open }
 
-// failing is the part of requests that ended badly; 0 while too few have ended to tell.
-func (x Load) failing() float64 {
-	if x.Ended*flowDecay.Seconds() < leastEnded {
+// failureShare is the part of requests that ended badly; 0 while too few have ended to tell.
+func (x Load) failureShare() float64 {
+	if x.Ended*flowDecay.Seconds() < minEnded {
 		return 0
 	}
 	return x.Failed / x.Ended
 }
 
-// nothing reports whether there is nothing to tell.
-func (x Load) nothing() bool { return x.Open == 0 && x.Interference < leastFlow && x.Ended < leastFlow }
+// negligible reports whether there is negligible to tell.
+func (x Load) negligible() bool { return x.Open == 0 && x.Interference < minFlow && x.Ended < minFlow }
 
 // PeerLoadsTTL is how long what others have under way counts.
 const PeerLoadsTTL = 1500 * time.Millisecond
 
 const (
-	flowDecay  = 10 * time.Second // the time constant with which all this is forgotten: sessions come back in some seconds
-	pauseGaps  = 2                // reading for so many times what a stream may rest harms for certain
-	leastFlow  = 0.001            // below this a flow is nothing
-	leastEnded = 4                // requests that must have ended lately before their failures say anything
+	flowDecay        = 10 * time.Second // the time constant with which all this is forgotten: sessions come back in some seconds
+	certainStallGaps = 2                // reading for so many times what a stream may rest harms for certain
+	minFlow          = 0.001            // below this a flow is nothing
+	minEnded         = 4                // requests that must have ended lately before their failures say anything
 
-	leastSilent = 2 // requests that must wait in vain before that says anything of the endpoint
-	silentShare = 2 // one in so many of those that are open there
+	minSilent      = 2 // requests that must wait in vain before that says anything of the endpoint
+	silentFraction = 2 // one in so many of those that are open there
 )
 
 // flow is a decaying sum, in units a second, as of a moment.
@@ -66,8 +66,8 @@
 	at        time.Time
 }
 
-// now brings the flow to a moment.
-func (f flow) now(now time.Time) float64 {
+// rate brings the flow to a moment.
+func (f flow) rate(now time.Time) float64 {
 	if f.perSecond == 0 {
 		return 0
 	}
@@ -76,19 +76,19 @@
 
 // add counts something.
 func (f *flow) add(now time.Time, x float64) {
-	f.perSecond = f.now(now) + x/flowDecay.Seconds()
+	f.perSecond = f.rate(now) + x/flowDecay.Seconds()
 	f.at = now
 }
 
-// pauseChance is the chance that a prompt makes a stream beside it rest for too long. While a prompt is read each token of the streams waits
+// stallProbability is the chance that a prompt makes a stream beside it rest for too long. While a prompt is read each token of the streams waits
 // for a piece of it, and pieces take longer with the prompt's length, so the chance grows faster than the time of
 // reading does.
-func pauseChance(reading, gap time.Duration) float64 {
-	x := reading.Seconds() / (pauseGaps * gap.Seconds())
+func stallProbability(reading, gap time.Duration) float64 {
+	x := reading.Seconds() / (certainStallGaps * gap.Seconds())
 	return min(1, x*x*x)
 }
 
-func (m *member) key() uint32 { return m.run }
+func (m *member) key() uint32 { return m.runKey }
 
 // runKey names one run of an endpoint's process in Loads: what was under way at the run before is not under way at this one.
 func runKey(e Endpoint) uint32 {
@@ -102,7 +102,7 @@
 	defer l.mu.RUnlock()
 	out := make(Loads)
 	for _, m := range l.byID {
-		if x := l.load(m, now); !x.nothing() {
+		if x := l.load(m, now); !x.negligible() {
 			out[m.key()] = x
 		}
 	}
@@ -111,7 +111,7 @@
 
 // load is what this instance has under way at an endpoint. The caller holds mu.
 func (l *Pool) load(m *member, now time.Time) Load {
-	x := Load{Open: m.open, Interference: m.harm.now(now), Ended: m.ended.now(now), Failed: m.failed.now(now)}
+	x := Load{Open: m.open, Interference: m.interference.rate(now), Ended: m.ended.rate(now), Failed: m.failed.rate(now)}
 	if l.silent(m, now) {
 		x.Silent = m.open
 	}
@@ -122,15 +122,15 @@
 func (l *Pool) SetPeerLoads(others Loads) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.others, l.othersAt = others, l.now()
+	l.peerLoads, l.peerLoadsAt = others, l.now()
 	for _, m := range l.byID {
-		m.others = others[m.key()]
+		m.peerLoad = others[m.key()]
 	}
 }
 
-// othersKnown reports whether it is known what others have under way. The caller holds mu.
-func (l *Pool) othersKnown(now time.Time) bool {
-	return l.others != nil && now.Sub(l.othersAt) < PeerLoadsTTL
+// peerLoadsFresh reports whether it is known what others have under way. The caller holds mu.
+func (l *Pool) peerLoadsFresh(now time.Time) bool {
+	return l.peerLoads != nil && now.Sub(l.peerLoadsAt) < PeerLoadsTTL
 }
 
 // PeerLoads is what all other instances have under way, as far as it is known.
@@ -138,17 +138,17 @@
 	now := l.now()
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	if !l.othersKnown(now) {
+	if !l.peerLoadsFresh(now) {
 		return nil
 	}
-	return l.others
+	return l.peerLoads
 }
 
 // total is what all instances have under way at an endpoint, as far as it is known. The caller holds mu.
 func (l *Pool) total(m *member, now time.Time) Load {
 	x := l.load(m, now)
-	if l.othersKnown(now) {
-		x = x.plus(m.others)
+	if l.peerLoadsFresh(now) {
+		x = x.plus(m.peerLoad)
 	}
 	return x
 }
@@ -156,9 +156,9 @@
 // failsForAll reports whether requests of all instances fail at an endpoint, or wait there in vain. It is asked of every endpoint for every
 // request, so it begins with what is nothing nearly always. The caller holds mu.
 func (l *Pool) failsForAll(m *member, now time.Time) bool {
-	if (m.others.Failed == 0 && m.others.Silent == 0 && m.failed.perSecond == 0) || !l.othersKnown(now) {
+	if (m.peerLoad.Failed == 0 && m.peerLoad.Silent == 0 && m.failed.perSecond == 0) || !l.peerLoadsFresh(now) {
 		return false
 	}
 	x := l.total(m, now)
-	return x.failing() > l.policy.ErrorShare || x.silent()
+	return x.failureShare() > l.policy.ErrorShare || x.silent()
 }
--- a/internal/pool/notice.go
+++ b/internal/pool/notice.go
@@ -65,7 +65,7 @@
 
 // LogNotices makes what logs words: 20 lines a second at most, for endpoints that ask for rest for moments do so again and again.
 func LogNotices(log zerolog.Logger) (heard func(NoticeTaken), silenced func(NoticeEnded)) {
-	lines := log.Sample(&zerolog.BurstSampler{Burst: wordLines, Period: time.Second})
+	lines := log.Sample(&zerolog.BurstSampler{Burst: maxNoticeLines, Period: time.Second})
 	heard = func(h NoticeTaken) {
 		lines.Info().Str("event", EventNotice).EmbedObject(h).Msg("an endpoint says in an answer that it takes less work, or none")
 	}
@@ -75,8 +75,8 @@
 	return heard, silenced
 }
 
-// wordLines bounds the lines about words in a second.
-const wordLines = 20
+// maxNoticeLines bounds the lines about words in a second.
+const maxNoticeLines = 20
 
 // NoticeEnded reports an endpoint's word that does not count any more, for logs.
 type NoticeEnded struct {
@@ -96,25 +96,25 @@
 )
 
 const (
-	// leavingFor is how long the word that an endpoint leaves holds after it was last heard. A planned end takes seconds, many of them where
+	// leavingTTL is how long the word that an endpoint leaves holds after it was last heard. A planned end takes seconds, many of them where
 	// the store is away; an endpoint that changes its mind without a word in its record gets work again after this.
-	leavingFor = 10 * time.Minute
-	// mostSaid bounds the runs of endpoints without a record whose words are remembered.
-	mostSaid = 4096
+	leavingTTL = 10 * time.Minute
+	// maxAnnounced bounds the runs of endpoints without a record whose words are remembered.
+	maxAnnounced = 4096
 )
 
 // announced is what one run of an endpoint's process reports of itself in answers. It is newer than any record that the endpoint has written, and the
 // store, another instance and a list of all endpoints tell records again and again. So it is kept beside the records, and it outlives them: an
 // endpoint whose record lags would go on getting work after it has announced that it leaves.
 type announced struct {
-	run       Endpoint
-	wall      int64     // the time of day when it last said something to this instance, in Unix milliseconds
-	leaving   time.Time // when it last said that it leaves; zero: it does not say so
-	own       bool      // it said so to this instance
-	drains    bool      // its record says so too
-	calledOff time.Time // when its record said that it is ready again
-	resting   time.Time // until when it gets nothing from this instance
-	limits    limits
+	run               Endpoint
+	receivedUnixMilli int64     // the time of day when it last said something to this instance, in Unix milliseconds
+	leavingAt         time.Time // when it last said that it leaves; zero: it does not say so
+	direct            bool      // it said so to this instance
+	recordDraining    bool      // its record says so too
+	canceledAt        time.Time // when its record said that it is ready again
+	restUntil         time.Time // until when it gets nothing from this instance
+	limits            limits
 }
 
 // ObserveNotice takes what the endpoint reports of itself in an answer. That it names no limit is a word too.
@@ -129,45 +129,45 @@
 
 // observe takes a word of an endpoint that this instance has observed itself. The caller holds mu.
 func (l *Pool) observe(m *member, w Notice, a Answer) {
-	x := l.saidBy(m.Endpoint)
+	x := l.announcedBy(m.Endpoint)
 	if x == nil {
 		return
 	}
 	now := l.now()
-	x.wall = l.wall().UnixMilli()
+	x.receivedUnixMilli = l.wall().UnixMilli()
 	news := false
 	if w.Leaving || w.Moved {
 		news = !x.leaves(now)
-		x.leaving, x.own = now, true
+		x.leavingAt, x.direct = now, true
 	}
 	if w.Rest > 0 {
-		news = x.rests(now, now.Add(w.Rest+l.spread(w.Rest)+l.later(m))) || news
-		m.comeback = m.comeback.after(now, m.open, l.policy.RestDecrease)
+		news = x.extendRest(now, now.Add(w.Rest+l.restJitter(w.Rest)+l.returnDelay(m))) || news
+		m.window = m.window.shrunk(now, m.open, l.policy.RestDecrease)
 	}
 	if news {
 		l.onNotice(NoticeTaken{Endpoint: m.Endpoint, Notice: w, Answer: a, Age: now.Sub(m.recordAt)})
 	}
 }
 
-// rests notes until when an endpoint wants nothing; true if it did not rest. The longest time counts: several answers may be under way when an
+// extendRest notes until when an endpoint wants nothing; true if it did not rest. The longest time counts: several answers may be under way when an
 // endpoint asks for rest, and the last of them names the shortest.
-func (x *announced) rests(now, until time.Time) (news bool) {
-	news = !before(now, x.resting)
-	if until.After(x.resting) {
-		x.resting = until
+func (x *announced) extendRest(now, until time.Time) (news bool) {
+	news = !before(now, x.restUntil)
+	if until.After(x.restUntil) {
+		x.restUntil = until
 	}
 	return news
 }
 
-// spread is how much later than asked this instance comes back.
-func (l *Pool) spread(rest time.Duration) time.Duration {
+// restJitter is how much later than asked this instance comes back.
+func (l *Pool) restJitter(rest time.Duration) time.Duration {
 	const steps = 1 << 16
 	return time.Duration(l.policy.RestJitter * float64(rest) * float64(l.random(steps)) / steps)
 }
 
-// later is how much later than others this instance comes back to an endpoint, in an order that all know: as many as it has slots
+// returnDelay is how much returnDelay than others this instance comes back to an endpoint, in an order that all know: as many as it has slots
 // first, then twice as many in each step. All were told at the same time that it wants rest; hundreds would come back at once.
-func (l *Pool) later(m *member) time.Duration {
+func (l *Pool) returnDelay(m *member) time.Duration {
 	late := time.Duration(0)
 	first := int(m.slots())
 	for ; first < l.owners.Size() && !l.owners.Owns(m.ID, first); first *= 2 {
@@ -179,19 +179,19 @@
 // returnStep is the time between the returns of instances that are further apart in that order: an endpoint that has too much again says so sooner.
 const returnStep = 500 * time.Millisecond
 
-// saidBy finds or makes what is kept of a run of an endpoint's process; nil if a later one is known. The caller holds mu.
-func (l *Pool) saidBy(run Endpoint) *announced {
+// announcedBy finds or makes what is kept of a run of an endpoint's process; nil if a later one is known. The caller holds mu.
+func (l *Pool) announcedBy(run Endpoint) *announced {
 	if l.outdated(run) {
 		return nil
 	}
 	m, x := l.byID[run.ID], l.announced[run.ID]
 	if x == nil || !sameRun(x.run, run) {
-		l.forgetOver()
-		x = &announced{run: run, drains: run.Draining}
+		l.evictAnnounced()
+		x = &announced{run: run, recordDraining: run.Draining}
 		l.announced[run.ID] = x
 	}
 	if m != nil && sameRun(m.Endpoint, run) {
-		m.announced, x.drains = x, m.Draining
+		m.announced, x.recordDraining = x, m.Draining
 	}
 	return x
 }
@@ -210,14 +210,14 @@
 	return a.ID == b.ID && a.Service == b.Service && a.Addr == b.Addr && !a.Outdated(b) && !b.Outdated(a)
 }
 
-// forgetOver makes room for another run: it drops what does not count any more, and what was said by endpoints without a record.
-func (l *Pool) forgetOver() {
-	if len(l.announced) < mostSaid {
+// evictAnnounced makes room for another run: it drops what does not count any more, and what was said by endpoints without a record.
+func (l *Pool) evictAnnounced() {
+	if len(l.announced) < maxAnnounced {
 		return
 	}
 	maps.DeleteFunc(l.announced, func(id string, x *announced) bool {
 		m := l.byID[id]
-		if m != nil && !x.nothing() {
+		if m != nil && !x.inactive() {
 			return false
 		}
 		if m != nil {
@@ -227,13 +227,13 @@
 	})
 }
 
-// recall finds what an endpoint has said whose record has come, and lets the record end it. The caller holds mu.
-func (l *Pool) recall(e Endpoint) *announced {
+// reconcileRecord finds what an endpoint has said whose record has come, and lets the record end it. The caller holds mu.
+func (l *Pool) reconcileRecord(e Endpoint) *announced {
 	x := l.announced[e.ID]
 	switch {
 	case x == nil:
 		return nil
-	case x.run.Outdated(e), x.run.StartedAt == 0 && e.StartedAt > x.wall:
+	case x.run.Outdated(e), x.run.StartedAt == 0 && e.StartedAt > x.receivedUnixMilli:
 		// A start that is told for the first time is that of this run only if it was before this run said something. Clocks may differ by seconds,
 		// endpoints that leave have run for longer.
 		l.announced[e.ID] = &announced{run: e} // so that the run before is known again when it is told late
@@ -243,50 +243,52 @@
 		return nil // at another address: what was said is not of this one
 	}
 	x.run.StartedAt = max(x.run.StartedAt, e.StartedAt)
-	if x.drains && !e.Draining && !x.leaving.IsZero() {
+	if x.recordDraining && !e.Draining && !x.leavingAt.IsZero() {
 		// The record is newer than the word, for it had said so too: the endpoint stays after all.
-		x.leaving, x.own, x.calledOff = time.Time{}, false, l.now()
+		x.leavingAt, x.direct, x.canceledAt = time.Time{}, false, l.now()
 		l.onNoticeEnded(NoticeEnded{Endpoint: e, Why: NoticeCanceled})
 	}
-	x.drains = e.Draining
+	x.recordDraining = e.Draining
 	return x
 }
 
 // leaves reports whether the word that the endpoint leaves counts.
 func (x *announced) leaves(now time.Time) bool {
-	return x != nil && !x.leaving.IsZero() && now.Sub(x.leaving) < leavingFor
+	return x != nil && !x.leavingAt.IsZero() && now.Sub(x.leavingAt) < leavingTTL
 }
 
-// nothing reports whether nothing that the endpoint has said counts any more, and it has been told so.
-func (x *announced) nothing() bool { return x.silent() && (x == nil || !x.limits.active) }
+// inactive reports whether inactive that the endpoint has said counts any more, and it has been told so.
+func (x *announced) inactive() bool { return x.acceptsWork() && (x == nil || !x.limits.active) }
 
-// silent reports whether it has neither said that it leaves nor asked for rest.
-func (x *announced) silent() bool { return x == nil || (x.leaving.IsZero() && x.resting.IsZero()) }
+// acceptsWork reports whether it has neither said that it leaves nor asked for rest.
+func (x *announced) acceptsWork() bool {
+	return x == nil || (x.leavingAt.IsZero() && x.restUntil.IsZero())
+}
 
-// abstains reports why an endpoint gets no work by its own word, whatever else is left: that word is a rule, not a preference. The caller holds mu.
-func (m *member) abstains(now time.Time) Exclusion {
+// noticeExclusion reports why an endpoint gets no work by its own word, whatever else is left: that word is a rule, not a preference. The caller holds mu.
+func (m *member) noticeExclusion(now time.Time) Exclusion {
 	switch {
 	case m.announced == nil:
 		return NotExcluded
 	case m.announced.leaves(now):
 		return ExcludedLeaving
-	case before(now, m.announced.resting):
+	case before(now, m.announced.restUntil):
 		return ExcludedResting
 	}
 	return NotExcluded
 }
 
-// takenBack notes that an endpoint gets a request; what it had said counts no more then. The caller holds mu.
-func (l *Pool) takenBack(m *member, now time.Time) *comeback {
-	if x := m.announced; !x.silent() {
-		if !x.leaving.IsZero() {
-			m.comeback = firstAgain()
+// clearNotices notes that an endpoint gets a request; what it had said counts no more then. The caller holds mu.
+func (l *Pool) clearNotices(m *member, now time.Time) *window {
+	if x := m.announced; !x.acceptsWork() {
+		if !x.leavingAt.IsZero() {
+			m.window = probeWindow()
 		}
-		x.leaving, x.own, x.resting = time.Time{}, false, time.Time{}
+		x.leavingAt, x.direct, x.restUntil = time.Time{}, false, time.Time{}
 		l.onNoticeEnded(NoticeEnded{Endpoint: m.Endpoint, Why: NoticeExpired})
 	}
-	m.comeback.begin(now)
-	return m.comeback
+	m.window.start(now)
+	return m.window
 }
 
 // StillValid reports whether the endpoint still takes the request as far as is known: it, or its record, may have said otherwise since it was picked.
@@ -295,7 +297,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.byID[s.member.ID]
-	return m != nil && sameRun(m.Endpoint, s.member.Endpoint) && !m.Draining && m.abstains(l.now()) == NotExcluded && !l.evacuated[m.Zone] &&
+	return m != nil && sameRun(m.Endpoint, s.member.Endpoint) && !m.Draining && m.noticeExclusion(l.now()) == NotExcluded && !l.evacuated[m.Zone] &&
 		l.permitted(s)
 }
 
@@ -319,13 +321,13 @@
 	var out Leaving
 	for id, x := range l.announced {
 		m := l.byID[id]
-		if m == nil || m.announced != x || m.Draining || !x.own || !x.leaves(now) {
+		if m == nil || m.announced != x || m.Draining || !x.direct || !x.leaves(now) {
 			continue
 		}
 		if out == nil {
 			out = make(Leaving)
 		}
-		out[m.key()] = now.Sub(x.leaving)
+		out[m.key()] = now.Sub(x.leavingAt)
 	}
 	return out
 }
@@ -335,11 +337,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.peersLeaving = told
-	l.eachReported(len(told), l.applyPeersLeaving)
+	l.applyFromPeers(len(told), l.applyPeersLeaving)
 }
 
-// eachReported lets each endpoint take what other instances have reported, if that is anything. The caller holds mu.
-func (l *Pool) eachReported(told int, take func(*member)) {
+// applyFromPeers lets each endpoint take what other instances have reported, if that is anything. The caller holds mu.
+func (l *Pool) applyFromPeers(told int, take func(*member)) {
 	if told == 0 {
 		return
 	}
@@ -351,21 +353,21 @@
 // applyPeersLeaving takes what an endpoint has said to other instances, unless that is older than what is known. The caller holds mu.
 func (l *Pool) applyPeersLeaving(m *member) {
 	age, ok := l.peersLeaving[m.key()]
-	if !ok || age >= leavingFor {
+	if !ok || age >= leavingTTL {
 		return
 	}
 	now := l.now()
 	at := now.Add(-age)
-	x := l.saidBy(m.Endpoint)
-	if x == nil || x.leaves(now) || !at.After(x.calledOff.Add(toldLag)) {
+	x := l.announcedBy(m.Endpoint)
+	if x == nil || x.leaves(now) || !at.After(x.canceledAt.Add(maxRelayLag)) {
 		return
 	}
-	x.leaving, x.wall = at, l.wall().Add(-age).UnixMilli()
+	x.leavingAt, x.receivedUnixMilli = at, l.wall().Add(-age).UnixMilli()
 	l.onNotice(NoticeTaken{Endpoint: m.Endpoint, Notice: Notice{Leaving: true}, FromPeer: true, Age: now.Sub(m.recordAt)})
 }
 
-// toldLag bounds how much younger a word seems that others tell than it is: it waits for an exchange at each instance that passes it on.
-const toldLag = 2 * PeerLoadsTTL
+// maxRelayLag bounds how much younger a word seems that others tell than it is: it waits for an exchange at each instance that passes it on.
+const maxRelayLag = 2 * PeerLoadsTTL
 
 // Availability reports whether any endpoint takes a request now.
 type Availability struct {
@@ -384,22 +386,22 @@
 	defer l.mu.Unlock()
 	var o Availability
 	for _, m := range l.services[q.Service] {
-		if !l.mayRun(m, q) {
+		if !l.allowed(m, q) {
 			continue
 		}
-		switch l.keeps(m, now) {
+		switch l.exclusionOf(m, now) {
 		case NotExcluded:
-			if l.room(m, l.connected(q.Service, now), now) {
+			if l.hasCapacity(m, l.connectionsOf(q.Service, now), now) {
 				return Availability{Open: true}
 			}
 			o.Full = true
 		case ExcludedResting:
-			if left := m.announced.resting.Sub(now); o.Rest == 0 || left < o.Rest {
+			if left := m.announced.restUntil.Sub(now); o.Rest == 0 || left < o.Rest {
 				o.Rest = left
 			}
 		case ExcludedLimited:
 			o.Limited = true
-			o.Rate += l.permits(m, now)
+			o.Rate += l.expectedRate(m, now)
 		case ExcludedEvacuated, ExcludedCold, ExcludedLeaving:
 		}
 	}
--- a/internal/pool/notice_test.go
+++ b/internal/pool/notice_test.go
@@ -8,39 +8,39 @@
 	"pgregory.net/rapid"
 )
 
-// words is a pool of one endpoint, and what the pool reports words.
-type words struct {
+// noticePool is a pool of one endpoint, and what the pool reports noticePool.
+type noticePool struct {
 	*Pool
-	clock *testClock
-	heard []NoticeTaken
-	ended []NoticeEnd
+	clock   *testClock
+	notices []NoticeTaken
+	ended   []NoticeEnd
 }
 
-func newWords() *words {
-	w := &words{clock: &testClock{at: time.Unix(1000, 0)}}
-	w.Pool = New("a", WithNow(w.clock.now), WithWall(func() time.Time { return wordHeard }), WithRandom(func(int) int { return 0 }),
-		OnNotice(func(h NoticeTaken) { w.heard = append(w.heard, h) }), OnNoticeEnded(func(s NoticeEnded) { w.ended = append(w.ended, s.Why) }))
+func newNoticePool() *noticePool {
+	w := &noticePool{clock: &testClock{at: time.Unix(1000, 0)}}
+	w.Pool = New("a", WithNow(w.clock.now), WithWall(func() time.Time { return noticeTime }), WithRandom(func(int) int { return 0 }),
+		OnNotice(func(h NoticeTaken) { w.notices = append(w.notices, h) }), OnNoticeEnded(func(s NoticeEnded) { w.ended = append(w.ended, s.Why) }))
 	w.Put(w.record(0, false))
 	return w
 }
 
-// wordHeard is the time of day at which words are heard.
-var wordHeard = time.UnixMilli(5000)
+// noticeTime is the time of day at which words are heard.
+var noticeTime = time.UnixMilli(5000)
 
 // record is the endpoint's record.
-func (*words) record(born int64, draining bool) Endpoint {
+func (*noticePool) record(born int64, draining bool) Endpoint {
 	return Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 64, StartedAt: born, Draining: draining}
 }
 
 // lease picks the endpoint, which must take work.
-func (w *words) lease() *Lease {
+func (w *noticePool) lease() *Lease {
 	lease := w.Pick(Query{Service: "s"})
 	So(lease, ShouldNotBeNil)
 	return lease
 }
 
 // takes reports whether the endpoint takes work; nothing stays open there.
-func (w *words) takes() bool {
+func (w *noticePool) takes() bool {
 	lease := w.Pick(Query{Service: "s"})
 	if lease == nil {
 		return false
@@ -49,10 +49,10 @@
 	return true
 }
 
-func TestLeavingWord(t *testing.T) {
+func TestLeavingNotice(t *testing.T) {
 	leaving := Notice{Leaving: true}
 	Convey("An endpoint that has said in an answer that it leaves gets nothing new, though it is the only one", t, func() {
-		w := newWords()
+		w := newNoticePool()
 		lease := w.lease()
 		So(w.Len(), ShouldEqual, 1)
 		w.clock.pass(time.Second)
@@ -61,7 +61,7 @@
 		So(w.takes(), ShouldBeFalse)
 		So(w.Len(), ShouldEqual, 0)
 		So(lease.ProcessState(), ShouldEqual, ProcessLeaving)
-		So(w.heard, ShouldResemble, []NoticeTaken{{Endpoint: w.record(0, false), Notice: leaving, Answer: Answer{Request: "r", Status: 200}, Age: time.Second}})
+		So(w.notices, ShouldResemble, []NoticeTaken{{Endpoint: w.record(0, false), Notice: leaving, Answer: Answer{Request: "r", Status: 200}, Age: time.Second}})
 
 		Convey("also when its record says again that it is ready: alone, among all, gone and back, or with a start that was not told before", func() {
 			for _, tell := range []func(){
@@ -76,13 +76,13 @@
 				tell()
 				So(w.takes(), ShouldBeFalse)
 			}
-			So(len(w.heard), ShouldEqual, 1)
+			So(len(w.notices), ShouldEqual, 1)
 			So(w.ended, ShouldBeEmpty)
 		})
 
 		Convey("says so again without another line", func() {
 			lease.ObserveNotice(leaving, Answer{})
-			So(len(w.heard), ShouldEqual, 1)
+			So(len(w.notices), ShouldEqual, 1)
 		})
 
 		Convey("until its record, which had said so too, says that it is ready: the drain was called off", func() {
@@ -113,7 +113,7 @@
 		})
 
 		Convey("until it tells of a start after that, where it told of none before", func() {
-			w.Put(w.record(wordHeard.UnixMilli()+1, false))
+			w.Put(w.record(noticeTime.UnixMilli()+1, false))
 			So(w.takes(), ShouldBeTrue)
 			So(w.ended, ShouldResemble, []NoticeEnd{NoticeRestarted})
 		})
@@ -126,7 +126,7 @@
 		})
 
 		Convey("until it has not said so for long; then it gets one request at first", func() {
-			w.clock.pass(leavingFor - time.Millisecond)
+			w.clock.pass(leavingTTL - time.Millisecond)
 			So(w.takes(), ShouldBeFalse)
 			w.clock.pass(time.Millisecond)
 			again := w.lease()
@@ -135,27 +135,27 @@
 			again.ObserveNotice(leaving, Answer{})
 			again.Done(EndGood)
 			So(w.takes(), ShouldBeFalse)
-			So(len(w.heard), ShouldEqual, 2)
+			So(len(w.notices), ShouldEqual, 2)
 		})
 	})
 
 	Convey("An endpoint whose address another one has gets nothing new either, whatever its record says", t, func() {
-		w := newWords()
+		w := newNoticePool()
 		w.lease().Done(EndMoved)
 		w.Put(w.record(0, false))
 		So(w.takes(), ShouldBeFalse)
 	})
 
 	Convey("A request that is not sent yet is not wanted any more once its endpoint leaves, drains, rests, is gone or has started again", t, func() {
-		for _, end := range []func(*words, *Lease){
-			func(_ *words, l *Lease) { l.ObserveNotice(Notice{Leaving: true}, Answer{}) },
-			func(_ *words, l *Lease) { l.ObserveNotice(Notice{Rest: time.Second}, Answer{}) },
-			func(w *words, _ *Lease) { w.Put(w.record(7, true)) },
-			func(w *words, _ *Lease) { w.Put(w.record(8, false)) },
-			func(w *words, _ *Lease) { w.Remove("e") },
-			func(w *words, _ *Lease) { w.SetEvacuated([]string{"a"}) },
+		for _, end := range []func(*noticePool, *Lease){
+			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Leaving: true}, Answer{}) },
+			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Rest: time.Second}, Answer{}) },
+			func(w *noticePool, _ *Lease) { w.Put(w.record(7, true)) },
+			func(w *noticePool, _ *Lease) { w.Put(w.record(8, false)) },
+			func(w *noticePool, _ *Lease) { w.Remove("e") },
+			func(w *noticePool, _ *Lease) { w.SetEvacuated([]string{"a"}) },
 		} {
-			w := newWords()
+			w := newNoticePool()
 			w.Put(w.record(7, false))
 			other, lease := w.lease(), w.lease()
 			So(lease.StillValid(), ShouldBeTrue)
@@ -165,9 +165,9 @@
 	})
 }
 
-func TestLeavingTold(t *testing.T) {
+func TestLeavingFromPeers(t *testing.T) {
 	Convey("An instance tells which endpoints have said to it that they leave", t, func() {
-		w, other := newWords(), newWords()
+		w, other := newNoticePool(), newNoticePool()
 		So(w.Leaving(), ShouldBeEmpty)
 		w.lease().ObserveNotice(Notice{Leaving: true}, Answer{})
 		w.clock.pass(2 * time.Second)
@@ -184,13 +184,13 @@
 		Convey("and others that hear it send nothing there, and do not tell it on as their own", func() {
 			other.ObserveLeaving(told)
 			So(other.takes(), ShouldBeFalse)
-			So(other.heard[0].FromPeer, ShouldBeTrue)
+			So(other.notices[0].FromPeer, ShouldBeTrue)
 			So(other.Leaving(), ShouldBeEmpty)
 			other.ObserveLeaving(told)
 			other.ObserveLeaving(nil)
 			So(other.takes(), ShouldBeFalse)
-			So(len(other.heard), ShouldEqual, 1)
-			other.clock.pass(leavingFor - 2*time.Second)
+			So(len(other.notices), ShouldEqual, 1)
+			other.clock.pass(leavingTTL - 2*time.Second)
 			So(other.takes(), ShouldBeTrue)
 		})
 
@@ -218,9 +218,9 @@
 	})
 }
 
-func TestRestingWord(t *testing.T) {
+func TestRestNotice(t *testing.T) {
 	Convey("An endpoint that has asked for rest gets nothing meanwhile, though it is the only one", t, func() {
-		w := newWords()
+		w := newNoticePool()
 		first, second := w.lease(), w.lease()
 		first.ObserveNotice(Notice{Rest: 3 * time.Second}, Answer{Status: 503})
 		first.Done(EndBusy)
@@ -237,7 +237,7 @@
 			second.ObserveNotice(Notice{Rest: time.Second}, Answer{})
 			w.clock.pass(900 * time.Millisecond)
 			So(w.takes(), ShouldBeFalse)
-			So(len(w.heard), ShouldEqual, 1)
+			So(len(w.notices), ShouldEqual, 1)
 			w.clock.pass(100 * time.Millisecond)
 			second.Done(EndBusy)
 			So(w.takes(), ShouldBeTrue)
@@ -270,13 +270,13 @@
 			So(w.Availability(Query{Service: "s"}), ShouldResemble, Availability{Full: true})
 			all[0].Accepted()
 			So(len(open()), ShouldEqual, 1)
-			w.clock.pass(forgotten * forgetting)
+			w.clock.pass(expiryDoublings * doublingTime)
 			So(len(open()), ShouldEqual, 62)
 		})
 	})
 
 	Convey("Instances that were told at the same time come back at different times", t, func() {
-		w := newWords()
+		w := newNoticePool()
 		w.random = func(n int) int { return n - 1 }
 		w.lease().ObserveNotice(Notice{Rest: 10 * time.Second}, Answer{})
 		w.clock.pass(10*time.Second + 900*time.Millisecond)
@@ -286,7 +286,7 @@
 	})
 
 	Convey("A service opens when the first of its endpoints does", t, func() {
-		w := newWords()
+		w := newNoticePool()
 		w.Put(Endpoint{ID: "f", Service: "s", Addr: "10.0.0.2:80", Zone: "a", Slots: 1})
 		for range 2 {
 			lease := w.lease()
@@ -300,7 +300,7 @@
 
 // A run that has said that it leaves gets nothing for as long as that holds, in whatever order records come, go, and are told again; nor does one
 // that rests.
-func TestWordsHold(t *testing.T) {
+func TestNoticesHoldProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := &testClock{at: time.Unix(1000, 0)}
 		p := New("a", WithNow(clock.now), WithRandom(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "random") }))
@@ -333,7 +333,7 @@
 				run := lease.Endpoint().StartedAt
 				if rapid.Bool().Draw(t, "leaving") {
 					lease.ObserveNotice(Notice{Leaving: true}, Answer{})
-					leaving[run] = clock.at.Add(leavingFor)
+					leaving[run] = clock.at.Add(leavingTTL)
 				} else {
 					rest := time.Duration(rapid.IntRange(1, 3000).Draw(t, "rest")) * time.Millisecond
 					lease.ObserveNotice(Notice{Rest: rest}, Answer{})
--- a/internal/pool/pace.go
+++ b/internal/pool/pace.go
@@ -16,7 +16,7 @@
 	samples      int
 }
 
-func (p *pace) learn(first, token time.Duration) {
+func (p *pace) observe(first, token time.Duration) {
 	p.first = smooth(p.first, first.Seconds())
 	p.token = smooth(p.token, token.Seconds())
 	p.samples++
@@ -38,7 +38,7 @@
 	l, m := s.pool, s.member
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m.pace.learn(first, token)
+	m.pace.observe(first, token)
 	if l.policy.SlowFactor <= 0 || m.pace.samples < slowSamples {
 		return
 	}
--- a/internal/pool/pick.go
+++ b/internal/pool/pick.go
@@ -38,28 +38,28 @@
 
 // Lease is one request's use of an endpoint.
 type Lease struct {
-	pool   *Pool
-	member *member
-	at     Endpoint // as it was when it was picked; its record may change meanwhile
-	reason Reason
-	kept   Exclusion
-	ended  bool
-	back   *comeback // of the endpoint, as it was picked; nil: it did not rest lately
-	picked time.Time
+	pool      *Pool
+	member    *member
+	endpoint  Endpoint // as it was when it was picked; its record may change meanwhile
+	reason    Reason
+	exclusion Exclusion
+	ended     bool
+	window    *window // of the endpoint, as it was picked; nil: it did not rest lately
+	picked    time.Time
 	// permit is where the request is counted under the limit that the endpoint names; nil: it names none
 	permit *limit.Bucket
-	// patience is how long the first word of the answer may take before something is wrong
-	patience time.Duration
+	// responseTimeout is how long the first word of the answer may take before something is wrong
+	responseTimeout time.Duration
 }
 
 // Endpoint is the endpoint that was picked.
-func (s *Lease) Endpoint() Endpoint { return s.at }
+func (s *Lease) Endpoint() Endpoint { return s.endpoint }
 
 // Reason reports why it was picked.
 func (s *Lease) Reason() Reason { return s.reason }
 
 // Exclusion reports why the endpoint that the request's affinity names first was passed over, if it gets no work now.
-func (s *Lease) Exclusion() Exclusion { return s.kept }
+func (s *Lease) Exclusion() Exclusion { return s.exclusion }
 
 // Pick chooses an endpoint and counts the request as open there. It returns nil if none takes work or all have been tried.
 func (l *Pool) Pick(q Query) *Lease {
@@ -72,22 +72,22 @@
 		return nil
 	}
 	if m.open == 0 {
-		m.asked = now
+		m.awaitingSince = now
 	}
-	l.probe(m, now)
-	l.sendsCold(m, now)
+	l.markProbed(m, now)
+	l.countCold(m, now)
 	l.countDemand(q.Service, now)
-	patience := l.patience(q)
+	patience := l.responseTimeout(q)
 	if m.open == 0 {
-		m.patience = 0
+		m.responseTimeout = 0
 	}
-	m.patience = max(m.patience, patience)
+	m.responseTimeout = max(m.responseTimeout, patience)
 	m.open++
 	if q.Prompt > 0 {
-		m.harm.add(now, pauseChance(l.reading(q), q.gap()))
+		m.interference.add(now, stallProbability(l.readingTime(q), q.gap()))
 	}
 	return &Lease{
-		pool: l, member: m, at: m.Endpoint, reason: reason, kept: l.keptFirst(q), patience: patience, back: l.takenBack(m, now), picked: now,
+		pool: l, member: m, endpoint: m.Endpoint, reason: reason, exclusion: l.firstChoiceExclusion(q), responseTimeout: patience, window: l.clearNotices(m, now), picked: now,
 		permit: l.takePermit(m, now),
 	}
 }
@@ -95,51 +95,51 @@
 // choose picks among the sound endpoints. If none is sound the fault may be on this side, so it picks among all.
 func (l *Pool) choose(q Query, now time.Time) (*member, Reason) {
 	members := l.services[q.Service]
-	sound, open := l.judge(members, q, now)
-	if m := l.drawing(members, now); m != nil {
+	sound, open := l.evaluate(members, q, now)
+	if m := l.underusedLimited(members, now); m != nil {
 		return m, ReasonLimit
 	}
 	switch {
 	case sound == 0 && q.HealthyOnly:
 		return nil, ReasonLast
 	case sound > 0 && l.chooser != nil:
-		return l.chosen(members, q), ReasonLoad
+		return l.pickByChooser(members, q), ReasonLoad
 	}
 	if sound == 0 {
-		return l.leastLoaded(members, q, func(m *member) bool { return m.candidate }), ReasonLast
+		return l.pickLeastLoaded(members, q, func(m *member) bool { return m.eligible }), ReasonLast
 	}
 	if q.Affinity == "" {
-		return l.drawn(members, now), ReasonLoad
+		return l.pickOfTwo(members, now), ReasonLoad
 	}
-	if l.roams(q, now) {
-		return l.calmest(members, q, now)
+	if l.mayIgnoreAffinity(q, now) {
+		return l.pickLeastCost(members, q, now)
 	}
 	bound := l.policy.LoadFactor*float64(open+1)/float64(sound) + float64(l.policy.LoadMargin)
-	return l.affine(members, q, bound)
+	return l.pickByAffinity(members, q, bound)
 }
 
-// judge finds out which endpoints may be sent the request and which of these are sound; it returns how many are, and what is open there.
+// evaluate finds out which endpoints may be sent the request and which of these are sound; it returns how many are, and what is open there.
 // Cold ones get work only where no other is sound.
-func (l *Pool) judge(members []*member, q Query, now time.Time) (sound, open int) {
+func (l *Pool) evaluate(members []*member, q Query, now time.Time) (sound, open int) {
 	warm := 0
-	l.keeping = false
-	connected := l.connected(q.Service, now)
-	calm := len(l.evacuated) == 0 && q.Regions == nil && q.Zones == nil && l.reachesAll() && (connected == nil || connected.part > 0)
+	l.anyExcluded = false
+	connected := l.connectionsOf(q.Service, now)
+	calm := len(l.evacuated) == 0 && q.Regions == nil && q.Zones == nil && l.noZoneSuspect() && (connected == nil || connected.share > 0)
 	for _, m := range members {
-		if calm && m.unmarked() {
-			m.kept, m.candidate = NotExcluded, !m.Draining && !q.Tried[m.ID]
-			if m.good = m.candidate; m.good {
+		if calm && m.pristine() {
+			m.exclusion, m.eligible = NotExcluded, !m.Draining && !q.Tried[m.ID]
+			if m.healthy = m.eligible; m.healthy {
 				sound++
 				warm++
 			}
 			continue
 		}
-		l.forgetMarks(m, now)
-		m.kept = l.keeps(m, now)
-		l.keeping = l.keeping || m.kept != NotExcluded
-		m.candidate = m.kept == NotExcluded && l.mayRun(m, q) && l.room(m, connected, now)
-		m.good = m.candidate && l.sound(m, now)
-		if !m.good {
+		l.expireState(m, now)
+		m.exclusion = l.exclusionOf(m, now)
+		l.anyExcluded = l.anyExcluded || m.exclusion != NotExcluded
+		m.eligible = m.exclusion == NotExcluded && l.allowed(m, q) && l.hasCapacity(m, connected, now)
+		m.healthy = m.eligible && l.healthy(m, now)
+		if !m.healthy {
 			continue
 		}
 		sound++
@@ -149,51 +149,51 @@
 		}
 	}
 	if warm < sound && warm > 0 && l.policy.ColdLast {
-		sound, open = l.leaveCold(members, now)
+		sound, open = l.excludeCold(members, now)
 	}
 	return sound, open
 }
 
-// unmarked reports whether nothing at all is noted of an endpoint, as of nearly all of them in a large fleet: then it need not be judged. It has slots,
+// pristine reports whether nothing at all is noted of an endpoint, as of nearly all of them in a large fleet: then it need not be judged. It has slots,
 // as each record does, and none of them is taken from here.
-func (m *member) unmarked() bool {
-	return m.open == 0 && m.announced == nil && m.comeback == nil && m.errors == 0 && m.failed.perSecond == 0 && m.others.Failed == 0 && m.others.Silent == 0 &&
-		m.pausedTil.IsZero() && m.busyTil.IsZero() && m.warming.until.IsZero()
+func (m *member) pristine() bool {
+	return m.open == 0 && m.announced == nil && m.window == nil && m.errorShare == 0 && m.failed.perSecond == 0 && m.peerLoad.Failed == 0 && m.peerLoad.Silent == 0 &&
+		m.pausedUntil.IsZero() && m.busyUntil.IsZero() && m.warming.until.IsZero()
 }
 
-// forgetMarks takes what does not count any more from an endpoint, so that it need not be looked at again. The caller holds mu.
-func (l *Pool) forgetMarks(m *member, now time.Time) {
-	if !before(now, m.pausedTil) {
-		m.pausedTil = time.Time{}
+// expireState takes what does not count any more from an endpoint, so that it need not be looked at again. The caller holds mu.
+func (l *Pool) expireState(m *member, now time.Time) {
+	if !before(now, m.pausedUntil) {
+		m.pausedUntil = time.Time{}
 	}
-	if !before(now, m.busyTil) {
-		m.busyTil = time.Time{}
+	if !before(now, m.busyUntil) {
+		m.busyUntil = time.Time{}
 	}
 	if !before(now, m.warming.until) {
 		m.warming.until = time.Time{}
 	}
-	if m.failing(now) < leastFlow {
-		m.errors = 0
+	if m.errorShareNow(now) < minFlow {
+		m.errorShare = 0
 	}
-	if m.failed.now(now) < leastFlow {
+	if m.failed.rate(now) < minFlow {
 		m.failed = flow{}
 	}
-	if m.announced.nothing() {
+	if m.announced.inactive() {
 		m.announced = nil
 	}
-	if m.comeback.over(now) {
-		m.comeback = nil
+	if m.window.expired(now) {
+		m.window = nil
 	}
 }
 
-// leaveCold takes cold endpoints out of those that are sound. The caller holds mu.
-func (l *Pool) leaveCold(members []*member, now time.Time) (sound, open int) {
-	l.keeping = true
+// excludeCold takes cold endpoints out of those that are sound. The caller holds mu.
+func (l *Pool) excludeCold(members []*member, now time.Time) (sound, open int) {
+	l.anyExcluded = true
 	for _, m := range members {
 		switch {
-		case !m.good:
+		case !m.healthy:
 		case l.cold(m, now):
-			m.good, m.kept = false, ExcludedCold
+			m.healthy, m.exclusion = false, ExcludedCold
 		default:
 			sound++
 			open += m.open
@@ -202,9 +202,9 @@
 	return sound, open
 }
 
-// keptFirst reports why the first endpoint in the order of a request's affinity gets no work. It reports the last judgement.
-func (l *Pool) keptFirst(q Query) Exclusion {
-	if !l.keeping || q.Affinity == "" {
+// firstChoiceExclusion reports why the first endpoint in the order of a request's affinity gets no work. It reports the last judgement.
+func (l *Pool) firstChoiceExclusion(q Query) Exclusion {
+	if !l.anyExcluded || q.Affinity == "" {
 		return NotExcluded
 	}
 	key := xxhash.Sum64String(q.Affinity)
@@ -218,30 +218,30 @@
 	if first == nil {
 		return NotExcluded
 	}
-	return first.kept
+	return first.exclusion
 }
 
-// mayRun reports whether an endpoint may be sent the request at all.
-func (l *Pool) mayRun(m *member, q Query) bool {
+// allowed reports whether an endpoint may be sent the request at all.
+func (l *Pool) allowed(m *member, q Query) bool {
 	if q.Regions != nil && !slices.Contains(q.Regions, l.regions[m.Zone]) {
 		return false
 	}
 	return !m.Draining && !q.Tried[m.ID] && (q.Zones == nil || slices.Contains(q.Zones, m.Zone))
 }
 
-// room reports whether an endpoint may have one more request of this instance.
-func (l *Pool) room(m *member, c *connections, now time.Time) bool {
-	if (m.Slots > 0 && m.open >= l.part(m)) || !l.connects(m, c, now) {
+// hasCapacity reports whether an endpoint may have one more request of this instance.
+func (l *Pool) hasCapacity(m *member, c *connections, now time.Time) bool {
+	if (m.Slots > 0 && m.open >= l.slotShare(m)) || !l.mayConnect(m, c, now) {
 		return false
 	}
-	return m.comeback.over(now) || m.open < m.comeback.bound(now)
+	return m.window.expired(now) || m.open < m.window.limit(now)
 }
 
-// part is how many requests this instance may have at an endpoint.
-func (l *Pool) part(m *member) int { return max(1, m.Slots/max(1, l.share())) }
+// slotShare is how many requests this instance may have at an endpoint.
+func (l *Pool) slotShare(m *member) int { return max(1, m.Slots/max(1, l.zoneInstances())) }
 
-// leastLoaded picks the endpoint with the fewest open requests; one of another zone counts as a little busier.
-func (l *Pool) leastLoaded(members []*member, q Query, may func(*member) bool) *member {
+// pickLeastLoaded picks the endpoint with the fewest open requests; one of another zone counts as a little busier.
+func (l *Pool) pickLeastLoaded(members []*member, q Query, may func(*member) bool) *member {
 	key := xxhash.Sum64String(q.Affinity)
 	var best *member
 	var bestLoad float64
@@ -262,13 +262,13 @@
 	return best
 }
 
-// affine picks the first endpoint in the order of the request's affinity whose load is within the bound.
-func (l *Pool) affine(members []*member, q Query, bound float64) (*member, Reason) {
+// pickByAffinity picks the first endpoint in the order of the request's affinity whose load is within the bound.
+func (l *Pool) pickByAffinity(members []*member, q Query, bound float64) (*member, Reason) {
 	key := xxhash.Sum64String(q.Affinity)
 	var first, best *member
 	var firstOrder, bestOrder uint64
 	for _, m := range members {
-		if !m.good {
+		if !m.healthy {
 			continue
 		}
 		order := m.order(key)
--- a/internal/pool/place_test.go
+++ b/internal/pool/place_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestRoaming(t *testing.T) {
+func TestPickLeastCost(t *testing.T) {
 	Convey("Where it is known what others have under way", t, func() {
 		clock := &testClock{at: time.Unix(1000, 0)}
 		p := newPool(clock, 8)
@@ -84,8 +84,8 @@
 	})
 
 	Convey("A prompt harms the streams beside it more than in proportion to its length", t, func() {
-		So(pauseChance(300*time.Millisecond, defaultGap), ShouldBeLessThan, 0.05)
-		So(pauseChance(600*time.Millisecond, defaultGap), ShouldBeBetween, 0.15, 0.3)
-		So(pauseChance(2*time.Second, defaultGap), ShouldEqual, 1)
+		So(stallProbability(300*time.Millisecond, defaultGap), ShouldBeLessThan, 0.05)
+		So(stallProbability(600*time.Millisecond, defaultGap), ShouldBeBetween, 0.15, 0.3)
+		So(stallProbability(2*time.Second, defaultGap), ShouldEqual, 1)
 	})
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -80,30 +80,30 @@
 // member is an endpoint with what this instance has seen of it.
 type member struct {
 	Endpoint
-	open       int           // requests of this instance
-	patience   time.Duration // the most that one of them has
-	receivedAt time.Time     // the last byte
-	harm       flow          // of this instance's prompts: see Load
-	ended      flow          // this instance's requests that ended well or badly
-	failed     flow          // those that ended badly
-	others     Load          // what other instances have there, as last reported
-	asked      time.Time     // since when it owes an answer without a break; zero: it owes none
-	pausedTil  time.Time
-	pause      time.Duration // the last one; 0: it has answered well since
-	failures   int           // in a row
-	comeback   *comeback     // the bound after a rest or a pause; nil: none
-	pace       pace
-	errors     float64 // share of failures among the last answers, at errorsAt
-	errorsAt   time.Time
-	busyTil    time.Time
-	recordAt   time.Time  // when its record last came
-	announced  *announced // what it reports of itself in answers; nil: nothing
-	hash       uint64     // of the ID
-	run        uint32     // see Loads
-	warming    warming
-	kept       Exclusion // within one pick: why it gets no work, whatever the request
-	candidate  bool      // within one pick: it may be sent the request
-	good       bool      // within one pick: and nothing speaks against it
+	open            int           // requests of this instance
+	responseTimeout time.Duration // the most that one of them has
+	receivedAt      time.Time     // the last byte
+	interference    flow          // of this instance's prompts: see Load
+	ended           flow          // this instance's requests that ended well or badly
+	failed          flow          // those that ended badly
+	peerLoad        Load          // what other instances have there, as last reported
+	awaitingSince   time.Time     // since when it owes an answer without a break; zero: it owes none
+	pausedUntil     time.Time
+	pause           time.Duration // the last one; 0: it has answered well since
+	failures        int           // in a row
+	window          *window       // the bound after a rest or a pause; nil: none
+	pace            pace
+	errorShare      float64 // share of failures among the last answers, at errorsAt
+	errorShareAt    time.Time
+	busyUntil       time.Time
+	recordAt        time.Time  // when its record last came
+	announced       *announced // what it reports of itself in answers; nil: nothing
+	hash            uint64     // of the ID
+	runKey          uint32     // see Loads
+	warming         warming
+	exclusion       Exclusion // within one pick: why it gets no work, whatever the request
+	eligible        bool      // within one pick: it may be sent the request
+	healthy         bool      // within one pick: and nothing speaks against it
 }
 
 // Pool is the directory of endpoints. All its methods may be called at once.
@@ -117,32 +117,32 @@
 	services      map[string][]*member
 	byID          map[string]*member
 	zones         map[string]*zoneHealth
-	gone          func(addr string)
+	onRemoved     func(addr string)
 	onNotice      func(NoticeTaken)
 	onNoticeEnded func(NoticeEnded)
 	announced     map[string]*announced // by endpoint ID
 	peersLeaving  Leaving               // by other instances, in the last exchange
 
-	chooser    Chooser[Candidate] // nil: picks go by affinity and load
-	choice     Rand
-	prompts    *PrefixTable
-	elsewhere  func(endpoint string) int // requests that other instances have there, told in another way than by SetOthers
-	share      func() int                // instances among which an endpoint's slots are split
-	candidates []Candidate               // of one pick
-	chosenFrom []*member                 // of one pick, in the same order
-	others     Loads                     // what other instances have under way; nil: never told
-	othersAt   time.Time
-	speeds     map[string]*speed // by service
-
-	leftovers   map[*member]bool // endpoints that are gone, while requests of this instance are open there
-	evacuated   map[string]bool  // availability zones
-	keeping     bool             // within one pick: work is kept off some endpoint
-	warmups     map[string]slowstart.Warmup
-	owners      Owners
-	coldBounds  slowstart.Bounds
-	connections map[string]*connections // by service
-	regions     map[string]string       // by availability zone
-	random      func(n int) int         // from 0 up to n, not including it
+	chooser          Chooser[Candidate] // nil: picks go by affinity and load
+	chooserRand      Rand
+	prefixes         *PrefixTable
+	zoneLoad         func(endpoint string) int // requests that other instances have there, told in another way than by SetOthers
+	zoneInstances    func() int                // instances among which an endpoint's slots are split
+	candidates       []Candidate               // of one pick
+	candidateMembers []*member                 // of one pick, in the same order
+	peerLoads        Loads                     // what other instances have under way; nil: never told
+	peerLoadsAt      time.Time
+	speeds           map[string]*speed // by service
+
+	removedInUse map[*member]bool // endpoints that are gone, while requests of this instance are open there
+	evacuated    map[string]bool  // availability zones
+	anyExcluded  bool             // within one pick: work is kept off some endpoint
+	warmups      map[string]slowstart.Warmup
+	owners       Owners
+	coldBounds   slowstart.Bounds
+	connections  map[string]*connections // by service
+	regions      map[string]string       // by availability zone
+	random       func(n int) int         // from 0 up to n, not including it
 
 	limited     int             // endpoints whose limits hold, about
 	demand      map[string]flow // requests of this instance for services, since some endpoint names a limit
@@ -169,7 +169,7 @@
 func WithRandom(f func(n int) int) Option { return func(l *Pool) { l.random = f } }
 
 // OnRemoved sets what is called with the address of an endpoint that is not there any more.
-func OnRemoved(f func(addr string)) Option { return func(l *Pool) { l.gone = f } }
+func OnRemoved(f func(addr string)) Option { return func(l *Pool) { l.onRemoved = f } }
 
 // OnNotice sets what is notified of endpoints' words that were taken. It is called while the pool is locked, so it must not call the pool.
 func OnNotice(f func(NoticeTaken)) Option { return func(l *Pool) { l.onNotice = f } }
@@ -179,12 +179,12 @@
 
 // WithChooser lets a Chooser pick among sound endpoints, and keeps in mind which endpoint saw which blocks of prompts lately.
 func WithChooser(c Chooser[Candidate], r Rand) Option {
-	return func(l *Pool) { l.chooser, l.choice, l.prompts = c, r, NewPrefixTable(prefixEntries) }
+	return func(l *Pool) { l.chooser, l.chooserRand, l.prefixes = c, r, NewPrefixTable(prefixEntries) }
 }
 
 // WithZoneView tells how many requests the zone's other instances have at an endpoint, and among how many instances its slots are split.
 func WithZoneView(elsewhere func(endpoint string) int, share func() int) Option {
-	return func(l *Pool) { l.elsewhere, l.share = elsewhere, share }
+	return func(l *Pool) { l.zoneLoad, l.zoneInstances = elsewhere, share }
 }
 
 // New makes an empty pool for an instance in a zone.
@@ -192,9 +192,9 @@
 	l := &Pool{
 		zone: zone, policy: DefaultPolicy(), now: time.Now, wall: time.Now,
 		services: make(map[string][]*member), byID: make(map[string]*member),
-		zones: make(map[string]*zoneHealth), gone: func(string) {}, onNotice: func(NoticeTaken) {}, onNoticeEnded: func(NoticeEnded) {},
-		announced: make(map[string]*announced), leftovers: make(map[*member]bool), elsewhere: func(string) int { return 0 }, share: func() int { return 1 },
-		speeds: make(map[string]*speed), owners: alone{}, random: rand.IntN, demand: make(map[string]flow),
+		zones: make(map[string]*zoneHealth), onRemoved: func(string) {}, onNotice: func(NoticeTaken) {}, onNoticeEnded: func(NoticeEnded) {},
+		announced: make(map[string]*announced), removedInUse: make(map[*member]bool), zoneLoad: func(string) int { return 0 }, zoneInstances: func() int { return 1 },
+		speeds: make(map[string]*speed), owners: singleInstance{}, random: rand.IntN, demand: make(map[string]flow),
 	}
 	for _, opt := range opts {
 		opt(l)
@@ -238,19 +238,19 @@
 	if m != nil && m.Service == e.Service && m.Addr == e.Addr && !m.Outdated(e) {
 		changed := m.Draining != e.Draining
 		e.StartedAt, m.recordAt = max(e.StartedAt, m.StartedAt), l.now()
-		m.run = runKey(e)
+		m.runKey = runKey(e)
 		m.Endpoint = e
-		m.announced = l.recall(e)
-		l.cool(m, l.now(), e.Cold)
+		m.announced = l.reconcileRecord(e)
+		l.markCold(m, l.now(), e.Cold)
 		return changed
 	}
 	if m != nil {
 		l.remove(e.ID)
 	}
-	m = &member{Endpoint: e, receivedAt: l.now(), recordAt: l.now(), hash: xxhash.Sum64String(e.ID), run: runKey(e)}
-	l.cool(m, l.now(), e.Cold)
-	m.others = l.others[m.key()]
-	m.announced = l.recall(e)
+	m = &member{Endpoint: e, receivedAt: l.now(), recordAt: l.now(), hash: xxhash.Sum64String(e.ID), runKey: runKey(e)}
+	l.markCold(m, l.now(), e.Cold)
+	m.peerLoad = l.peerLoads[m.key()]
+	m.announced = l.reconcileRecord(e)
 	l.byID[e.ID] = m
 	l.applyPeersLeaving(m)
 	l.applyPeersLimit(m)
@@ -272,10 +272,10 @@
 	}
 	delete(l.byID, id)
 	if m.open > 0 {
-		l.leftovers[m] = true
+		l.removedInUse[m] = true
 	}
 	l.services[m.Service] = slices.DeleteFunc(l.services[m.Service], func(x *member) bool { return x == m })
-	l.gone(m.Addr)
+	l.onRemoved(m.Addr)
 	return true
 }
 
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -169,7 +169,7 @@
 	})
 }
 
-func TestPatience(t *testing.T) {
+func TestResponseTimeout(t *testing.T) {
 	Convey("An endpoint that reads a long prompt", t, func() {
 		clock := &testClock{at: time.Unix(1000, 0)}
 		p := newPool(clock, 4)
@@ -200,13 +200,13 @@
 		})
 
 		Convey("is given up at some point, however long its prompt", func() {
-			So(p.Pick(Query{Service: "models", Prompt: 1 << 30}).ResponseTimeout(), ShouldEqual, mostPatience)
+			So(p.Pick(Query{Service: "models", Prompt: 1 << 30}).ResponseTimeout(), ShouldEqual, maxResponseTimeout)
 		})
 	})
 }
 
 // What was noted of an endpoint is forgotten when it does not count any more, so that picks need not look at it again.
-func TestForgetMarks(t *testing.T) {
+func TestExpireState(t *testing.T) {
 	Convey("An endpoint of which something was noted is unmarked again in time", t, func() {
 		for _, note := range []func(*Pool, *Lease){
 			func(_ *Pool, l *Lease) { l.Done(EndBroken) },
@@ -214,18 +214,18 @@
 			func(_ *Pool, l *Lease) { l.Done(EndFailed) },
 			func(_ *Pool, l *Lease) { l.Done(EndUnreachable) },
 			func(_ *Pool, l *Lease) { l.ObserveNotice(Notice{Rest: time.Second}, Answer{}); l.Done(EndBusy) },
-			func(p *Pool, l *Lease) { l.Done(EndGood); p.cool(p.byID["e-0"], p.now(), time.Second) },
+			func(p *Pool, l *Lease) { l.Done(EndGood); p.markCold(p.byID["e-0"], p.now(), time.Second) },
 		} {
 			clock := &testClock{at: time.Unix(1000, 0)}
 			p := newPool(clock, 1)
 			m := p.byID["e-0"]
-			So(m.unmarked(), ShouldBeTrue)
+			So(m.pristine(), ShouldBeTrue)
 			note(p, p.Pick(Query{Service: "models"}))
-			So(m.unmarked(), ShouldBeFalse)
+			So(m.pristine(), ShouldBeFalse)
 			clock.pass(3 * time.Minute)
 			p.Pick(Query{Service: "models"}).Done(EndNeutral)
 			p.Pick(Query{Service: "models"}).Done(EndNeutral)
-			So(m.unmarked(), ShouldBeTrue)
+			So(m.pristine(), ShouldBeTrue)
 		}
 	})
 }
--- a/internal/pool/prompts.go
+++ b/internal/pool/prompts.go
@@ -8,14 +8,14 @@
 
 const (
 	blockBytes = 256 // prompts are compared in blocks of this many bytes
-	mostBlocks = 64
+	maxBlocks  = 64
 
 	prefixEntries = 1 << 15 // pairs of an endpoint and a block that are remembered
 )
 
 // Blocks hashes the beginning of a prompt in blocks; each hash covers everything before it too.
 func Blocks(prompt []byte) []uint64 {
-	n := min(len(prompt)/blockBytes, mostBlocks)
+	n := min(len(prompt)/blockBytes, maxBlocks)
 	out := make([]uint64, 0, n)
 	d := xxhash.New()
 	for i := range n {
--- a/internal/pool/return_test.go
+++ b/internal/pool/return_test.go
@@ -10,14 +10,14 @@
 
 // All instances are told at about the same time that an endpoint wants rest, and came back within a tenth of it, with a request each: 300 at once at an
 // endpoint that works on 32. So those that are later in an order that all know come back later, twice as many in each step.
-func TestReturnOfMany(t *testing.T) {
+func TestStaggeredReturn(t *testing.T) {
 	const slots, rest = 32, time.Second
 	for _, instances := range []int{6, 30, 300} {
 		Convey(fmt.Sprintf("%d instances come back to an endpoint after its rest, no more at once than it bears, all in some seconds", instances), t, func() {
 			clock := &testClock{at: time.Unix(1000, 0)}
 			pools := make([]*Pool, 0, instances)
 			for i := range instances {
-				p := New("a", WithNow(clock.now), WithOwners(oneOf{place: i, size: instances}))
+				p := New("a", WithNow(clock.now), WithOwners(fleetMember{place: i, size: instances}))
 				p.Put(Endpoint{ID: "e-1", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: slots})
 				lease := p.Pick(Query{Service: "s"})
 				lease.ObserveNotice(Notice{Rest: rest}, Answer{})
--- a/internal/pool/silence_test.go
+++ b/internal/pool/silence_test.go
@@ -9,9 +9,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// darkEndpoints plays a fleet of 87 instances at 420 requests a second while a fifth of 90 endpoints say nothing any more, and returns how
+// countSentToSilent plays a fleet of 87 instances at 420 requests a second while a fifth of 90 endpoints say nothing any more, and returns how
 // many requests are sent to these in four seconds. told: instances tell each other each half second what they have under way.
-func darkEndpoints(told bool) int {
+func countSentToSilent(told bool) int {
 	const (
 		instances, endpoints, dark = 87, 90, 18
 		requests                   = 420 // a second
@@ -53,7 +53,7 @@
 		}
 		if told && clock.at.Sub(lastTold) >= tellEvery {
 			lastTold = clock.at
-			tellAll(pools)
+			exchangeLoads(pools)
 		}
 		for len(running) > 0 && clock.at.After(running[0].until) {
 			running[0].lease.Done(EndGood)
@@ -69,9 +69,9 @@
 	return sent
 }
 
-func TestSilenceIsTold(t *testing.T) {
+func TestSilenceFromPeers(t *testing.T) {
 	Convey("Where many endpoints fall silent, an instance learns of it from others before it has sent them requests of its own", t, func() {
-		alone, told := darkEndpoints(false), darkEndpoints(true)
+		alone, told := countSentToSilent(false), countSentToSilent(true)
 		So(told, ShouldBeLessThan, alone*6/10)
 	})
 
--- a/internal/pool/speed.go
+++ b/internal/pool/speed.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	startSpeed   = 20000           // tokens a second, until answers have told; a few times slower than the endpoints that are known
-	speedMemory  = 200 * 1000      // tokens of prompts after which what was learnt of a speed counts a third
-	leastPrompt  = 1000            // shorter prompts tell nothing of a speed
-	mostPatience = 5 * time.Second // bounds what a slow service or a huge prompt may take
+	defaultSpeed       = 20000           // tokens a second, until answers have told; a few times slower than the endpoints that are known
+	speedMemory        = 200 * 1000      // tokens of prompts after which what was learnt of a speed counts a third
+	minPrompt          = 1000            // shorter prompts tell nothing of a speed
+	maxResponseTimeout = 5 * time.Second // bounds what a slow service or a huge prompt may take
 )
 
 // speed is how fast a service's endpoints get through prompts, kept parts and waiting counted in.
@@ -17,23 +17,23 @@
 
 func (s *speed) perSecond() float64 {
 	if s == nil || s.tokens < speedMemory/10 || s.seconds <= 0 {
-		return startSpeed
+		return defaultSpeed
 	}
 	return s.tokens / s.seconds
 }
 
 // ObserveFirstEvent notes how long an endpoint took to the first event of an answer to a prompt.
 func (s *Lease) ObserveFirstEvent(prompt int64, took time.Duration) {
-	if prompt < leastPrompt {
+	if prompt < minPrompt {
 		return
 	}
 	l := s.pool
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	x := l.speeds[s.at.Service]
+	x := l.speeds[s.endpoint.Service]
 	if x == nil {
 		x = &speed{}
-		l.speeds[s.at.Service] = x
+		l.speeds[s.endpoint.Service] = x
 	}
 	keep := math.Exp(-float64(prompt) / speedMemory)
 	x.tokens = x.tokens*keep + float64(prompt)
@@ -41,14 +41,14 @@
 }
 
 // ResponseTimeout is how long the endpoint may take to the first word of the answer: what reading the prompt is expected to take, some times.
-func (s *Lease) ResponseTimeout() time.Duration { return s.patience }
+func (s *Lease) ResponseTimeout() time.Duration { return s.responseTimeout }
 
-// patience is how long an endpoint may take to the first word of an answer. The caller holds mu.
-func (l *Pool) patience(q Query) time.Duration {
-	return max(l.policy.MinResponseTimeout, min(mostPatience, time.Duration(l.policy.ResponseTimeoutFactor*float64(l.reading(q)))))
+// responseTimeout is how long an endpoint may take to the first word of an answer. The caller holds mu.
+func (l *Pool) responseTimeout(q Query) time.Duration {
+	return max(l.policy.MinResponseTimeout, min(maxResponseTimeout, time.Duration(l.policy.ResponseTimeoutFactor*float64(l.readingTime(q)))))
 }
 
-// reading is how long an endpoint is expected to take to the first word of an answer. The caller holds mu.
-func (l *Pool) reading(q Query) time.Duration {
+// readingTime is how long an endpoint is expected to take to the first word of an answer. The caller holds mu.
+func (l *Pool) readingTime(q Query) time.Duration {
 	return time.Duration(float64(q.Prompt) / l.speeds[q.Service].perSecond() * float64(time.Second))
 }
--- a/internal/pool/status.go
+++ b/internal/pool/status.go
@@ -18,10 +18,10 @@
 	byID := make(map[string]*Status, len(l.byID))
 	for _, m := range l.byID {
 		byID[m.ID] = &Status{
-			ID: m.ID, Open: m.open, Paused: m.pause > 0, Exclusion: l.keeps(m, now), FirstToken: m.pace.first, PerToken: m.pace.token,
+			ID: m.ID, Open: m.open, Paused: m.pause > 0, Exclusion: l.exclusionOf(m, now), FirstToken: m.pace.first, PerToken: m.pace.token,
 		}
 	}
-	for m := range l.leftovers {
+	for m := range l.removedInUse {
 		if byID[m.ID] == nil {
 			byID[m.ID] = &Status{ID: m.ID}
 		}
@@ -41,15 +41,15 @@
 	defer l.mu.Unlock()
 	n := 0
 	for _, m := range l.services[q.Service] {
-		if !l.mayRun(m, q) || l.keeps(m, now) != NotExcluded || !l.sound(m, now) {
+		if !l.allowed(m, q) || l.exclusionOf(m, now) != NotExcluded || !l.healthy(m, now) {
 			continue
 		}
-		room := l.part(m)
-		if c := l.connected(q.Service, now); c != nil {
-			room = min(room, c.part)
+		room := l.slotShare(m)
+		if c := l.connectionsOf(q.Service, now); c != nil {
+			room = min(room, c.share)
 		}
-		if !m.comeback.over(now) {
-			room = min(room, m.comeback.bound(now))
+		if !m.window.expired(now) {
+			room = min(room, m.window.limit(now))
 		}
 		n += room
 	}
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -61,7 +61,7 @@
 		},
 		"a cold endpoint is warm": {
 			func(p *Pool) {
-				p.cool(p.byID["e"], p.now(), 5*time.Second)
+				p.markCold(p.byID["e"], p.now(), 5*time.Second)
 				for takes(p) {
 				}
 			},
--- a/internal/pool/warm.go
+++ b/internal/pool/warm.go
@@ -19,8 +19,8 @@
 	ExcludedLimited   Exclusion = "limited"   // it names a limit for all instances, and has had this one's part of it
 )
 
-// ownersFor is how long it counts who owns a cold endpoint, before that is looked up again: instances come and go in seconds.
-const ownersFor = time.Second
+// ownersTTL is how long it counts who owns a cold endpoint, before that is looked up again: instances come and go in seconds.
+const ownersTTL = time.Second
 
 // Owners tells which instances own what, in an order that all instances come to alone.
 type Owners interface {
@@ -40,13 +40,13 @@
 // WithColdBounds sets what the operator lets cold endpoints get.
 func WithColdBounds(b slowstart.Bounds) Option { return func(l *Pool) { l.coldBounds = b } }
 
-// alone is a fleet of one instance.
-type alone struct{}
+// singleInstance is a fleet of one instance.
+type singleInstance struct{}
 
-func (alone) Known() bool           { return true }
-func (alone) Size() int             { return 1 }
-func (alone) Owns(string, int) bool { return true }
-func (alone) Place() (int, int)     { return 0, 1 }
+func (singleInstance) Known() bool           { return true }
+func (singleInstance) Size() int             { return 1 }
+func (singleInstance) Owns(string, int) bool { return true }
+func (singleInstance) Place() (int, int)     { return 0, 1 }
 
 // warming is what an instance knows of one endpoint that is cold.
 type warming struct {
@@ -77,13 +77,13 @@
 	now := l.now()
 	for _, m := range l.byID {
 		if old[m.Zone] && !l.evacuated[m.Zone] {
-			l.cool(m, now, l.warmups[m.Service].Time)
+			l.markCold(m, now, l.warmups[m.Service].Time)
 		}
 	}
 }
 
-// cool notes that an endpoint is cold for some time from now on. The caller holds mu.
-func (l *Pool) cool(m *member, now time.Time, d time.Duration) {
+// markCold notes that an endpoint is cold for some time from now on. The caller holds mu.
+func (l *Pool) markCold(m *member, now time.Time, d time.Duration) {
 	if until := now.Add(d); d > 0 && until.After(m.warming.until) {
 		m.warming.until = until
 	}
@@ -94,15 +94,15 @@
 	return before(now, m.warming.until) && l.warmups[m.Service].PerSecond > 0
 }
 
-// keeps reports why an endpoint gets no work now, whatever the request. The caller holds mu.
-func (l *Pool) keeps(m *member, now time.Time) Exclusion {
+// exclusionOf reports why an endpoint gets no work now, whatever the request. The caller holds mu.
+func (l *Pool) exclusionOf(m *member, now time.Time) Exclusion {
 	switch {
 	case len(l.evacuated) > 0 && l.evacuated[m.Zone]:
 		return ExcludedEvacuated
 	case l.cold(m, now) && !l.admits(m, now):
 		return ExcludedCold
 	}
-	if kept := m.abstains(now); kept != NotExcluded {
+	if kept := m.noticeExclusion(now); kept != NotExcluded {
 		return kept
 	}
 	if !l.allows(m, now) {
@@ -114,7 +114,7 @@
 // admits reports whether this instance may send a request to a cold endpoint now. The caller holds mu.
 func (l *Pool) admits(m *member, now time.Time) bool {
 	w := &m.warming
-	if now.Sub(w.checked) > ownersFor {
+	if now.Sub(w.checked) > ownersTTL {
 		w.share = slowstart.Plan(l.warmups[m.Service], l.coldBounds, l.owners.Size())
 		w.owns = l.owners.Known() && l.owners.Owns(m.ID, w.share.Owners)
 		w.checked = now
@@ -122,8 +122,8 @@
 	return w.owns && w.bucket.Has(now, w.share)
 }
 
-// sendsCold counts a request to a cold endpoint. The caller holds mu.
-func (l *Pool) sendsCold(m *member, now time.Time) {
+// countCold counts a request to a cold endpoint. The caller holds mu.
+func (l *Pool) countCold(m *member, now time.Time) {
 	if l.cold(m, now) {
 		m.warming.bucket.Take(now, m.warming.share)
 	}
--- a/internal/pool/warm_test.go
+++ b/internal/pool/warm_test.go
@@ -78,19 +78,19 @@
 	})
 }
 
-// ranked tells owners by the same order at each instance, as peers.Directory does.
-type ranked struct {
+// rankedOwners tells owners by the same order at each instance, as peers.Directory does.
+type rankedOwners struct {
 	self string
 	list []mesh.Peer
 }
 
-func (r ranked) Known() bool { return true }
-func (r ranked) Size() int   { return len(r.list) }
-func (r ranked) Place() (int, int) {
+func (r rankedOwners) Known() bool { return true }
+func (r rankedOwners) Size() int   { return len(r.list) }
+func (r rankedOwners) Place() (int, int) {
 	return slices.IndexFunc(r.list, func(p mesh.Peer) bool { return p.ID == r.self }), len(r.list)
 }
 
-func (r ranked) Owns(key string, first int) bool {
+func (r rankedOwners) Owns(key string, first int) bool {
 	for _, p := range membership.Rank(key, r.list)[:min(first, len(r.list))] {
 		if p.ID == r.self {
 			return true
@@ -99,9 +99,9 @@
 	return false
 }
 
-// coldZone plays a zone of a large fleet that is given back cold, at 420 requests a second of 360 topics, and returns the most that a
+// simulateColdZone plays a zone of a large fleet that is given back cold, at 420 requests a second of 360 topics, and returns the most that a
 // cold endpoint gets in one second, and the part of all requests that found no endpoint.
-func coldZone(policy Policy, bounds slowstart.Bounds, perSecond float64) (worst int, refused float64) {
+func simulateColdZone(policy Policy, bounds slowstart.Bounds, perSecond float64) (worst int, refused float64) {
 	const (
 		instances, endpoints = 87, 90
 		requests             = 420 // a second
@@ -117,7 +117,7 @@
 	}
 	pools := make([]*Pool, instances)
 	for i, x := range list {
-		pools[i] = New(x.Zone, WithNow(clock.now), WithPolicy(policy), WithOwners(ranked{x.ID, list}), WithColdBounds(bounds))
+		pools[i] = New(x.Zone, WithNow(clock.now), WithPolicy(policy), WithOwners(rankedOwners{x.ID, list}), WithColdBounds(bounds))
 		pools[i].SetWarmups(map[string]slowstart.Warmup{"models": {Time: warm, PerSecond: perSecond}})
 		for e := range endpoints {
 			pools[i].Put(Endpoint{ID: fmt.Sprint("e-", e), Service: "models", Addr: "10.0.0.1:80", Zone: zones[e%len(zones)], Slots: 48})
@@ -165,18 +165,18 @@
 		const perSecond = 5 // low enough that affinity alone exceeds the bound in every play
 		bounds := slowstart.Bounds{Overage: 1.5, Slack: 1}
 		const most = 8 // PerSecond * Overage + Slack, rounded down
-		unbounded, _ := coldZone(DefaultPolicy(), bounds, 0)
+		unbounded, _ := simulateColdZone(DefaultPolicy(), bounds, 0)
 		So(unbounded, ShouldBeGreaterThan, most)
 
 		owned := DefaultPolicy()
 		owned.ColdLast = false
-		worst, refused := coldZone(owned, bounds, perSecond)
+		worst, refused := simulateColdZone(owned, bounds, perSecond)
 		So(worst, ShouldBeBetweenOrEqual, 1, most)
 		So(refused, ShouldEqual, 0)
 
 		last := DefaultPolicy()
 		last.ColdLast = true
-		worst, refused = coldZone(last, bounds, perSecond)
+		worst, refused = simulateColdZone(last, bounds, perSecond)
 		So(worst, ShouldEqual, 0)
 		So(refused, ShouldEqual, 0)
 	})
