--- a/internal/pool/chooser.go
+++ b/internal/pool/chooser.go
@@ -8,22 +8,22 @@
 type Candidate struct {
 	ID         string
 	Own        int     // requests in progress through this instance, exact
-	Zone       int     // requests in progress through the zone's other instances, as they last said
-	Limit      int     // requests that it takes together
-	FirstToken float64 // recent time to the first token when idle-ish, seconds; 0 if unknown
-	PerToken   float64 // recent time between tokens, seconds; 0 if unknown
+	Zone       int     // requests in progress through the zone's other instances, as last reported
+	Limit      int     // requests that it runs at once
+	FirstToken float64 // recent time to the first token, taken as that at low load, in seconds; 0 if unknown
+	PerToken   float64 // recent time between tokens, in seconds; 0 if unknown
 	Cached     float64 // share of the prompt that it probably has cached, 0 to 1
 }
 
 // Load is the share of the limit in use.
 func (c Candidate) Load() float64 { return float64(c.Own+c.Zone) / float64(max(c.Limit, 1)) }
 
-// Rand is the randomness that choosers use.
+// Rand is the source of randomness of choosers.
 type Rand interface{ IntN(n int) int }
 
 var _ Rand = (*rand.Rand)(nil)
 
-// Chooser picks one of some candidates, of which there is at least one. It does no I/O.
+// Chooser picks one of several candidates, of which there is at least one. It does no I/O.
 type Chooser[C any] interface {
 	Name() string
 	Pick(cs []C, r Rand) int
@@ -75,10 +75,10 @@
 // prefillShare is how much of the time to the first token a cached prompt saves.
 const prefillShare = 0.7
 
-// assumedFirst is the time to the first token that is assumed of an endpoint that has not shown any, in seconds.
+// assumedFirst is the time to the first token that is assumed for an endpoint without a measured one, in seconds.
 const assumedFirst = 0.3
 
-// expected is the expected time to the first token, in seconds: the prefill that is not cached, stretched by load.
+// expected is the expected time to the first token, in seconds: the prefill that is not cached, scaled up by load.
 func expected(c Candidate, weight float64) float64 {
 	first := c.FirstToken
 	if first <= 0 {
@@ -155,10 +155,10 @@
 	return chosen
 }
 
-// DefaultChooser is the one in use; docs/design/balancing.md has the measurements.
+// DefaultChooser returns the chooser in use; docs/design/balancing.md has the measurements.
 func DefaultChooser() Chooser[Candidate] { return PrefixAffinity{Bound: 1.05, Sample: 6} }
 
-// pickByChooser lets the pool's Chooser pick among the sound endpoints. The caller holds mu.
+// pickByChooser lets the pool's Chooser pick among the healthy endpoints. The caller holds mu.
 func (l *Pool) pickByChooser(members []*member, q Query) *member {
 	l.candidates, l.candidateMembers = l.candidates[:0], l.candidateMembers[:0]
 	for _, m := range members {
@@ -176,21 +176,21 @@
 	return m
 }
 
-// BlockCached notes that an endpoint keeps a block of prompts.
+// BlockCached records that an endpoint has cached a block of prompts.
 func (l *Pool) BlockCached(endpoint string, block uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.prefixes.Add(endpoint, []uint64{block})
 }
 
-// BlockEvicted notes that an endpoint does not keep a block of prompts any more.
+// BlockEvicted records that an endpoint has evicted a block of prompts from its cache.
 func (l *Pool) BlockEvicted(endpoint string, block uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.prefixes.Remove(endpoint, block)
 }
 
-// ForgetPrompts drops all that is known of what an endpoint keeps.
+// ForgetPrompts drops all that is recorded of an endpoint's cache.
 func (l *Pool) ForgetPrompts(endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/pool/connections.go
+++ b/internal/pool/connections.go
@@ -2,39 +2,42 @@
 
 import "time"
 
-// connections bounds what this instance opens to each endpoint of a service, so that all instances together open no more than one takes: an endpoint
-// resets connections beyond that, and the requests on them. Each instance has an even part, whatever it knows of others. It opens more while all
-// together have opened less than half of what the endpoint takes, as far as others tell: requests of one subject belong together, and a few endpoints
-// before hundreds of instances would else be closed to most of them.
+// connections bounds the connections that this instance opens to each endpoint of a service, so that all instances
+// together open no more than an endpoint accepts: it resets connections beyond that, and the requests on them. Each
+// instance has an even share, whatever it knows of the others. It opens more while all instances together have opened
+// less than half of what the endpoint accepts, as far as reported: requests with the same affinity belong together,
+// and a few endpoints would otherwise be closed to most of hundreds of instances.
 type connections struct {
-	limit   int // that are opened to an endpoint by all instances
-	share   int // of this instance; 0: there are more instances than that
+	limit   int // to an endpoint from all instances together
+	share   int // of this instance; 0: there are more instances than connections
 	place   uint64
 	size    uint64
 	checked time.Time
 }
 
 const (
-	// plannedConnections is the part of the connections that is planned for: instances that have just started, or look whether an endpoint has ended,
-	// open some beside.
+	// plannedConnections is the share of the connections that is divided among the instances. Instances that have
+	// just started, or probe whether an endpoint has ended, open some in addition.
 	plannedConnections = 0.9
-	// freeConnections is the part of those below which anybody may open one: what others have is told half a second late.
+	// freeConnections is the share of those below which any instance may open one. It leaves a margin, since the
+	// loads of other instances arrive half a second late.
 	freeConnections = 0.5
 )
 
-// SetConnections takes how many connections an endpoint of each service takes from all callers together; 0: any number.
+// SetConnections sets how many connections an endpoint of each service accepts from all callers together; 0: any
+// number.
 func (l *Pool) SetConnections(byService map[string]int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.connections = make(map[string]*connections, len(byService))
-	for service, most := range byService {
-		if most > 0 {
-			l.connections[service] = &connections{limit: max(1, int(plannedConnections*float64(most)))}
+	for service, limit := range byService {
+		if limit > 0 {
+			l.connections[service] = &connections{limit: max(1, int(plannedConnections*float64(limit)))}
 		}
 	}
 }
 
-// connectionsOf is what this instance may open to endpoints of a service; nil: any number. The caller holds mu.
+// connectionsOf returns the bounds on connections to endpoints of a service; nil: no bounds. The caller holds mu.
 func (l *Pool) connectionsOf(service string, now time.Time) *connections {
 	c := l.connections[service]
 	if c == nil || (!c.checked.IsZero() && now.Sub(c.checked) < ownersTTL) {
--- a/internal/pool/draw.go
+++ b/internal/pool/draw.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// crossZoneSurcharge is by how much more than one of another availability zone an endpoint of the own zone may get: a path between zones may be cut, and
-// costs a little.
+// crossZoneSurcharge is by how much the load of an endpoint in another availability zone counts as higher: a path
+// between zones may be cut, and costs a little.
 const crossZoneSurcharge = 0.1
 
-// busierFactor is by how much busier one of two endpoints must be for the other to be taken for that: below it the difference is chance, and to go
-// by it would send half of all requests to one endpoint until its load is told again.
+// busierFactor is how many times as busy one of two endpoints must be for the other to be preferred. A smaller
+// difference is chance, and acting on it would send half of all requests to one endpoint until its load is reported
+// again.
 const busierFactor = 1.2
 
-// pickOfTwo picks one of two sound endpoints pickOfTwo at random, the other one if it is clearly less busy, for requests that nothing keeps anywhere.
+// pickOfTwo draws two healthy endpoints at random and picks the one that is clearly less busy, or else either of
+// them. It serves requests without affinity.
 //
-// The load that it answers: a large fleet before a few small endpoints, as of plain services. Each instance has next to nothing under way there
-// itself, so that by its own count all are equal, and any fixed order sends the requests of all instances to the same endpoint. What others have
-// there is told half a second late, when work of some 60 ms has long changed: by the requests that are open all instances would run to one
-// endpoint after the other. So it goes by how many have ended in the last seconds.
-// Replayed by TestDrawn.
+// It is meant for a large fleet before a few small endpoints, such as those of plain services. Each instance has
+// almost no requests open there itself, so that all endpoints are equal by its own count, and any fixed order sends
+// the requests of all instances to the same endpoint. The loads of other instances arrive half a second late, when
+// work of some 60 ms has long changed: by open requests, all instances would move to one endpoint after the other. So
+// it compares how many requests have ended in the last seconds. TestPickOfTwo reproduces it.
 func (l *Pool) pickOfTwo(members []*member, now time.Time) *member {
 	var a, b *member
 	n := 0
@@ -52,7 +54,7 @@
 	return [...]*member{a, b}[l.random(2)]
 }
 
-// busyness is what all instances send to an endpoint, as far as it is known, for each of its slots.
+// busyness is the rate of requests from all instances to an endpoint, as far as it is known, for each of its slots.
 func (l *Pool) busyness(m *member, now time.Time) float64 {
 	load := l.total(m, now).Ended / m.slots()
 	if m.Zone != l.zone {
@@ -61,7 +63,7 @@
 	return load
 }
 
-// slots is the number of requests that an endpoint works on at once, or a guess.
+// slots is the number of requests that an endpoint works on at once, or defaultSlots if it names none.
 func (m *member) slots() float64 {
 	if m.Slots <= 0 {
 		return defaultSlots
--- a/internal/pool/health.go
+++ b/internal/pool/health.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	errorWeight = 0.12            // the part of one answer in an endpoint's share of failures
-	errorDecay  = 4 * time.Second // the time constant with which that share is forgotten
+	errorWeight = 0.12            // weight of one response in an endpoint's share of failures
+	errorDecay  = 4 * time.Second // time constant with which that share decays
 )
 
-// errorShareNow is the share of failures among an endpoint's last answers, older ones counting less.
+// errorShareNow is the share of failures among an endpoint's recent responses; older ones count less.
 func (m *member) errorShareNow(now time.Time) float64 {
 	if m.errorShare == 0 {
 		return 0
@@ -18,13 +18,13 @@
 	return m.errorShare * math.Exp(-now.Sub(m.errorShareAt).Seconds()/errorDecay.Seconds())
 }
 
-// recordResult takes one more answer into the share: 1 for a failure, 0 for none.
+// recordResult adds one response to the share of failures: 1 for a failure, 0 for a success.
 func (m *member) recordResult(now time.Time, failure float64) {
 	m.errorShare = m.errorShareNow(now)*(1-errorWeight) + failure*errorWeight
 	m.errorShareAt = now
 }
 
-// healthy reports whether nothing speaks against an endpoint.
+// healthy reports whether an endpoint and the path to it show no sign of a fault, and the endpoint is not busy.
 func (l *Pool) healthy(m *member, now time.Time) bool {
 	switch {
 	case l.zoneSuspect(m, now), before(now, m.pausedUntil), before(now, m.busyUntil):
@@ -35,10 +35,10 @@
 	return !l.silent(m, now)
 }
 
-// before reports whether a moment lies ahead; the zero one, which most endpoints have, never does.
+// before reports whether now is before a time. It is always false for the zero time, which most endpoints have.
 func before(now, at time.Time) bool { return !at.IsZero() && now.Before(at) }
 
-// silent reports whether an endpoint owes an answer and has said nothing for too long.
+// silent reports whether an endpoint owes a response and has sent nothing for longer than the response timeout.
 func (l *Pool) silent(m *member, now time.Time) bool {
 	if m.open == 0 {
 		return false
@@ -50,7 +50,7 @@
 	return now.Sub(since) > max(l.policy.MinResponseTimeout, m.responseTimeout)
 }
 
-// Received notes that the endpoint has sent something.
+// Received records that the endpoint has sent data.
 func (s *Lease) Received() {
 	s.pool.mu.Lock()
 	s.member.receivedAt = s.pool.now()
@@ -58,32 +58,32 @@
 	s.pool.mu.Unlock()
 }
 
-// Silent reports whether the endpoint says nothing to anybody here.
+// Silent reports whether the endpoint has sent nothing to this instance for longer than the response timeout.
 func (s *Lease) Silent() bool {
 	s.pool.mu.RLock()
 	defer s.pool.mu.RUnlock()
 	return s.pool.silent(s.member, s.pool.now())
 }
 
-// ProcessState is what is known of the process that was picked.
+// ProcessState is what is known of the process of the picked endpoint.
 type ProcessState int
 
-// The fates.
+// The states of a process.
 const (
-	ProcessRunning ProcessState = iota // nothing speaks for its end
-	ProcessLeaving                     // its planned end is known: it has said that it drains, or its record is gone
+	ProcessRunning ProcessState = iota // nothing indicates that it ends
+	ProcessLeaving                     // it is to end: it drains, has announced it, or has no record any more
 	ProcessEnded                       // another process has started under its ID
 )
 
-// ProcessState tells what is known of the process that was picked.
+// ProcessState returns what is known of the process of the picked endpoint.
 func (s *Lease) ProcessState() ProcessState {
 	s.pool.mu.RLock()
 	defer s.pool.mu.RUnlock()
-	now := s.pool.byID[s.member.ID]
+	current := s.pool.byID[s.member.ID]
 	switch {
-	case now == s.member && !s.member.Draining && !s.member.announced.leaves(s.pool.now()):
+	case current == s.member && !s.member.Draining && !s.member.announced.leaves(s.pool.now()):
 		return ProcessRunning
-	case now != nil && s.member.Outdated(now.Endpoint):
+	case current != nil && s.member.Outdated(current.Endpoint):
 		return ProcessEnded
 	}
 	return ProcessLeaving
@@ -92,19 +92,19 @@
 // End is how a request's use of an endpoint ended.
 type End int
 
-// The ends.
+// The ways in which a use ends.
 const (
-	EndGood        End = iota // a whole answer
-	EndFailed                 // an answer that reports that the endpoint failed
-	EndBroken                 // no answer, half an answer, or none that can be trusted
-	EndUnreachable            // no connection came about
-	EndBusy                   // the endpoint did not run it for lack of room
+	EndGood        End = iota // a complete response
+	EndFailed                 // a response that reports a failure of the endpoint
+	EndBroken                 // no response, a truncated one, or one that cannot be trusted
+	EndUnreachable            // no connection was established
+	EndBusy                   // the endpoint rejected it for lack of capacity
 	EndMoved                  // another endpoint has the address
-	EndNeutral                // nothing is learnt: the caller left, or the time was up
-	EndUnsent                 // nothing was sent: it was not wanted there any more
+	EndNeutral                // says nothing about the endpoint: the caller left, or the deadline passed
+	EndUnsent                 // nothing was sent: the endpoint no longer accepted it
 )
 
-// Accepted notes that the endpoint runs the request.
+// Accepted records that the endpoint runs the request, which lets the endpoint's window grow.
 func (s *Lease) Accepted() {
 	if s.window == nil {
 		return
@@ -114,7 +114,7 @@
 	s.window.grow()
 }
 
-// Done ends the use and learns from how it ended.
+// Done ends the use and updates the endpoint's health by how it ended. Further calls do nothing.
 func (s *Lease) Done(end End) {
 	l := s.pool
 	now := l.now()
@@ -158,17 +158,17 @@
 	}
 }
 
-// busyPause is how long an endpoint that is full gets no work.
+// busyPause is how long a busy endpoint gets no new work.
 const busyPause = 100 * time.Millisecond
 
-// recordFailure notes a failure, which pauses an endpoint if there were enough in a row.
+// recordFailure counts a failure, and pauses the endpoint after enough consecutive ones.
 func (l *Pool) recordFailure(m *member, now time.Time) {
 	if m.failures++; m.failures >= l.policy.PauseAfter {
 		l.pauseMember(m, now)
 	}
 }
 
-// pauseMember keeps new work from an endpoint, longer with each time in a row, unless too many of its service are paused.
+// pauseMember pauses an endpoint, each time in a row for longer, unless too many endpoints of its service are paused.
 func (l *Pool) pauseMember(m *member, now time.Time) {
 	if !l.mayPause(m) {
 		return
@@ -184,7 +184,8 @@
 	}
 }
 
-// mayPause reports whether one more endpoint of a service may be paused: what looks like a fault of most of them is one on the way there.
+// mayPause reports whether one more endpoint of a service may be paused. What looks like a fault of most of them is
+// rather one on the path there.
 func (l *Pool) mayPause(m *member) bool {
 	if l.policy.MaxPausedShare >= 1 {
 		return true
--- a/internal/pool/limits.go
+++ b/internal/pool/limits.go
@@ -6,30 +6,31 @@
 	"github.com/ledgemount/ledgemount/internal/limit"
 )
 
-// limits is the limit of one run of an endpoint's process, and what this instance may send under it.
+// limits holds the limit of one run of an endpoint's process, and what this instance may send under it.
 type limits struct {
-	direct limit.Known // as this instance has heard it itself
-	known  limit.Known // as all instances have heard it, as far as this one was told
+	direct limit.Known // as received by this instance itself
+	known  limit.Known // as received by any instance, as far as reported to this one
 	bucket limit.Bucket
-	active bool // it holds, as of the last look
+	active bool // the limit is in force, as of the last check
 }
 
-// Limits is what endpoints have said of their limits, by the same key as Loads.
+// Limits holds the limits that endpoints have announced, by the same key as Loads.
 type Limits map[uint32]limit.Known
 
-// Add adds what others have heard.
+// Add merges the limits that other instances have received.
 func (l Limits) Add(other Limits) {
 	for key, k := range other {
-		mine := l[key]
-		mine.Merge(k)
-		l[key] = mine
+		merged := l[key]
+		merged.Merge(k)
+		l[key] = merged
 	}
 }
 
-// WithLeases makes a pool that sends to endpoints under limits what it is lent with SetLeases. Without, it sends an even part of what they take.
+// WithLeases makes the pool send to endpoints with limits what SetLeases grants it. Without it, the pool sends an
+// even share of each limit.
 func WithLeases() Option { return func(l *Pool) { l.leased = true } }
 
-// observeLimit takes the limit that an answer names, or that it names none. The caller holds mu.
+// observeLimit applies the limit that a response names, or its absence. The caller holds mu.
 func (l *Pool) observeLimit(s *Lease, r limit.Rate, a Answer) {
 	m := s.member
 	if !r.Named() && (m.announced == nil || !m.announced.limits.active) {
@@ -47,7 +48,7 @@
 	l.limitChanged(m, x, before, NoticeTaken{Endpoint: m.Endpoint, Answer: a, Age: now.Sub(m.recordAt)})
 }
 
-// limitChanged reports that a limit holds, has changed or does not hold any more. The caller holds mu.
+// limitChanged reports that a limit takes effect, changes or ends. The caller holds mu.
 func (l *Pool) limitChanged(m *member, x *announced, before limit.Rate, h NoticeTaken) {
 	now := l.now()
 	r := x.limits.known.Rate(now)
@@ -65,7 +66,7 @@
 	}
 }
 
-// limit is the limit of an endpoint, if it names one. The caller holds mu.
+// limit returns the limit of an endpoint, which is not named if there is none. The caller holds mu.
 func (m *member) limit(now time.Time) limit.Rate {
 	if m.announced == nil || !m.announced.limits.active {
 		return limit.Rate{}
@@ -75,7 +76,7 @@
 	return r
 }
 
-// renewEvenShare brings what this instance may send up to date where nobody grants it. The caller holds mu.
+// renewEvenShare updates what this instance may send if nobody grants it a part of the limit. The caller holds mu.
 func (l *Pool) renewEvenShare(m *member, r limit.Rate, now time.Time) {
 	if l.leased {
 		return
@@ -88,10 +89,10 @@
 	return r.Bound() / float64(max(1, l.zoneInstances(), l.owners.Size()))
 }
 
-// evenShareTTL is how long an even part counts that is renewed whenever it is asked for.
+// evenShareTTL is how long an even share is valid. It is renewed whenever it is used.
 const evenShareTTL = time.Minute
 
-// allows reports whether an endpoint takes a request of this instance under the limit that it names. The caller holds mu.
+// allows reports whether an endpoint accepts a request of this instance under its limit. The caller holds mu.
 func (l *Pool) allows(m *member, now time.Time) bool {
 	r := m.limit(now)
 	if !r.Named() {
@@ -101,14 +102,15 @@
 	return m.announced.limits.bucket.Has(r, now)
 }
 
-// expectedRate is the number of requests a second that callers here may hope for at an endpoint under a limit: what this instance is lent, or its even
-// part, since what it is lent follows its callers. The caller holds mu.
+// expectedRate is the number of requests a second that callers here may expect to get through to an endpoint with a
+// limit: what this instance is granted, or its even share if that is larger, since grants follow demand. The caller
+// holds mu.
 func (l *Pool) expectedRate(m *member, now time.Time) float64 {
 	r := m.limit(now)
 	return max(m.announced.limits.bucket.Rate(r, now), l.evenShare(r))
 }
 
-// takePermit counts a request under the limit of its endpoint; nil if it names none. The caller holds mu.
+// takePermit counts a request under the limit of its endpoint; it returns nil if there is none. The caller holds mu.
 func (l *Pool) takePermit(m *member, now time.Time) *limit.Bucket {
 	if !m.limit(now).Named() {
 		return nil
@@ -117,7 +119,8 @@
 	return &m.announced.limits.bucket
 }
 
-// permitted reports whether a request that was picked is counted, where the endpoint names a limit by now. The caller holds mu.
+// permitted reports whether a picked request is counted under the limit of its endpoint, if the endpoint names one by
+// now. The caller holds mu.
 func (l *Pool) permitted(s *Lease) bool {
 	now := l.now()
 	if s.permit != nil || !s.member.limit(now).Named() {
@@ -130,7 +133,8 @@
 	return true
 }
 
-// underusedLimited finds an endpoint that is to get any request of the service, for it takes one that no session of its own asks for. The caller holds mu.
+// underusedLimited finds an endpoint that is to get the next request of the service, whatever its affinity: the
+// endpoint's limit admits a request that no affinity sends there. The caller holds mu.
 func (l *Pool) underusedLimited(members []*member, now time.Time) *member {
 	if l.limited == 0 {
 		return nil
@@ -147,7 +151,7 @@
 	return nil
 }
 
-// returnPermit gives back what was counted for a request that did not leave.
+// returnPermit returns the permit of a request that was not sent.
 func (s *Lease) returnPermit() {
 	if s.permit != nil {
 		s.permit.Give()
@@ -155,7 +159,7 @@
 	}
 }
 
-// countDemand counts a request for a service while some endpoint names a limit. The caller holds mu.
+// countDemand counts a request for a service while some endpoint has a limit. The caller holds mu.
 func (l *Pool) countDemand(service string, now time.Time) {
 	if l.limited == 0 {
 		return
@@ -165,7 +169,7 @@
 	l.demand[service] = f
 }
 
-// Limits is what this instance has observed itself of limits.
+// Limits returns the limits that this instance has observed itself.
 func (l *Pool) Limits() Limits {
 	now := l.now()
 	l.mu.RLock()
@@ -183,17 +187,17 @@
 	return out
 }
 
-// ObserveLimits takes what other instances have observed of limits.
-func (l *Pool) ObserveLimits(told Limits) {
+// ObserveLimits applies the limits that other instances have observed.
+func (l *Pool) ObserveLimits(reported Limits) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.peersLimits = told
-	l.applyFromPeers(len(told), l.applyPeersLimit)
+	l.peersLimits = reported
+	l.applyFromPeers(len(reported), l.applyPeersLimit)
 }
 
-// applyPeersLimit takes what other instances have observed of an endpoint's limit. The caller holds mu.
+// applyPeersLimit applies what other instances have observed of an endpoint's limit. The caller holds mu.
 func (l *Pool) applyPeersLimit(m *member) {
-	told, ok := l.peersLimits[m.key()]
+	reported, ok := l.peersLimits[m.key()]
 	if !ok {
 		return
 	}
@@ -202,18 +206,18 @@
 		return
 	}
 	before := x.limits.known.Rate(l.now())
-	x.receivedUnixMilli = max(x.receivedUnixMilli, l.wall().Add(-l.now().Sub(told.Named())).UnixMilli())
-	x.limits.known.Merge(told)
+	x.receivedUnixMilli = max(x.receivedUnixMilli, l.wall().Add(-l.now().Sub(reported.Named())).UnixMilli())
+	x.limits.known.Merge(reported)
 	l.limitChanged(m, x, before, NoticeTaken{Endpoint: m.Endpoint, FromPeer: true, Age: l.now().Sub(m.recordAt)})
 }
 
-// Limited is an endpoint under a limit, as an exchange between instances sees it.
+// Limited is an endpoint with a limit, as the exchange between instances uses it.
 type Limited struct {
 	Rate   limit.Rate
 	Demand float64 // requests a second that this instance has for its service
 }
 
-// Limited are the endpoints under limits, by the same key as Loads.
+// Limited returns the endpoints with limits, by the same key as Loads.
 func (l *Pool) Limited() map[uint32]Limited {
 	now := l.now()
 	l.mu.Lock()
@@ -235,7 +239,7 @@
 	return out
 }
 
-// SetLeases takes what this instance is lent of limits.
+// SetLeases sets what this instance is granted of limits.
 func (l *Pool) SetLeases(byEndpoint map[uint32]limit.Lease) {
 	now := l.now()
 	l.mu.Lock()
--- a/internal/pool/load.go
+++ b/internal/pool/load.go
@@ -7,18 +7,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Load is what some instances have under way at an endpoint.
+// Load is the work that some instances have under way at an endpoint.
 type Load struct {
-	Open int // requests
-	// Interference is how many times a second a prompt that was sent there makes the streams beside it rest for too long; see pauseChance.
+	Open int // requests that are open
+	// Interference is how many times a second a prompt that is sent there stalls the streams beside it for too long; see
+	// stallProbability.
 	Interference float64
-	Ended        float64 // requests a second that ended well or badly
-	Failed       float64 // those that ended badly
-	// Silent are the open ones of instances to which the endpoint has said nothing for longer than an answer takes.
+	Ended        float64 // requests a second that succeeded or failed
+	Failed       float64 // those that failed
+	// Silent is the number of open requests of instances to which the endpoint has sent nothing for longer than the
+	// response timeout.
 	Silent int
 }
 
-// Loads are loads by the lower half of the hash of the endpoint's ID and of its start, if it tells it: all instances compute it alike.
+// Loads maps endpoints to loads. The key is the lower half of the hash of the endpoint's ID and, if reported, its
+// start time: all instances compute the same one.
 type Loads map[uint32]Load
 
 // Add adds other loads to these.
@@ -32,11 +35,11 @@
 	return Load{Open: x.Open + y.Open, Interference: x.Interference + y.Interference, Ended: x.Ended + y.Ended, Failed: x.Failed + y.Failed, Silent: x.Silent + y.Silent}
 }
 
-// silent reports whether an endpoint has fallen silent for all: to most of those who wait there, and to more than one instance's request,
-// whose own path may be at fault.
+// silent reports whether an endpoint no longer responds to any instance: to most of the requests that wait there, and
+// to more than one of them, since the path of a single instance may be at fault.
 func (x Load) silent() bool { return x.Silent >= minSilent && silentFraction*x.Silent >= x.Open }
 
-// failureShare is the part of requests that ended badly; 0 while too few have ended to tell.
+// failureShare is the share of requests that failed; 0 while too few have ended to judge.
 func (x Load) failureShare() float64 {
 	if x.Ended*flowDecay.Seconds() < minEnded {
 		return 0
@@ -44,29 +47,29 @@
 	return x.Failed / x.Ended
 }
 
-// negligible reports whether there is negligible to tell.
+// negligible reports whether there is nothing to report.
 func (x Load) negligible() bool { return x.Open == 0 && x.Interference < minFlow && x.Ended < minFlow }
 
-// PeerLoadsTTL is how long what others have under way counts.
+// PeerLoadsTTL is how long the reported loads of other instances are valid.
 const PeerLoadsTTL = 1500 * time.Millisecond
 
 const (
-	flowDecay        = 10 * time.Second // the time constant with which all this is forgotten: sessions come back in some seconds
-	certainStallGaps = 2                // reading for so many times what a stream may rest harms for certain
-	minFlow          = 0.001            // below this a flow is nothing
-	minEnded         = 4                // requests that must have ended lately before their failures say anything
+	flowDecay        = 10 * time.Second // time constant with which these rates decay: sessions return within seconds
+	certainStallGaps = 2                // reading a prompt for so many allowed gaps certainly stalls streams
+	minFlow          = 0.001            // rates below this are negligible
+	minEnded         = 4                // requests that must have ended recently before their failures count
 
-	minSilent      = 2 // requests that must wait in vain before that says anything of the endpoint
-	silentFraction = 2 // one in so many of those that are open there
+	minSilent      = 2 // requests that must wait in vain before the endpoint counts as silent
+	silentFraction = 2 // and at least one in so many of those that are open there
 )
 
-// flow is a decaying sum, in units a second, as of a moment.
+// flow is an exponentially decaying rate, in units a second, as of a moment.
 type flow struct {
 	perSecond float64
 	at        time.Time
 }
 
-// rate brings the flow to a moment.
+// rate returns the rate, decayed up to a moment.
 func (f flow) rate(now time.Time) float64 {
 	if f.perSecond == 0 {
 		return 0
@@ -74,15 +77,15 @@
 	return f.perSecond * math.Exp(-now.Sub(f.at).Seconds()/flowDecay.Seconds())
 }
 
-// add counts something.
+// add counts x units.
 func (f *flow) add(now time.Time, x float64) {
 	f.perSecond = f.rate(now) + x/flowDecay.Seconds()
 	f.at = now
 }
 
-// stallProbability is the chance that a prompt makes a stream beside it rest for too long. While a prompt is read each token of the streams waits
-// for a piece of it, and pieces take longer with the prompt's length, so the chance grows faster than the time of
-// reading does.
+// stallProbability is the probability that a prompt stalls a stream beside it for longer than the allowed gap. While
+// a prompt is read, each token of the streams waits for a chunk of it. Chunks take longer as the prompt grows, so the
+// probability grows faster than the reading time.
 func stallProbability(reading, gap time.Duration) float64 {
 	x := reading.Seconds() / (certainStallGaps * gap.Seconds())
 	return min(1, x*x*x)
@@ -90,12 +93,13 @@
 
 func (m *member) key() uint32 { return m.runKey }
 
-// runKey names one run of an endpoint's process in Loads: what was under way at the run before is not under way at this one.
+// runKey identifies one run of an endpoint's process in Loads: requests that were open at the previous run are not
+// open at this one.
 func runKey(e Endpoint) uint32 {
 	return uint32(xxhash.Sum64String(e.Run())) //nolint:gosec // the lower half is meant
 }
 
-// Loads is what this instance has under way.
+// Loads returns the load of this instance.
 func (l *Pool) Loads() Loads {
 	now := l.now()
 	l.mu.RLock()
@@ -109,7 +113,7 @@
 	return out
 }
 
-// load is what this instance has under way at an endpoint. The caller holds mu.
+// load is the load of this instance at an endpoint. The caller holds mu.
 func (l *Pool) load(m *member, now time.Time) Load {
 	x := Load{Open: m.open, Interference: m.interference.rate(now), Ended: m.ended.rate(now), Failed: m.failed.rate(now)}
 	if l.silent(m, now) {
@@ -118,22 +122,22 @@
 	return x
 }
 
-// SetPeerLoads takes what all other instances have under way.
-func (l *Pool) SetPeerLoads(others Loads) {
+// SetPeerLoads sets the loads of all other instances.
+func (l *Pool) SetPeerLoads(loads Loads) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.peerLoads, l.peerLoadsAt = others, l.now()
+	l.peerLoads, l.peerLoadsAt = loads, l.now()
 	for _, m := range l.byID {
-		m.peerLoad = others[m.key()]
+		m.peerLoad = loads[m.key()]
 	}
 }
 
-// peerLoadsFresh reports whether it is known what others have under way. The caller holds mu.
+// peerLoadsFresh reports whether the loads of the other instances are known and still valid. The caller holds mu.
 func (l *Pool) peerLoadsFresh(now time.Time) bool {
 	return l.peerLoads != nil && now.Sub(l.peerLoadsAt) < PeerLoadsTTL
 }
 
-// PeerLoads is what all other instances have under way, as far as it is known.
+// PeerLoads returns the loads of all other instances; nil if they are unknown or no longer valid.
 func (l *Pool) PeerLoads() Loads {
 	now := l.now()
 	l.mu.RLock()
@@ -144,7 +148,7 @@
 	return l.peerLoads
 }
 
-// total is what all instances have under way at an endpoint, as far as it is known. The caller holds mu.
+// total is the load of all instances at an endpoint, as far as it is known. The caller holds mu.
 func (l *Pool) total(m *member, now time.Time) Load {
 	x := l.load(m, now)
 	if l.peerLoadsFresh(now) {
@@ -153,8 +157,8 @@
 	return x
 }
 
-// failsForAll reports whether requests of all instances fail at an endpoint, or wait there in vain. It is asked of every endpoint for every
-// request, so it begins with what is nothing nearly always. The caller holds mu.
+// failsForAll reports whether requests of all instances fail at an endpoint, or wait there in vain. It runs for every
+// endpoint on every request, so it first checks what is nearly always zero. The caller holds mu.
 func (l *Pool) failsForAll(m *member, now time.Time) bool {
 	if (m.peerLoad.Failed == 0 && m.peerLoad.Silent == 0 && m.failed.perSecond == 0) || !l.peerLoadsFresh(now) {
 		return false
--- a/internal/pool/notice.go
+++ b/internal/pool/notice.go
@@ -9,36 +9,36 @@
 	"github.com/ledgemount/ledgemount/internal/limit"
 )
 
-// Notice is what an endpoint reports of itself in the head of an answer.
+// Notice is what an endpoint announces about itself in the head of a response.
 type Notice struct {
-	Leaving bool          // it takes no new work, and will end
+	Leaving bool          // it accepts no new work and is about to end
 	Moved   bool          // another endpoint has its address
-	Rest    time.Duration // it wants nothing from this instance for so long; 0: it does not say so
-	Limit   limit.Rate    // what it takes from all instances together; not named: it does not say
+	Rest    time.Duration // for how long it accepts nothing from this instance; 0: it asks for no rest
+	Limit   limit.Rate    // rate that it accepts from all instances together; not named: it announces none
 }
 
-// Answer is the answer of an endpoint that a word stood in.
+// Answer identifies the response that carried a notice.
 type Answer struct {
-	Request string // its ID
+	Request string // the request's ID
 	Status  int
 }
 
-// NoticeTaken reports an endpoint's word that was taken, for logs.
+// NoticeTaken reports a notice that took effect, for logs.
 type NoticeTaken struct {
-	Endpoint Endpoint // by its record
+	Endpoint Endpoint // its record
 	Notice   Notice
 	Answer   Answer
-	FromPeer bool          // another instance has heard it
+	FromPeer bool          // another instance received it
 	Age      time.Duration // of the record
 }
 
-// The events of the lines about words.
+// The events of the log lines about notices.
 const (
 	EventNotice      = "endpoint_word"
 	EventNoticeEnded = "endpoint_word_ended"
 )
 
-// Name names the word in logs and metrics.
+// Name returns the notice's name in logs and metrics.
 func (w Notice) Name() string {
 	switch {
 	case w.Moved:
@@ -63,61 +63,65 @@
 	e.Str("endpoint", s.Endpoint.Run()).Str("service", s.Endpoint.Service).Str("why", string(s.Why))
 }
 
-// LogNotices makes what logs words: 20 lines a second at most, for endpoints that ask for rest for moments do so again and again.
-func LogNotices(log zerolog.Logger) (heard func(NoticeTaken), silenced func(NoticeEnded)) {
+// LogNotices returns functions that log notices: 20 lines a second at most, since endpoints that ask for short rests
+// do so again and again.
+func LogNotices(log zerolog.Logger) (taken func(NoticeTaken), ended func(NoticeEnded)) {
 	lines := log.Sample(&zerolog.BurstSampler{Burst: maxNoticeLines, Period: time.Second})
-	heard = func(h NoticeTaken) {
-		lines.Info().Str("event", EventNotice).EmbedObject(h).Msg("an endpoint says in an answer that it takes less work, or none")
+	taken = func(h NoticeTaken) {
+		lines.Info().Str("event", EventNotice).EmbedObject(h).Msg("endpoint announced in a response that it accepts less work or none")
 	}
-	silenced = func(s NoticeEnded) {
-		lines.Info().Str("event", EventNoticeEnded).EmbedObject(s).Msg("an endpoint gets work again")
+	ended = func(s NoticeEnded) {
+		lines.Info().Str("event", EventNoticeEnded).EmbedObject(s).Msg("endpoint gets work again")
 	}
-	return heard, silenced
+	return taken, ended
 }
 
-// maxNoticeLines bounds the lines about words in a second.
+// maxNoticeLines bounds the log lines about notices in a second.
 const maxNoticeLines = 20
 
-// NoticeEnded reports an endpoint's word that does not count any more, for logs.
+// NoticeEnded reports a notice that no longer applies, for logs.
 type NoticeEnded struct {
 	Endpoint Endpoint
 	Why      NoticeEnd
 }
 
-// NoticeEnd reports why an endpoint's word does not count any more.
+// NoticeEnd is the reason why a notice no longer applies.
 type NoticeEnd string
 
 // The reasons.
 const (
 	NoticeExpired   NoticeEnd = "over"       // its time is over
 	NoticeRestarted NoticeEnd = "restarted"  // a later start of the endpoint is known
-	NoticeCanceled  NoticeEnd = "called-off" // the endpoint's record had said so too, and says that it is ready again
-	NoticeLifted    NoticeEnd = "lifted"     // it names no limit any more
+	NoticeCanceled  NoticeEnd = "called-off" // the endpoint's record reported draining too, and now reports ready
+	NoticeLifted    NoticeEnd = "lifted"     // the endpoint no longer names a limit
 )
 
 const (
-	// leavingTTL is how long the word that an endpoint leaves holds after it was last heard. A planned end takes seconds, many of them where
-	// the store is away; an endpoint that changes its mind without a word in its record gets work again after this.
+	// leavingTTL is how long a notice of leaving applies after it was last received. A planned end takes seconds,
+	// many of them if the store is unreachable. An endpoint that stays after all without reporting so in its record
+	// gets work again after this time.
 	leavingTTL = 10 * time.Minute
-	// maxAnnounced bounds the runs of endpoints without a record whose words are remembered.
+	// maxAnnounced bounds the number of stored announcements, which include those of endpoints without a record.
 	maxAnnounced = 4096
 )
 
-// announced is what one run of an endpoint's process reports of itself in answers. It is newer than any record that the endpoint has written, and the
-// store, another instance and a list of all endpoints tell records again and again. So it is kept beside the records, and it outlives them: an
-// endpoint whose record lags would go on getting work after it has announced that it leaves.
+// announced is what one run of an endpoint's process announces in responses. It is newer than any record that the
+// endpoint has written, while the store, other instances and full lists deliver records again and again. So it is
+// stored beside the records and outlives them: otherwise an endpoint whose record lags would still get work after it
+// has announced that it leaves.
 type announced struct {
 	run               Endpoint
-	receivedUnixMilli int64     // the time of day when it last said something to this instance, in Unix milliseconds
-	leavingAt         time.Time // when it last said that it leaves; zero: it does not say so
-	direct            bool      // it said so to this instance
-	recordDraining    bool      // its record says so too
-	canceledAt        time.Time // when its record said that it is ready again
+	receivedUnixMilli int64     // wall-clock time of its last notice, in Unix milliseconds
+	leavingAt         time.Time // when it last announced that it leaves; zero: it has not
+	direct            bool      // this instance itself has received that
+	recordDraining    bool      // its record reports that, too
+	canceledAt        time.Time // when its record reported that it is ready again
 	restUntil         time.Time // until when it gets nothing from this instance
 	limits            limits
 }
 
-// ObserveNotice takes what the endpoint reports of itself in an answer. That it names no limit is a word too.
+// ObserveNotice applies what the endpoint announces in a response. The absence of a limit counts too: it may lift an
+// earlier one.
 func (s *Lease) ObserveNotice(w Notice, a Answer) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
@@ -127,7 +131,7 @@
 	s.pool.observeLimit(s, w.Limit, a)
 }
 
-// observe takes a word of an endpoint that this instance has observed itself. The caller holds mu.
+// observe applies a notice that this instance has received itself. The caller holds mu.
 func (l *Pool) observe(m *member, w Notice, a Answer) {
 	x := l.announcedBy(m.Endpoint)
 	if x == nil {
@@ -135,51 +139,54 @@
 	}
 	now := l.now()
 	x.receivedUnixMilli = l.wall().UnixMilli()
-	news := false
+	changed := false
 	if w.Leaving || w.Moved {
-		news = !x.leaves(now)
+		changed = !x.leaves(now)
 		x.leavingAt, x.direct = now, true
 	}
 	if w.Rest > 0 {
-		news = x.extendRest(now, now.Add(w.Rest+l.restJitter(w.Rest)+l.returnDelay(m))) || news
+		changed = x.extendRest(now, now.Add(w.Rest+l.restJitter(w.Rest)+l.returnDelay(m))) || changed
 		m.window = m.window.shrunk(now, m.open, l.policy.RestDecrease)
 	}
-	if news {
+	if changed {
 		l.onNotice(NoticeTaken{Endpoint: m.Endpoint, Notice: w, Answer: a, Age: now.Sub(m.recordAt)})
 	}
 }
 
-// extendRest notes until when an endpoint wants nothing; true if it did not rest. The longest time counts: several answers may be under way when an
-// endpoint asks for rest, and the last of them names the shortest.
-func (x *announced) extendRest(now, until time.Time) (news bool) {
-	news = !before(now, x.restUntil)
+// extendRest sets until when an endpoint accepts nothing. It returns true if the endpoint was not resting. The
+// longest time counts: several requests may be under way when an endpoint asks for rest, and the last response to
+// them names the shortest time.
+func (x *announced) extendRest(now, until time.Time) (started bool) {
+	started = !before(now, x.restUntil)
 	if until.After(x.restUntil) {
 		x.restUntil = until
 	}
-	return news
+	return started
 }
 
-// restJitter is how much later than asked this instance comes back.
+// restJitter is how much later than asked, at random, this instance returns.
 func (l *Pool) restJitter(rest time.Duration) time.Duration {
 	const steps = 1 << 16
 	return time.Duration(l.policy.RestJitter * float64(rest) * float64(l.random(steps)) / steps)
 }
 
-// returnDelay is how much returnDelay than others this instance comes back to an endpoint, in an order that all know: as many as it has slots
-// first, then twice as many in each step. All were told at the same time that it wants rest; hundreds would come back at once.
+// returnDelay is how much later than others this instance returns to an endpoint, in an order that all instances
+// know. As many instances as the endpoint has slots return first, then twice as many in each step. All of them
+// receive the notice at about the same time, so hundreds would otherwise return at once.
 func (l *Pool) returnDelay(m *member) time.Duration {
-	late := time.Duration(0)
+	delay := time.Duration(0)
 	first := int(m.slots())
 	for ; first < l.owners.Size() && !l.owners.Owns(m.ID, first); first *= 2 {
-		late += returnStep
+		delay += returnStep
 	}
-	return late
+	return delay
 }
 
-// returnStep is the time between the returns of instances that are further apart in that order: an endpoint that has too much again says so sooner.
+// returnStep is the time between two such steps. An endpoint that is overloaded again announces it sooner than that.
 const returnStep = 500 * time.Millisecond
 
-// announcedBy finds or makes what is kept of a run of an endpoint's process; nil if a later one is known. The caller holds mu.
+// announcedBy finds or creates the announcements of a run of an endpoint's process; nil if a later run is known. The
+// caller holds mu.
 func (l *Pool) announcedBy(run Endpoint) *announced {
 	if l.outdated(run) {
 		return nil
@@ -196,7 +203,7 @@
 	return x
 }
 
-// outdated reports whether a later start is known than that of a run. The caller holds mu.
+// outdated reports whether a later run than the given one is known. The caller holds mu.
 func (l *Pool) outdated(run Endpoint) bool {
 	if m := l.byID[run.ID]; m != nil && run.Outdated(m.Endpoint) {
 		return true
@@ -205,12 +212,13 @@
 	return x != nil && run.Outdated(x.run)
 }
 
-// sameRun reports whether two words of an endpoint may be of one run of its process.
+// sameRun reports whether two records of an endpoint may come from the same run of its process.
 func sameRun(a, b Endpoint) bool {
 	return a.ID == b.ID && a.Service == b.Service && a.Addr == b.Addr && !a.Outdated(b) && !b.Outdated(a)
 }
 
-// evictAnnounced makes room for another run: it drops what does not count any more, and what was said by endpoints without a record.
+// evictAnnounced makes room for another run: it drops announcements that no longer apply, and those of endpoints
+// without a record.
 func (l *Pool) evictAnnounced() {
 	if len(l.announced) < maxAnnounced {
 		return
@@ -227,24 +235,25 @@
 	})
 }
 
-// reconcileRecord finds what an endpoint has said whose record has come, and lets the record end it. The caller holds mu.
+// reconcileRecord finds the announcements of an endpoint whose record has arrived, and ends those that the record
+// supersedes. The caller holds mu.
 func (l *Pool) reconcileRecord(e Endpoint) *announced {
 	x := l.announced[e.ID]
 	switch {
 	case x == nil:
 		return nil
 	case x.run.Outdated(e), x.run.StartedAt == 0 && e.StartedAt > x.receivedUnixMilli:
-		// A start that is told for the first time is that of this run only if it was before this run said something. Clocks may differ by seconds,
-		// endpoints that leave have run for longer.
-		l.announced[e.ID] = &announced{run: e} // so that the run before is known again when it is told late
+		// A start time that is reported for the first time belongs to this run only if it precedes this run's last
+		// notice. Clocks may differ by seconds, but endpoints that leave have run for longer than that.
+		l.announced[e.ID] = &announced{run: e} // recognizes late records of the previous run
 		l.onNoticeEnded(NoticeEnded{Endpoint: e, Why: NoticeRestarted})
 		return nil
 	case !sameRun(x.run, e):
-		return nil // at another address: what was said is not of this one
+		return nil // at another address: the announcements are of another process
 	}
 	x.run.StartedAt = max(x.run.StartedAt, e.StartedAt)
 	if x.recordDraining && !e.Draining && !x.leavingAt.IsZero() {
-		// The record is newer than the word, for it had said so too: the endpoint stays after all.
+		// The record has reported draining too, so it is newer than the notice: the endpoint stays after all.
 		x.leavingAt, x.direct, x.canceledAt = time.Time{}, false, l.now()
 		l.onNoticeEnded(NoticeEnded{Endpoint: e, Why: NoticeCanceled})
 	}
@@ -252,20 +261,21 @@
 	return x
 }
 
-// leaves reports whether the word that the endpoint leaves counts.
+// leaves reports whether a notice that the endpoint leaves applies.
 func (x *announced) leaves(now time.Time) bool {
 	return x != nil && !x.leavingAt.IsZero() && now.Sub(x.leavingAt) < leavingTTL
 }
 
-// inactive reports whether inactive that the endpoint has said counts any more, and it has been told so.
-func (x *announced) inactive() bool { return x.acceptsWork() && (x == nil || !x.limits.active) }
+// inactive reports whether no announcement of the endpoint applies any more, and the end of each has been reported.
+func (x *announced) inactive() bool { return x.noNotice() && (x == nil || !x.limits.active) }
 
-// acceptsWork reports whether it has neither said that it leaves nor asked for rest.
-func (x *announced) acceptsWork() bool {
+// noNotice reports whether neither a notice that it leaves nor one that it rests is recorded.
+func (x *announced) noNotice() bool {
 	return x == nil || (x.leavingAt.IsZero() && x.restUntil.IsZero())
 }
 
-// noticeExclusion reports why an endpoint gets no work by its own word, whatever else is left: that word is a rule, not a preference. The caller holds mu.
+// noticeExclusion returns why an endpoint gets no work by its own notice, even if no other endpoint is left: a notice
+// is binding, not a preference. The caller holds mu.
 func (m *member) noticeExclusion(now time.Time) Exclusion {
 	switch {
 	case m.announced == nil:
@@ -278,9 +288,10 @@
 	return NotExcluded
 }
 
-// clearNotices notes that an endpoint gets a request; what it had said counts no more then. The caller holds mu.
+// clearNotices clears the expired notices of an endpoint that gets a request, and returns its window. The caller
+// holds mu.
 func (l *Pool) clearNotices(m *member, now time.Time) *window {
-	if x := m.announced; !x.acceptsWork() {
+	if x := m.announced; !x.noNotice() {
 		if !x.leavingAt.IsZero() {
 			m.window = probeWindow()
 		}
@@ -291,7 +302,8 @@
 	return m.window
 }
 
-// StillValid reports whether the endpoint still takes the request as far as is known: it, or its record, may have said otherwise since it was picked.
+// StillValid reports whether the endpoint still accepts the request, as far as is known. The endpoint or its record
+// may have reported otherwise since the pick.
 func (s *Lease) StillValid() bool {
 	l := s.pool
 	l.mu.Lock()
@@ -301,10 +313,10 @@
 		l.permitted(s)
 }
 
-// Leaving tells how long ago endpoints have said that they leave, by the same key as Loads.
+// Leaving maps endpoints to how long ago they announced that they leave, by the same key as Loads.
 type Leaving map[uint32]time.Duration
 
-// Add adds other words to these; of one endpoint the newest counts.
+// Add merges other notices into these; for each endpoint the newest one counts.
 func (l Leaving) Add(other Leaving) {
 	for key, age := range other {
 		if known, ok := l[key]; !ok || age < known {
@@ -313,7 +325,8 @@
 	}
 }
 
-// Leaving is what endpoints have said to this instance, as long as their records do not say it themselves.
+// Leaving returns which endpoints have announced to this instance that they leave, unless their records report it
+// themselves.
 func (l *Pool) Leaving() Leaving {
 	now := l.now()
 	l.mu.RLock()
@@ -332,25 +345,26 @@
 	return out
 }
 
-// ObserveLeaving takes what endpoints have said to other instances.
-func (l *Pool) ObserveLeaving(told Leaving) {
+// ObserveLeaving applies what endpoints have announced to other instances.
+func (l *Pool) ObserveLeaving(reported Leaving) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.peersLeaving = told
-	l.applyFromPeers(len(told), l.applyPeersLeaving)
+	l.peersLeaving = reported
+	l.applyFromPeers(len(reported), l.applyPeersLeaving)
 }
 
-// applyFromPeers lets each endpoint take what other instances have reported, if that is anything. The caller holds mu.
-func (l *Pool) applyFromPeers(told int, take func(*member)) {
-	if told == 0 {
+// applyFromPeers calls apply for each endpoint if other instances have reported anything. The caller holds mu.
+func (l *Pool) applyFromPeers(reported int, apply func(*member)) {
+	if reported == 0 {
 		return
 	}
 	for _, m := range l.byID {
-		take(m)
+		apply(m)
 	}
 }
 
-// applyPeersLeaving takes what an endpoint has said to other instances, unless that is older than what is known. The caller holds mu.
+// applyPeersLeaving applies what an endpoint has announced to other instances, unless that is older than what is
+// known. The caller holds mu.
 func (l *Pool) applyPeersLeaving(m *member) {
 	age, ok := l.peersLeaving[m.key()]
 	if !ok || age >= leavingTTL {
@@ -366,20 +380,22 @@
 	l.onNotice(NoticeTaken{Endpoint: m.Endpoint, Notice: Notice{Leaving: true}, FromPeer: true, Age: now.Sub(m.recordAt)})
 }
 
-// maxRelayLag bounds how much younger a word seems that others tell than it is: it waits for an exchange at each instance that passes it on.
+// maxRelayLag bounds how much newer a notice seems than it is if other instances report it: it waits for an exchange
+// at each instance that passes it on.
 const maxRelayLag = 2 * PeerLoadsTTL
 
-// Availability reports whether any endpoint takes a request now.
+// Availability describes whether any endpoint accepts a request now, and if not, why.
 type Availability struct {
 	Open bool
-	Full bool          // some would, but have as much as they bear
-	Rest time.Duration // until the first that rests takes work again; 0: none rests
-	// Limited: some would, but have had what this instance may send to them; Rate is how many requests a second that is
+	Full bool          // some would, but have no capacity left
+	Rest time.Duration // until the first resting endpoint accepts work again; 0: none rests
+	// Limited is true if some would, but this instance has used its part of their limits; Rate is the sum of these
+	// parts, in requests a second
 	Limited bool
 	Rate    float64
 }
 
-// Availability reports whether any endpoint takes a request now.
+// Availability reports whether any endpoint accepts a request now.
 func (l *Pool) Availability(q Query) Availability {
 	now := l.now()
 	l.mu.Lock()
--- a/internal/pool/pace.go
+++ b/internal/pool/pace.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	paceSmoothing = 0.2 // weight of one answer
-	slowSamples   = 5   // answers from which an endpoint may count as slow
+	paceSmoothing = 0.2 // weight of one response
+	slowSamples   = 5   // responses from which an endpoint may count as slow
 )
 
-// pace is how fast an endpoint has answered lately, in seconds; 0: not known.
+// pace is an endpoint's recent time to the first token and between tokens, in seconds; 0: unknown.
 type pace struct {
 	first, token float64
 	samples      int
@@ -32,8 +32,8 @@
 	return old + paceSmoothing*(sample-old)
 }
 
-// ObserveLatency notes, after its end, how long a whole answer took to its first token, and the longest between two. An endpoint that is far slower than the others of its
-// service gets no work for a while.
+// ObserveLatency records, after the end of a complete response, the time to its first token and the longest time
+// between two tokens. An endpoint that is far slower than the others of its service gets no work for a while.
 func (s *Lease) ObserveLatency(first, token time.Duration) {
 	l, m := s.pool, s.member
 	l.mu.Lock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// medianFirst is the median time to a first token of a service's endpoints. The caller holds mu.
+// medianFirst is the median time to the first token of a service's endpoints. The caller holds mu.
 func (l *Pool) medianFirst(service string) float64 {
 	var ts []float64
 	for _, m := range l.services[service] {
--- a/internal/pool/pick.go
+++ b/internal/pool/pick.go
@@ -9,19 +9,19 @@
 	"github.com/ledgemount/ledgemount/internal/limit"
 )
 
-// Query is what a pick is for.
+// Query describes the request that an endpoint is picked for.
 type Query struct {
 	Service     string
-	Affinity    string          // requests with the same text go to the same endpoint while its load allows; empty: none
-	Prompt      int64           // tokens that are to be read where nothing of them is kept
-	Shared      int64           // those of them that an endpoint which had others of the same affinity may keep
-	Target      time.Duration   // within which the first event is wanted; 0: not known
-	Gap         time.Duration   // the longest that the answer's stream may rest; 0: not known
-	Tried       map[string]bool // endpoints that have had the request
+	Affinity    string          // requests with the same value go to the same endpoint while its load allows; empty: none
+	Prompt      int64           // tokens of the prompt
+	Shared      int64           // those of them that an endpoint may have cached from other requests with the same affinity
+	Target      time.Duration   // target time to the first event; 0: unknown
+	Gap         time.Duration   // longest gap allowed between events of the response stream; 0: unknown
+	Tried       map[string]bool // IDs of the endpoints that have already been sent the request
 	Regions     []string        // in which it may run; nil: in all
 	Zones       []string        // availability zones in which it may run; nil: in all
-	Blocks      []uint64        // the beginning of the prompt: see Blocks
-	HealthyOnly bool            // it shall rather not run than at an endpoint that something speaks against
+	Blocks      []uint64        // hashes of the beginning of the prompt: see Blocks
+	HealthyOnly bool            // pick no endpoint rather than an unhealthy one
 }
 
 // Reason reports why an endpoint was picked, for logs.
@@ -29,39 +29,40 @@
 
 // The reasons.
 const (
-	ReasonAffinity Reason = "affinity" // first in the order of the request's affinity
-	ReasonSpill    Reason = "spill"    // the first of that order were loaded
-	ReasonLoad     Reason = "load"     // the least loaded
-	ReasonLast     Reason = "last"     // none is sound: the least suspect one
-	ReasonLimit    Reason = "limit"    // it takes a request more of all instances, that none asks for by itself
+	ReasonAffinity Reason = "affinity" // first in the request's affinity order
+	ReasonSpill    Reason = "spill"    // the first ones in that order are loaded
+	ReasonLoad     Reason = "load"     // less loaded than others
+	ReasonLast     Reason = "last"     // no endpoint is healthy, or all exceed the load bound
+	ReasonLimit    Reason = "limit"    // its limit admits a request that no instance sends by itself
 )
 
 // Lease is one request's use of an endpoint.
 type Lease struct {
 	pool      *Pool
 	member    *member
-	endpoint  Endpoint // as it was when it was picked; its record may change meanwhile
+	endpoint  Endpoint // its record as of the pick; the current one may differ
 	reason    Reason
 	exclusion Exclusion
 	ended     bool
-	window    *window // of the endpoint, as it was picked; nil: it did not rest lately
+	window    *window // the endpoint's window as of the pick; nil: none
 	picked    time.Time
-	// permit is where the request is counted under the limit that the endpoint names; nil: it names none
+	// permit is the bucket that counts the request under the endpoint's limit; nil if it has none
 	permit *limit.Bucket
-	// responseTimeout is how long the first word of the answer may take before something is wrong
+	// responseTimeout is how long the endpoint may take until the response begins
 	responseTimeout time.Duration
 }
 
-// Endpoint is the endpoint that was picked.
+// Endpoint returns the record of the picked endpoint, as of the pick.
 func (s *Lease) Endpoint() Endpoint { return s.endpoint }
 
-// Reason reports why it was picked.
+// Reason returns why the endpoint was picked.
 func (s *Lease) Reason() Reason { return s.reason }
 
-// Exclusion reports why the endpoint that the request's affinity names first was passed over, if it gets no work now.
+// Exclusion returns why the first endpoint in the request's affinity order is excluded; NotExcluded if it is not.
 func (s *Lease) Exclusion() Exclusion { return s.exclusion }
 
-// Pick chooses an endpoint and counts the request as open there. It returns nil if none takes work or all have been tried.
+// Pick chooses an endpoint and counts the request as open there. It returns nil if no endpoint accepts work or all
+// have been tried.
 func (l *Pool) Pick(q Query) *Lease {
 	now := l.now()
 	l.mu.Lock()
@@ -77,35 +78,36 @@
 	l.markProbed(m, now)
 	l.countCold(m, now)
 	l.countDemand(q.Service, now)
-	patience := l.responseTimeout(q)
+	timeout := l.responseTimeout(q)
 	if m.open == 0 {
 		m.responseTimeout = 0
 	}
-	m.responseTimeout = max(m.responseTimeout, patience)
+	m.responseTimeout = max(m.responseTimeout, timeout)
 	m.open++
 	if q.Prompt > 0 {
 		m.interference.add(now, stallProbability(l.readingTime(q), q.gap()))
 	}
 	return &Lease{
-		pool: l, member: m, endpoint: m.Endpoint, reason: reason, exclusion: l.firstChoiceExclusion(q), responseTimeout: patience, window: l.clearNotices(m, now), picked: now,
+		pool: l, member: m, endpoint: m.Endpoint, reason: reason, exclusion: l.firstChoiceExclusion(q), responseTimeout: timeout, window: l.clearNotices(m, now), picked: now,
 		permit: l.takePermit(m, now),
 	}
 }
 
-// choose picks among the sound endpoints. If none is sound the fault may be on this side, so it picks among all.
+// choose picks among the healthy endpoints. If none is healthy, the fault may be on this side, so it picks among all
+// eligible ones.
 func (l *Pool) choose(q Query, now time.Time) (*member, Reason) {
 	members := l.services[q.Service]
-	sound, open := l.evaluate(members, q, now)
+	healthy, open := l.evaluate(members, q, now)
 	if m := l.underusedLimited(members, now); m != nil {
 		return m, ReasonLimit
 	}
 	switch {
-	case sound == 0 && q.HealthyOnly:
+	case healthy == 0 && q.HealthyOnly:
 		return nil, ReasonLast
-	case sound > 0 && l.chooser != nil:
+	case healthy > 0 && l.chooser != nil:
 		return l.pickByChooser(members, q), ReasonLoad
 	}
-	if sound == 0 {
+	if healthy == 0 {
 		return l.pickLeastLoaded(members, q, func(m *member) bool { return m.eligible }), ReasonLast
 	}
 	if q.Affinity == "" {
@@ -114,22 +116,23 @@
 	if l.mayIgnoreAffinity(q, now) {
 		return l.pickLeastCost(members, q, now)
 	}
-	bound := l.policy.LoadFactor*float64(open+1)/float64(sound) + float64(l.policy.LoadMargin)
+	bound := l.policy.LoadFactor*float64(open+1)/float64(healthy) + float64(l.policy.LoadMargin)
 	return l.pickByAffinity(members, q, bound)
 }
 
-// evaluate finds out which endpoints may be sent the request and which of these are sound; it returns how many are, and what is open there.
-// Cold ones get work only where no other is sound.
-func (l *Pool) evaluate(members []*member, q Query, now time.Time) (sound, open int) {
+// evaluate determines which endpoints may be sent the request and which of these are healthy. It returns the number
+// of healthy ones and of the requests open there. With Policy.ColdLast, cold endpoints count only if no other one is
+// healthy.
+func (l *Pool) evaluate(members []*member, q Query, now time.Time) (healthy, open int) {
 	warm := 0
 	l.anyExcluded = false
 	connected := l.connectionsOf(q.Service, now)
-	calm := len(l.evacuated) == 0 && q.Regions == nil && q.Zones == nil && l.noZoneSuspect() && (connected == nil || connected.share > 0)
+	unrestricted := len(l.evacuated) == 0 && q.Regions == nil && q.Zones == nil && l.noZoneSuspect() && (connected == nil || connected.share > 0)
 	for _, m := range members {
-		if calm && m.pristine() {
+		if unrestricted && m.pristine() {
 			m.exclusion, m.eligible = NotExcluded, !m.Draining && !q.Tried[m.ID]
 			if m.healthy = m.eligible; m.healthy {
-				sound++
+				healthy++
 				warm++
 			}
 			continue
@@ -142,26 +145,26 @@
 		if !m.healthy {
 			continue
 		}
-		sound++
+		healthy++
 		open += m.open
 		if !l.cold(m, now) {
 			warm++
 		}
 	}
-	if warm < sound && warm > 0 && l.policy.ColdLast {
-		sound, open = l.excludeCold(members, now)
+	if warm < healthy && warm > 0 && l.policy.ColdLast {
+		healthy, open = l.excludeCold(members, now)
 	}
-	return sound, open
+	return healthy, open
 }
 
-// pristine reports whether nothing at all is noted of an endpoint, as of nearly all of them in a large fleet: then it need not be judged. It has slots,
-// as each record does, and none of them is taken from here.
+// pristine reports whether no state is tracked for an endpoint, as for nearly all of them in a large fleet. Such an
+// endpoint need not be evaluated: it has slots, as every record names some, and this instance uses none of them.
 func (m *member) pristine() bool {
 	return m.open == 0 && m.announced == nil && m.window == nil && m.errorShare == 0 && m.failed.perSecond == 0 && m.peerLoad.Failed == 0 && m.peerLoad.Silent == 0 &&
 		m.pausedUntil.IsZero() && m.busyUntil.IsZero() && m.warming.until.IsZero()
 }
 
-// expireState takes what does not count any more from an endpoint, so that it need not be looked at again. The caller holds mu.
+// expireState clears expired state of an endpoint, so that later picks need not evaluate it. The caller holds mu.
 func (l *Pool) expireState(m *member, now time.Time) {
 	if !before(now, m.pausedUntil) {
 		m.pausedUntil = time.Time{}
@@ -186,8 +189,8 @@
 	}
 }
 
-// excludeCold takes cold endpoints out of those that are sound. The caller holds mu.
-func (l *Pool) excludeCold(members []*member, now time.Time) (sound, open int) {
+// excludeCold excludes cold endpoints from the healthy ones. The caller holds mu.
+func (l *Pool) excludeCold(members []*member, now time.Time) (healthy, open int) {
 	l.anyExcluded = true
 	for _, m := range members {
 		switch {
@@ -195,14 +198,15 @@
 		case l.cold(m, now):
 			m.healthy, m.exclusion = false, ExcludedCold
 		default:
-			sound++
+			healthy++
 			open += m.open
 		}
 	}
-	return sound, open
+	return healthy, open
 }
 
-// firstChoiceExclusion reports why the first endpoint in the order of a request's affinity gets no work. It reports the last judgement.
+// firstChoiceExclusion returns why the first endpoint in the request's affinity order gets no work, as of the last
+// evaluation.
 func (l *Pool) firstChoiceExclusion(q Query) Exclusion {
 	if !l.anyExcluded || q.Affinity == "" {
 		return NotExcluded
@@ -237,10 +241,11 @@
 	return m.window.expired(now) || m.open < m.window.limit(now)
 }
 
-// slotShare is how many requests this instance may have at an endpoint.
+// slotShare is how many requests this instance may have open at an endpoint.
 func (l *Pool) slotShare(m *member) int { return max(1, m.Slots/max(1, l.zoneInstances())) }
 
-// pickLeastLoaded picks the endpoint with the fewest open requests; one of another zone counts as a little busier.
+// pickLeastLoaded picks the endpoint at which this instance has the fewest open requests; one in another availability
+// zone counts as a little busier.
 func (l *Pool) pickLeastLoaded(members []*member, q Query, may func(*member) bool) *member {
 	key := xxhash.Sum64String(q.Affinity)
 	var best *member
@@ -262,7 +267,8 @@
 	return best
 }
 
-// pickByAffinity picks the first endpoint in the order of the request's affinity whose load is within the bound.
+// pickByAffinity picks the first endpoint in the request's affinity order whose load is below the bound, or the first
+// one of all if there is none.
 func (l *Pool) pickByAffinity(members []*member, q Query, bound float64) (*member, Reason) {
 	key := xxhash.Sum64String(q.Affinity)
 	var first, best *member
@@ -288,7 +294,8 @@
 	return best, ReasonSpill
 }
 
-// order ranks an endpoint for the hash of an affinity by rendezvous hashing: all instances come to the same order.
+// order returns the rank of an endpoint for the hash of an affinity, by rendezvous hashing: all instances compute the
+// same order.
 func (m *member) order(key uint64) uint64 {
 	const mix = 0x9e3779b97f4a7c15
 	h := (key ^ m.hash) * mix
--- a/internal/pool/place.go
+++ b/internal/pool/place.go
@@ -7,39 +7,42 @@
 )
 
 const (
-	affinityChoices = 4                      // endpoints that are weighed for one request
-	weakAffinity    = 0.05                   // of the time for the first event: to read a kept part anew in this is nothing
-	rereadWeight    = 3                      // how much that part counts against the chance of an answer that is late
-	minTarget       = time.Second            // the time for the first event where a route names less, or none
+	affinityChoices = 4                      // endpoints that are compared for one request
+	weakAffinity    = 0.05                   // of the target time: rereading a cached part in less is negligible
+	rereadWeight    = 3                      // weight of rereading, against the probability of a late response
+	minTarget       = time.Second            // target time to the first event where a route names less, or none
 	defaultSlots    = 8                      // where an endpoint names none
 	defaultGap      = 500 * time.Millisecond // where a route names none
-	streamDuration  = 2 * time.Second        // how long a stream lasts, about
-	openCost        = 0.2                    // of an endpoint whose slots are taken: tokens come slower
-	fullShare       = 0.9                    // part of the slots from which an endpoint is as good as full
+	streamDuration  = 2 * time.Second        // approximate duration of a stream
+	openCost        = 0.2                    // cost of an endpoint with all slots in use: tokens arrive more slowly
+	fullShare       = 0.9                    // share of the slots in use from which an endpoint counts as full
 )
 
-// rereadShare is the part of the time for the first event that reading the shared part of a prompt takes, where it is not kept.
+// rereadShare is the time for reading the shared part of a prompt where it is not cached, as a share of the target
+// time to the first event.
 func (l *Pool) rereadShare(q Query) float64 {
 	return float64(q.Shared) / l.speeds[q.Service].perSecond() / max(minTarget, q.Target).Seconds()
 }
 
-// mayIgnoreAffinity reports whether a request may go where it is calm: it is known what others have under way, and what an endpoint may keep of its
-// prompt is read so soon that it is not worth waiting for.
+// mayIgnoreAffinity reports whether a request may go to an endpoint with less load than its affinity names: the loads
+// of the other instances are known, and what an endpoint may have cached of the prompt is read so quickly that it is
+// not worth waiting for.
 func (l *Pool) mayIgnoreAffinity(q Query, now time.Time) bool {
 	return q.Prompt > 0 && l.peerLoadsFresh(now) && l.rereadShare(q) < weakAffinity
 }
 
-// pickLeastCost weighs the first few endpoints in the order of the request's affinity by all that runs there. All endpoints would be too
-// many: each keeps what it has read, and instances hear of each other's requests late, so all would run to the same one.
+// pickLeastCost compares the first few endpoints in the request's affinity order by the load of all instances. To
+// compare all endpoints would be wrong: each has cached what it has read, and loads are reported late, so all
+// instances would move to the same endpoint.
 func (l *Pool) pickLeastCost(members []*member, q Query, now time.Time) (*member, Reason) {
 	choices := l.choices(members, xxhash.Sum64String(q.Affinity))
 	best, bestCost := choices[0], l.cost(choices[0], now)
-	moved := rereadWeight * l.rereadShare(q)
+	rereadCost := rereadWeight * l.rereadShare(q)
 	for _, m := range choices[1:] {
 		if m == nil {
 			break
 		}
-		if cost := l.cost(m, now) + moved; cost < bestCost {
+		if cost := l.cost(m, now) + rereadCost; cost < bestCost {
 			best, bestCost = m, cost
 		}
 	}
@@ -49,7 +52,7 @@
 	return best, ReasonLoad
 }
 
-// cost is about the chance that a stream fails or rests for too long at an endpoint, and a little for each one that runs there.
+// cost is roughly the probability that a stream fails or stalls at an endpoint, plus a little for each open request.
 func (l *Pool) cost(m *member, now time.Time) float64 {
 	x := l.total(m, now)
 	slots := m.slots()
@@ -60,7 +63,7 @@
 	return cost
 }
 
-// gap is the longest that the answer's stream may rest.
+// gap is the longest gap allowed between events of the response stream.
 func (q Query) gap() time.Duration {
 	if q.Gap > 0 {
 		return q.Gap
@@ -68,7 +71,8 @@
 	return defaultGap
 }
 
-// choices are the first sound endpoints in the order of a key, best first; fewer leave nils at the end.
+// choices returns the first healthy endpoints in the order of a key, best first, with nils at the end if there are
+// fewer.
 func (l *Pool) choices(members []*member, key uint64) (out [affinityChoices]*member) {
 	var orders [affinityChoices]uint64
 	for _, m := range members {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,5 +1,5 @@
-// Package pool knows the endpoints of each service and picks one for a request, by what is known of its load, of the prompts
-// that it keeps in memory, and of its health.
+// Package pool holds the endpoints of each service and picks one for each request, by the endpoint's load and health
+// and by the prompts that it probably has cached.
 package pool
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/ledgemount/ledgemount/internal/slowstart"
 )
 
-// Endpoint is what an endpoint reports of itself.
+// Endpoint is an endpoint's record: what the endpoint reports of itself.
 type Endpoint struct {
 	ID       string `cbor:"1,keyasint"`
 	Service  string `cbor:"2,keyasint"`
@@ -22,13 +22,13 @@
 	Zone     string `cbor:"4,keyasint"`
 	Slots    int    `cbor:"5,keyasint"`
 	Draining bool   `cbor:"6,keyasint,omitempty"` // takes no new work
-	// Cold is how much longer it was slow from its start, or from losing what it kept, when it said so
+	// Cold is for how much longer the endpoint is slow, as of its report: it has just started or has lost its cache
 	Cold time.Duration `cbor:"7,keyasint,omitempty"`
-	// StartedAt is when its process started, in Unix milliseconds of its own clock; 0: it does not say
+	// StartedAt is when its process started, in Unix milliseconds of its own clock; 0 if it does not report that
 	StartedAt int64 `cbor:"8,keyasint,omitempty"`
 }
 
-// Run names one run of the endpoint's process: its ID, and its start if it tells it.
+// Run identifies one run of the endpoint's process: its ID, and its start time if it reports one.
 func (e Endpoint) Run() string {
 	if e.StartedAt == 0 {
 		return e.ID
@@ -36,37 +36,39 @@
 	return e.ID + "@" + strconv.FormatInt(e.StartedAt, 10)
 }
 
-// Outdated reports whether a word of an endpoint comes from a process that ended before the one that started at by.
-func (e Endpoint) Outdated(by Endpoint) bool { return e.StartedAt > 0 && by.StartedAt > e.StartedAt }
+// Outdated reports whether the record comes from an earlier run of the endpoint's process than another record.
+func (e Endpoint) Outdated(other Endpoint) bool {
+	return e.StartedAt > 0 && other.StartedAt > e.StartedAt
+}
 
-// ChangedBy reports whether what an endpoint reports of itself now is news to an instance that knows the earlier word. That it is a little less cold
-// than before is not.
-func (e Endpoint) ChangedBy(now Endpoint) bool {
-	if (e.Cold > 0) != (now.Cold > 0) || now.Cold > e.Cold {
+// ChangedBy reports whether an update changes what the record says. A cold period that has merely become shorter is
+// not a change.
+func (e Endpoint) ChangedBy(update Endpoint) bool {
+	if (e.Cold > 0) != (update.Cold > 0) || update.Cold > e.Cold {
 		return true
 	}
-	now.Cold = e.Cold
-	return e != now
+	update.Cold = e.Cold
+	return e != update
 }
 
-// Policy holds the figures by which endpoints are judged.
+// Policy holds the parameters by which endpoints are evaluated.
 type Policy struct {
-	MinResponseTimeout    time.Duration // an endpoint that owes an answer and says nothing for this long is suspected
-	ResponseTimeoutFactor float64       // how many times its expected time an answer to a long prompt may take before that
-	FirstPause            time.Duration // without new work after a failure
-	MaxPause              time.Duration // the most that a pause grows to
-	LoadFactor            float64       // how far over the mean load an endpoint may be for the sake of a kept prompt
-	LoadMargin            int           // requests that it may have beyond that
-	CrossZonePenalty      float64       // load, in requests, that another zone's endpoint must be better by
-	ErrorShare            float64       // failures among the last answers at which an endpoint is avoided
-	ColdLast              bool          // cold endpoints get work only where no other is sound
-	RestJitter            float64       // part of a rest by which an instance comes back later, drawn at random: all were told at the same time
-	RestDecrease          float64       // part of what an endpoint had open here when it asked for rest that it may have again; 0: any number
-	BusyDecrease          float64       // the same, when it had no room and asked for no rest; 0: any number
-	PauseAfter            int           // failures in a row from which an endpoint is paused
-	MaxPausedShare        float64       // part of a service's endpoints that may be paused at once
-	ProbeAfterPause       bool          // an endpoint that was paused gets one request at first
-	SlowFactor            float64       // times the median time to a first token of a service from which an endpoint is paused; 0: never
+	MinResponseTimeout    time.Duration // an endpoint that owes a response and sends nothing for this long is suspect
+	ResponseTimeoutFactor float64       // multiple of a prompt's expected reading time that counts instead if it is longer
+	FirstPause            time.Duration // for which a failed endpoint gets no new work; doubles with each further pause
+	MaxPause              time.Duration // upper bound of a pause
+	LoadFactor            float64       // multiple of the mean load up to which an endpoint gets requests by affinity
+	LoadMargin            int           // open requests allowed on top of that
+	CrossZonePenalty      float64       // load, in requests, added to that of endpoints in other availability zones
+	ErrorShare            float64       // share of failures among recent responses above which an endpoint is avoided
+	ColdLast              bool          // cold endpoints get work only if no other endpoint is healthy
+	RestJitter            float64       // share of a rest up to which instances randomly return later, to spread them
+	RestDecrease          float64       // share of the open requests at a rest up to which the window grows fast; 0: none
+	BusyDecrease          float64       // the same for an endpoint that is busy and does not ask for rest; 0: none
+	PauseAfter            int           // consecutive failures from which an endpoint is paused
+	MaxPausedShare        float64       // share of a service's endpoints that may be paused at once
+	ProbeAfterPause       bool          // an endpoint gets a single request at first when its pause ends
+	SlowFactor            float64       // multiple of the median time to the first token that pauses an endpoint; 0: never
 }
 
 // DefaultPolicy suits endpoints that answer within a second.
@@ -77,36 +79,36 @@
 	}
 }
 
-// member is an endpoint with what this instance has seen of it.
+// member is an endpoint with the state that this instance tracks for it.
 type member struct {
 	Endpoint
-	open            int           // requests of this instance
-	responseTimeout time.Duration // the most that one of them has
-	receivedAt      time.Time     // the last byte
-	interference    flow          // of this instance's prompts: see Load
-	ended           flow          // this instance's requests that ended well or badly
-	failed          flow          // those that ended badly
-	peerLoad        Load          // what other instances have there, as last reported
-	awaitingSince   time.Time     // since when it owes an answer without a break; zero: it owes none
+	open            int           // requests of this instance at the endpoint
+	responseTimeout time.Duration // the longest response timeout among them
+	receivedAt      time.Time     // when the endpoint last sent data
+	interference    flow          // caused by this instance's prompts: see Load
+	ended           flow          // this instance's requests that succeeded or failed
+	failed          flow          // those that failed
+	peerLoad        Load          // load of the other instances, as last reported
+	awaitingSince   time.Time     // since when requests have been open without a break; zero: none has been yet
 	pausedUntil     time.Time
-	pause           time.Duration // the last one; 0: it has answered well since
-	failures        int           // in a row
-	window          *window       // the bound after a rest or a pause; nil: none
+	pause           time.Duration // length of the last pause; 0: there was a success since
+	failures        int           // consecutive
+	window          *window       // bounds open requests after a rest or a pause; nil: no bound
 	pace            pace
-	errorShare      float64 // share of failures among the last answers, at errorsAt
+	errorShare      float64 // share of failures among recent responses, as of errorShareAt
 	errorShareAt    time.Time
 	busyUntil       time.Time
-	recordAt        time.Time  // when its record last came
-	announced       *announced // what it reports of itself in answers; nil: nothing
+	recordAt        time.Time  // when its record last arrived
+	announced       *announced // what it has announced in responses; nil: nothing
 	hash            uint64     // of the ID
 	runKey          uint32     // see Loads
 	warming         warming
-	exclusion       Exclusion // within one pick: why it gets no work, whatever the request
+	exclusion       Exclusion // within one pick: why it gets no work, regardless of the request
 	eligible        bool      // within one pick: it may be sent the request
-	healthy         bool      // within one pick: and nothing speaks against it
+	healthy         bool      // within one pick: it is also healthy
 }
 
-// Pool is the directory of endpoints. All its methods may be called at once.
+// Pool is the directory of endpoints. Its methods are safe for concurrent use.
 type Pool struct {
 	zone   string
 	policy Policy
@@ -121,73 +123,77 @@
 	onNotice      func(NoticeTaken)
 	onNoticeEnded func(NoticeEnded)
 	announced     map[string]*announced // by endpoint ID
-	peersLeaving  Leaving               // by other instances, in the last exchange
+	peersLeaving  Leaving               // as reported by other instances in the last exchange
 
 	chooser          Chooser[Candidate] // nil: picks go by affinity and load
 	chooserRand      Rand
 	prefixes         *PrefixTable
-	zoneLoad         func(endpoint string) int // requests that other instances have there, told in another way than by SetOthers
-	zoneInstances    func() int                // instances among which an endpoint's slots are split
+	zoneLoad         func(endpoint string) int // open requests of the zone's other instances, where SetPeerLoads is not used
+	zoneInstances    func() int                // number of instances among which an endpoint's slots are split
 	candidates       []Candidate               // of one pick
 	candidateMembers []*member                 // of one pick, in the same order
-	peerLoads        Loads                     // what other instances have under way; nil: never told
+	peerLoads        Loads                     // loads of the other instances; nil: none received yet
 	peerLoadsAt      time.Time
 	speeds           map[string]*speed // by service
 
-	removedInUse map[*member]bool // endpoints that are gone, while requests of this instance are open there
+	removedInUse map[*member]bool // removed endpoints at which this instance still has open requests
 	evacuated    map[string]bool  // availability zones
-	anyExcluded  bool             // within one pick: work is kept off some endpoint
+	anyExcluded  bool             // within one pick: some endpoint is excluded
 	warmups      map[string]slowstart.Warmup
 	owners       Owners
 	coldBounds   slowstart.Bounds
 	connections  map[string]*connections // by service
 	regions      map[string]string       // by availability zone
-	random       func(n int) int         // from 0 up to n, not including it
+	random       func(n int) int         // returns a number from 0 up to n, not including n
 
-	limited     int             // endpoints whose limits hold, about
-	demand      map[string]flow // requests of this instance for services, since some endpoint names a limit
-	leased      bool            // what this instance may send under limits is granted; else it has an even part
-	peersLimits Limits          // by other instances, in the last exchange
+	limited     int             // approximate number of endpoints whose limits are in force
+	demand      map[string]flow // rate of this instance's requests by service, counted while any endpoint has a limit
+	leased      bool            // this instance sends under limits what it is granted; otherwise its even share
+	peersLimits Limits          // as reported by other instances in the last exchange
 }
 
-// Option changes a Pool.
+// Option configures a Pool.
 type Option func(*Pool)
 
-// WithPolicy replaces the figures.
+// WithPolicy replaces the default policy.
 func WithPolicy(p Policy) Option { return func(l *Pool) { l.policy = p } }
 
 // WithNow replaces the clock.
 func WithNow(now func() time.Time) Option { return func(l *Pool) { l.now = now } }
 
-// WithWall replaces the time of day.
+// WithWall replaces the wall clock.
 func WithWall(wall func() time.Time) Option { return func(l *Pool) { l.wall = wall } }
 
-// WithRegions tells the region of each availability zone.
+// WithRegions sets the region of each availability zone.
 func WithRegions(byZone map[string]string) Option { return func(l *Pool) { l.regions = byZone } }
 
-// WithRandom replaces the source of numbers from 0 up to n, not including it.
+// WithRandom replaces the source of random numbers from 0 up to n, not including n.
 func WithRandom(f func(n int) int) Option { return func(l *Pool) { l.random = f } }
 
-// OnRemoved sets what is called with the address of an endpoint that is not there any more.
+// OnRemoved sets the function that is called with the address of each removed endpoint.
 func OnRemoved(f func(addr string)) Option { return func(l *Pool) { l.onRemoved = f } }
 
-// OnNotice sets what is notified of endpoints' words that were taken. It is called while the pool is locked, so it must not call the pool.
+// OnNotice sets the function that is called with each notice that takes effect. It runs while the pool is locked, so
+// it must not call the pool.
 func OnNotice(f func(NoticeTaken)) Option { return func(l *Pool) { l.onNotice = f } }
 
-// OnNoticeEnded sets what is notified of endpoints' words that do not count any more. It is called as that of OnHeard is.
+// OnNoticeEnded sets the function that is called with each notice that no longer applies. It must not call the pool
+// either.
 func OnNoticeEnded(f func(NoticeEnded)) Option { return func(l *Pool) { l.onNoticeEnded = f } }
 
-// WithChooser lets a Chooser pick among sound endpoints, and keeps in mind which endpoint saw which blocks of prompts lately.
+// WithChooser lets a Chooser pick among healthy endpoints, and makes the pool track which endpoint recently saw which
+// blocks of prompts.
 func WithChooser(c Chooser[Candidate], r Rand) Option {
 	return func(l *Pool) { l.chooser, l.chooserRand, l.prefixes = c, r, NewPrefixTable(prefixEntries) }
 }
 
-// WithZoneView tells how many requests the zone's other instances have at an endpoint, and among how many instances its slots are split.
-func WithZoneView(elsewhere func(endpoint string) int, share func() int) Option {
-	return func(l *Pool) { l.zoneLoad, l.zoneInstances = elsewhere, share }
+// WithZoneView sets the functions that return how many requests the zone's other instances have open at an endpoint,
+// and among how many instances its slots are split.
+func WithZoneView(load func(endpoint string) int, instances func() int) Option {
+	return func(l *Pool) { l.zoneLoad, l.zoneInstances = load, instances }
 }
 
-// New makes an empty pool for an instance in a zone.
+// New returns an empty pool for an instance in an availability zone.
 func New(zone string, opts ...Option) *Pool {
 	l := &Pool{
 		zone: zone, policy: DefaultPolicy(), now: time.Now, wall: time.Now,
@@ -202,27 +208,27 @@
 	return l
 }
 
-// Replace takes the whole list of endpoints. It returns how many came and went.
-func (l *Pool) Replace(list []Endpoint) (came, went int) {
+// Replace replaces all endpoints by those of the list. It returns how many were added and removed.
+func (l *Pool) Replace(list []Endpoint) (added, removed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	listed := make(map[string]bool, len(list))
 	for _, e := range list {
 		listed[e.ID] = true
 		if l.put(e) {
-			came++
+			added++
 		}
 	}
 	for id := range l.byID {
 		if !listed[id] {
 			l.remove(id)
-			went++
+			removed++
 		}
 	}
-	return came, went
+	return added, removed
 }
 
-// Put takes what an endpoint reports of itself now; true if it is new or its state has changed.
+// Put adds an endpoint or updates its record. It returns true if the endpoint is new or starts or stops draining.
 func (l *Pool) Put(e Endpoint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -231,10 +237,11 @@
 
 func (l *Pool) put(e Endpoint) bool {
 	if l.outdated(e) {
-		return false // a word of the process before, told late
+		return false // a late record of the previous process
 	}
 	m := l.byID[e.ID]
-	// A process that started again under its ID knows nothing of before, so nothing of before counts for it.
+	// A process that restarted under the same ID has lost its state, so the state tracked for the previous one is
+	// dropped.
 	if m != nil && m.Service == e.Service && m.Addr == e.Addr && !m.Outdated(e) {
 		changed := m.Draining != e.Draining
 		e.StartedAt, m.recordAt = max(e.StartedAt, m.StartedAt), l.now()
@@ -258,7 +265,7 @@
 	return true
 }
 
-// Remove takes an endpoint out; false if it was not there.
+// Remove removes an endpoint; it returns false if the endpoint is unknown.
 func (l *Pool) Remove(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -279,7 +286,7 @@
 	return true
 }
 
-// Len is the number of endpoints that take work.
+// Len returns the number of endpoints that accept new work.
 func (l *Pool) Len() int {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
--- a/internal/pool/prompts.go
+++ b/internal/pool/prompts.go
@@ -10,7 +10,7 @@
 	blockBytes = 256 // prompts are compared in blocks of this many bytes
 	maxBlocks  = 64
 
-	prefixEntries = 1 << 15 // pairs of an endpoint and a block that are remembered
+	prefixEntries = 1 << 15 // pairs of an endpoint and a block that are stored
 )
 
 // Blocks hashes the beginning of a prompt in blocks; each hash covers everything before it too.
@@ -25,7 +25,8 @@
 	return out
 }
 
-// PrefixTable remembers which endpoint saw which prefixes lately. It is a guess: caches evict, events are late.
+// PrefixTable tracks which endpoint recently saw which prefixes. It is an estimate: caches evict, and events arrive
+// late.
 type PrefixTable struct {
 	size  int
 	order *list.List
@@ -42,7 +43,7 @@
 	return &PrefixTable{size: size, order: list.New(), seen: make(map[prefixKey]*list.Element)}
 }
 
-// Add notes that an endpoint has seen the blocks.
+// Add records that an endpoint has seen the blocks.
 func (t *PrefixTable) Add(endpoint string, blocks []uint64) {
 	for _, b := range blocks {
 		k := prefixKey{endpoint, b}
@@ -57,14 +58,14 @@
 	}
 }
 
-// Remove notes that an endpoint has evicted a block.
+// Remove records that an endpoint has evicted a block.
 func (t *PrefixTable) Remove(endpoint string, block uint64) {
 	if el, ok := t.seen[prefixKey{endpoint, block}]; ok {
 		t.drop(el)
 	}
 }
 
-// Forget drops all that is known of an endpoint.
+// Forget removes all entries of an endpoint.
 func (t *PrefixTable) Forget(endpoint string) {
 	for k, el := range t.seen {
 		if k.endpoint == endpoint {
@@ -79,7 +80,7 @@
 	delete(t.seen, k)
 }
 
-// Share is the share of the blocks that an endpoint probably has.
+// Share is the share of the blocks, counted from the first one, that an endpoint probably has cached.
 func (t *PrefixTable) Share(endpoint string, blocks []uint64) float64 {
 	n := 0
 	for _, b := range blocks {
--- a/internal/pool/speed.go
+++ b/internal/pool/speed.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	defaultSpeed       = 20000           // tokens a second, until answers have told; a few times slower than the endpoints that are known
-	speedMemory        = 200 * 1000      // tokens of prompts after which what was learnt of a speed counts a third
-	minPrompt          = 1000            // shorter prompts tell nothing of a speed
-	maxResponseTimeout = 5 * time.Second // bounds what a slow service or a huge prompt may take
+	defaultSpeed       = 20000           // tokens a second, until responses are measured; a few times below known endpoints
+	speedMemory        = 200 * 1000      // tokens of prompts after which a measurement weighs a third
+	minPrompt          = 1000            // tokens: shorter prompts say nothing about the speed
+	maxResponseTimeout = 5 * time.Second // upper bound, for slow services and huge prompts
 )
 
-// speed is how fast a service's endpoints get through prompts, kept parts and waiting counted in.
+// speed is how fast a service's endpoints process prompts, including cached parts and queueing.
 type speed struct{ tokens, seconds float64 }
 
 func (s *speed) perSecond() float64 {
@@ -22,7 +22,7 @@
 	return s.tokens / s.seconds
 }
 
-// ObserveFirstEvent notes how long an endpoint took to the first event of an answer to a prompt.
+// ObserveFirstEvent records how long an endpoint took to the first event of the response to a prompt.
 func (s *Lease) ObserveFirstEvent(prompt int64, took time.Duration) {
 	if prompt < minPrompt {
 		return
@@ -35,20 +35,21 @@
 		x = &speed{}
 		l.speeds[s.endpoint.Service] = x
 	}
-	keep := math.Exp(-float64(prompt) / speedMemory)
-	x.tokens = x.tokens*keep + float64(prompt)
-	x.seconds = x.seconds*keep + took.Seconds()
+	decay := math.Exp(-float64(prompt) / speedMemory)
+	x.tokens = x.tokens*decay + float64(prompt)
+	x.seconds = x.seconds*decay + took.Seconds()
 }
 
-// ResponseTimeout is how long the endpoint may take to the first word of the answer: what reading the prompt is expected to take, some times.
+// ResponseTimeout returns how long the endpoint may take until the response begins: a multiple of the time that
+// reading the prompt is expected to take, within bounds.
 func (s *Lease) ResponseTimeout() time.Duration { return s.responseTimeout }
 
-// responseTimeout is how long an endpoint may take to the first word of an answer. The caller holds mu.
+// responseTimeout is how long an endpoint may take until the response begins. The caller holds mu.
 func (l *Pool) responseTimeout(q Query) time.Duration {
 	return max(l.policy.MinResponseTimeout, min(maxResponseTimeout, time.Duration(l.policy.ResponseTimeoutFactor*float64(l.readingTime(q)))))
 }
 
-// readingTime is how long an endpoint is expected to take to the first word of an answer. The caller holds mu.
+// readingTime is how long an endpoint is expected to take until the response begins. The caller holds mu.
 func (l *Pool) readingTime(q Query) time.Duration {
 	return time.Duration(float64(q.Prompt) / l.speeds[q.Service].perSecond() * float64(time.Second))
 }
--- a/internal/pool/status.go
+++ b/internal/pool/status.go
@@ -1,16 +1,16 @@
 package pool
 
-// Status is how an endpoint stands with this instance.
+// Status is the state of an endpoint as seen by this instance.
 type Status struct {
 	ID         string
 	Open       int       // requests of this instance
-	Paused     bool      // after failures, until it has answered well again
-	Exclusion  Exclusion // why it gets no work whatever the request
+	Paused     bool      // after failures, until the next success
+	Exclusion  Exclusion // why it gets no work, regardless of the request
 	FirstToken float64
-	PerToken   float64 // seconds, as these lately were; 0: not known
+	PerToken   float64 // seconds, recent values of both; 0: unknown
 }
 
-// Statuses tells how all endpoints stand, those too that are gone and still have requests of this instance.
+// Statuses returns the state of all endpoints, including removed ones at which this instance still has open requests.
 func (l *Pool) Statuses() []Status {
 	now := l.now()
 	l.mu.Lock()
@@ -34,7 +34,7 @@
 	return out
 }
 
-// Capacity is how many requests this instance may have open at endpoints to which a query may go.
+// Capacity is how many requests this instance may have open at the endpoints that may run a query.
 func (l *Pool) Capacity(q Query) int {
 	now := l.now()
 	l.mu.Lock()
@@ -44,14 +44,14 @@
 		if !l.allowed(m, q) || l.exclusionOf(m, now) != NotExcluded || !l.healthy(m, now) {
 			continue
 		}
-		room := l.slotShare(m)
+		capacity := l.slotShare(m)
 		if c := l.connectionsOf(q.Service, now); c != nil {
-			room = min(room, c.share)
+			capacity = min(capacity, c.share)
 		}
 		if !m.window.expired(now) {
-			room = min(room, m.window.limit(now))
+			capacity = min(capacity, m.window.limit(now))
 		}
-		n += room
+		n += capacity
 	}
 	return n
 }
--- a/internal/pool/warm.go
+++ b/internal/pool/warm.go
@@ -6,38 +6,38 @@
 	"github.com/ledgemount/ledgemount/internal/slowstart"
 )
 
-// Exclusion reports why an endpoint that would have been picked for its affinity gets no work now, for logs.
+// Exclusion is the reason why an endpoint that would have been picked for its affinity gets no work now, for logs.
 type Exclusion string
 
 // The reasons.
 const (
 	NotExcluded       Exclusion = ""
 	ExcludedEvacuated Exclusion = "evacuated" // the operator has evacuated its availability zone
-	ExcludedCold      Exclusion = "cold"      // it has just started, or lost what it kept, and others own its share or have room
-	ExcludedLeaving   Exclusion = "leaving"   // it has said in an answer that it leaves
-	ExcludedResting   Exclusion = "resting"   // it has asked this instance for rest in an answer
-	ExcludedLimited   Exclusion = "limited"   // it names a limit for all instances, and has had this one's part of it
+	ExcludedCold      Exclusion = "cold"      // it has just started or lost its cache; others own its share or have capacity
+	ExcludedLeaving   Exclusion = "leaving"   // it has announced in a response that it leaves
+	ExcludedResting   Exclusion = "resting"   // it has asked this instance for rest in a response
+	ExcludedLimited   Exclusion = "limited"   // it names a limit for all instances, and this one's part of that is used up
 )
 
-// ownersTTL is how long it counts who owns a cold endpoint, before that is looked up again: instances come and go in seconds.
+// ownersTTL is how long it is cached who owns a cold endpoint: instances start and stop within seconds.
 const ownersTTL = time.Second
 
-// Owners tells which instances own what, in an order that all instances come to alone.
+// Owners determines which instances own what, in an order that each instance computes by itself.
 type Owners interface {
 	// Known reports whether the other instances are known at all.
 	Known() bool
-	// Size is their number, this one among them.
+	// Size is the number of instances, including this one.
 	Size() int
-	// Place is this instance's place among them, from 0, and their number. All come to the same order.
+	// Place is this instance's place among all, from 0, and their number. All instances compute the same order.
 	Place() (place, size int)
-	// Owns reports whether this instance is one of the first of them in the order for a key.
+	// Owns reports whether this instance is among the first ones in the order for a key.
 	Owns(key string, first int) bool
 }
 
-// WithOwners sets who owns cold endpoints. Without, this instance is by itself.
+// WithOwners sets which instances own cold endpoints. Without it, this instance is the only one.
 func WithOwners(o Owners) Option { return func(l *Pool) { l.owners = o } }
 
-// WithColdBounds sets what the operator lets cold endpoints get.
+// WithColdBounds sets the operator's bounds on requests to cold endpoints.
 func WithColdBounds(b slowstart.Bounds) Option { return func(l *Pool) { l.coldBounds = b } }
 
 // singleInstance is a fleet of one instance.
@@ -48,24 +48,24 @@
 func (singleInstance) Owns(string, int) bool { return true }
 func (singleInstance) Place() (int, int)     { return 0, 1 }
 
-// warming is what an instance knows of one endpoint that is cold.
+// warming is the state of a cold endpoint.
 type warming struct {
 	until   time.Time
 	bucket  slowstart.Bucket
 	share   slowstart.Share
 	owns    bool
-	checked time.Time // when share and owns were found out
+	checked time.Time // when share and owns were determined
 }
 
-// SetWarmups takes what services say of their cold endpoints.
+// SetWarmups sets what services say about their cold endpoints.
 func (l *Pool) SetWarmups(byService map[string]slowstart.Warmup) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.warmups = byService
 }
 
-// SetEvacuated takes all availability zones whose endpoints get no new work. Those of a zone that returns may have turned cold a moment
-// before, which their records tell too late, so they are taken to be cold.
+// SetEvacuated sets all availability zones whose endpoints get no new work. Those of a zone that returns may have
+// become cold a moment before, and their records report that too late, so they count as cold.
 func (l *Pool) SetEvacuated(zones []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,19 +82,19 @@
 	}
 }
 
-// markCold notes that an endpoint is cold for some time from now on. The caller holds mu.
+// markCold marks an endpoint as cold for some time from now on. The caller holds mu.
 func (l *Pool) markCold(m *member, now time.Time, d time.Duration) {
 	if until := now.Add(d); d > 0 && until.After(m.warming.until) {
 		m.warming.until = until
 	}
 }
 
-// cold reports whether an endpoint is cold and what it gets is bounded. The caller holds mu.
+// cold reports whether an endpoint is cold and the requests to it are bounded. The caller holds mu.
 func (l *Pool) cold(m *member, now time.Time) bool {
 	return before(now, m.warming.until) && l.warmups[m.Service].PerSecond > 0
 }
 
-// exclusionOf reports why an endpoint gets no work now, whatever the request. The caller holds mu.
+// exclusionOf returns why an endpoint gets no work now, regardless of the request. The caller holds mu.
 func (l *Pool) exclusionOf(m *member, now time.Time) Exclusion {
 	switch {
 	case len(l.evacuated) > 0 && l.evacuated[m.Zone]:
@@ -122,7 +122,7 @@
 	return w.owns && w.bucket.Has(now, w.share)
 }
 
-// countCold counts a request to a cold endpoint. The caller holds mu.
+// countCold counts a request to an endpoint if that is cold. The caller holds mu.
 func (l *Pool) countCold(m *member, now time.Time) {
 	if l.cold(m, now) {
 		m.warming.bucket.Take(now, m.warming.share)
--- a/internal/pool/zone.go
+++ b/internal/pool/zone.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// zoneHealth is what this instance has seen of its path to another availability zone.
+// zoneHealth is what this instance has observed of its path to an availability zone.
 type zoneHealth struct {
-	unreachable map[string]bool // endpoints that could not be reached since the zone was last heard
-	lastFailure time.Time       // when the last of them was
-	lastProbe   time.Time       // the last pick there since
+	unreachable map[string]bool // endpoints that could not be reached since the zone last responded
+	lastFailure time.Time       // when the last of them could not be reached
+	lastProbe   time.Time       // the last pick there since then
 }
 
 const (
-	minUnreachable = 2                      // endpoints of a zone that cannot be reached: the path is suspect
-	suspicionTTL   = 5 * time.Second        // after this the zone is tried as before
-	probeInterval  = 700 * time.Millisecond // between picks that try whether the path is back
+	minUnreachable = 2                      // unreachable endpoints of a zone from which on the path is suspect
+	suspicionTTL   = 5 * time.Second        // after this the zone is used as before
+	probeInterval  = 700 * time.Millisecond // between picks that probe a suspect path
 )
 
 func (l *Pool) zoneOf(m *member) *zoneHealth {
@@ -24,22 +24,22 @@
 	return z
 }
 
-// markUnreachable notes that an endpoint could not be reached. The caller holds mu.
+// markUnreachable records that an endpoint could not be reached. The caller holds mu.
 func (l *Pool) markUnreachable(m *member, now time.Time) {
 	z := l.zoneOf(m)
 	z.unreachable[m.ID] = true
 	z.lastFailure = now
 }
 
-// markReached notes that an endpoint was heard. The caller holds mu.
+// markReached records that an endpoint has sent data. The caller holds mu.
 func (l *Pool) markReached(m *member) {
 	if z := l.zones[m.Zone]; z != nil && len(z.unreachable) > 0 {
 		clear(z.unreachable)
 	}
 }
 
-// zoneSuspect reports whether the path to an endpoint's zone is suspect. Endpoints of the own zone are judged one by one. The caller
-// holds mu.
+// zoneSuspect reports whether the path to an endpoint's zone is suspect and no probe is due. Endpoints of the own
+// zone are evaluated one by one. The caller holds mu.
 func (l *Pool) zoneSuspect(m *member, now time.Time) bool {
 	if len(l.zones) == 0 || m.Zone == l.zone {
 		return false
@@ -61,7 +61,7 @@
 	return true
 }
 
-// markProbed notes that a suspect zone is tried. The caller holds mu.
+// markProbed records that a suspect zone is probed. The caller holds mu.
 func (l *Pool) markProbed(m *member, now time.Time) {
 	if z := l.zones[m.Zone]; z != nil && len(z.unreachable) >= minUnreachable {
 		z.lastProbe = now
