--- a/internal/load/digest.go
+++ b/internal/load/digest.go
@@ -8,46 +8,46 @@
 	"github.com/ledgemount/ledgemount/internal/pool"
 )
 
-// A leader sends a digest to each instance of its zone twice a second, and may do so over a small link, so it is short. Flows are told in whole
-// thousandths a second.
+// A leader sends a digest to each instance of its availability zone twice a second, possibly over a slow link, so a
+// digest is short. Flows are encoded in whole thousandths per second.
 const (
-	flowSteps = 1000 // of a flow of one a second
-	mostLines = 300  // endpoints of a digest; those with the least under way are left out
+	flowScale = 1000 // units of a flow of one per second
+	maxLines  = 300  // endpoints in a digest; those with the least load are left out
 
-	mostAge = 24 * time.Hour // of a word; what claims to be older cannot be right
+	maxAge = 24 * time.Hour // of an announcement; a greater age cannot be right
 )
 
-// line is what some instances have under way at one endpoint.
+// line is the load of one or more instances at one endpoint.
 type line struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint uint32   // as in pool.Loads
 	Open     int
-	Harm     int // this and the next two as in pool.Load, in thousandths a second
+	Harm     int // this and the next two as in pool.Load, in thousandths per second
 	Ended    int
 	Failed   int
 	Silent   int // requests, as in pool.Load
 }
 
-// digest is what some instances have under way.
+// digest is the encoded report of one or more instances.
 type digest struct {
-	Lines []line `cbor:"1,keyasint,omitempty"`
-	Rider []byte `cbor:"2,keyasint,omitempty"` // what a Rider tells
-	// Leaving reports endpoints that have said in answers that they leave; a build that does not know it passes it over
+	Lines     []line `cbor:"1,keyasint,omitempty"`
+	Piggyback []byte `cbor:"2,keyasint,omitempty"` // data of a Piggyback
+	// Leaving lists endpoints that have announced in responses that they are leaving; older builds ignore the field
 	Leaving []leaving `cbor:"3,keyasint,omitempty"`
-	// Limits, Asks and Grants tell of endpoints' limits, and divide them; likewise
-	Limits []named `cbor:"4,keyasint,omitempty"`
-	Asks   []ask   `cbor:"5,keyasint,omitempty"`
-	Grants []grant `cbor:"6,keyasint,omitempty"`
+	// Limits, Claims and Grants report the limits of endpoints and divide them; older builds ignore these fields too
+	Limits []announcedLimit `cbor:"4,keyasint,omitempty"`
+	Claims []claim          `cbor:"5,keyasint,omitempty"`
+	Grants []grant          `cbor:"6,keyasint,omitempty"`
 }
 
-// leaving is an endpoint's word that it leaves.
+// leaving is an endpoint's announcement that it is leaving.
 type leaving struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint uint32   // as in pool.Loads
-	AgeMs    int64    // since it said so
+	AgeMs    int64    // since the announcement
 }
 
-// pack writes a report down, as far as it is worth it.
+// pack encodes a report and leaves out endpoints without load.
 func pack(r report, now time.Time) digest {
 	return digest{Lines: packLoads(r.loads), Leaving: packLeaving(r.leaving), Limits: packLimits(r.limits, now)}
 }
@@ -55,43 +55,43 @@
 func packLoads(loads pool.Loads) []line {
 	lines := make([]line, 0, len(loads))
 	for key, x := range loads {
-		l := line{Endpoint: key, Open: x.Open, Harm: steps(x.Harm), Ended: steps(x.Ended), Failed: steps(x.Failed), Silent: x.Silent}
+		l := line{Endpoint: key, Open: x.Open, Harm: roundThousandths(x.Harm), Ended: roundThousandths(x.Ended), Failed: roundThousandths(x.Failed), Silent: x.Silent}
 		if l.Open+l.Harm+l.Ended+l.Failed > 0 {
 			lines = append(lines, l)
 		}
 	}
-	return capped(lines, func(a, b line) int {
+	return truncate(lines, func(a, b line) int {
 		return cmp.Or(cmp.Compare(b.weight(), a.weight()), cmp.Compare(a.Endpoint, b.Endpoint))
 	})
 }
 
-// packLeaving writes down which endpoints leave; of too many those that have said so last.
+// packLeaving encodes which endpoints are leaving. If there are too many, it keeps the latest announcements.
 func packLeaving(l pool.Leaving) []leaving {
 	out := make([]leaving, 0, len(l))
 	for key, age := range l {
 		out = append(out, leaving{Endpoint: key, AgeMs: age.Milliseconds()})
 	}
-	return capped(out, func(a, b leaving) int { return cmp.Compare(a.AgeMs, b.AgeMs) })
+	return truncate(out, func(a, b leaving) int { return cmp.Compare(a.AgeMs, b.AgeMs) })
 }
 
-// unpack reads a report that came at a moment.
+// unpack decodes a report that was received at now.
 func (d digest) unpack(now time.Time) report {
 	out := report{loads: make(pool.Loads, len(d.Lines)), leaving: make(pool.Leaving, len(d.Leaving)), limits: unpackLimits(d.Limits, now)}
 	for _, l := range d.Lines {
 		out.loads[l.Endpoint] = pool.Load{
-			Open: l.Open, Harm: float64(l.Harm) / flowSteps, Ended: float64(l.Ended) / flowSteps, Failed: float64(l.Failed) / flowSteps, Silent: l.Silent,
+			Open: l.Open, Harm: float64(l.Harm) / flowScale, Ended: float64(l.Ended) / flowScale, Failed: float64(l.Failed) / flowScale, Silent: l.Silent,
 		}
 	}
 	for _, l := range d.Leaving {
-		if l.AgeMs >= 0 && l.AgeMs <= mostAge.Milliseconds() {
+		if l.AgeMs >= 0 && l.AgeMs <= maxAge.Milliseconds() {
 			out.leaving[l.Endpoint] = time.Duration(l.AgeMs) * time.Millisecond
 		}
 	}
 	return out
 }
 
-// minus takes the parts of one instance out of lines that they are a part of.
-func minus(lines, parts []line) []line {
+// subtract returns lines without parts, which are the contribution of one instance to them.
+func subtract(lines, parts []line) []line {
 	if len(parts) == 0 {
 		return lines
 	}
@@ -110,7 +110,7 @@
 	return out
 }
 
-// weight is how much a line matters for picks, about.
-func (l line) weight() int { return (l.Open+l.Silent)*flowSteps + l.Harm + l.Failed }
+// weight is roughly how much a line matters for picks.
+func (l line) weight() int { return (l.Open+l.Silent)*flowScale + l.Harm + l.Failed }
 
-func steps(perSecond float64) int { return int(math.Round(perSecond * flowSteps)) }
+func roundThousandths(perSecond float64) int { return int(math.Round(perSecond * flowScale)) }
--- a/internal/load/digest_test.go
+++ b/internal/load/digest_test.go
@@ -20,7 +20,7 @@
 			loads[i<<20+7] = pool.Load{Open: int(i % 12), Harm: 0.25, Ended: 2.5, Failed: 0.07}
 		}
 
-		Convey("tells what it was made of", func() {
+		Convey("decodes to the report that it was made from", func() {
 			leaving := pool.Leaving{7: 1500 * time.Millisecond, 8: 0}
 			limits := pool.Limits{
 				7: limit.NewState(limit.PerSecond(1.25), now.Add(-time.Second), time.Time{}),
@@ -29,30 +29,30 @@
 			So(pack(report{loads, leaving, limits}, now).unpack(now), ShouldResemble, report{loads, leaving, limits})
 		})
 
-		Convey("is short enough for a small link: 2.3 KB for 140 endpoints", func() {
+		Convey("fits a slow link: 2.3 KB for 140 endpoints", func() {
 			raw, err := cbor.Marshal(pack(report{loads: loads}, now))
 			So(err, ShouldBeNil)
 			So(len(raw), ShouldBeLessThan, 2400)
 		})
 
-		Convey("has not a byte more where no endpoint names a limit, and 50 for each that does, there and back", func() {
+		Convey("takes no extra bytes if no endpoint announces a limit, and at most 50 for each that does, in both directions", func() {
 			size := func(d digest) int {
 				raw, err := cbor.Marshal(d)
 				So(err, ShouldBeNil)
 				return len(raw)
 			}
 			const many = 100
-			limits, asks, grants := make(pool.Limits), make(limit.Claims), make(limit.Grants)
-			So(size(digest{Limits: packLimits(limits, now), Asks: packAsks(asks), Grants: packGrants(grants)}), ShouldEqual, size(digest{}))
+			limits, claims, grants := make(pool.Limits), make(limit.Claims), make(limit.Grants)
+			So(size(digest{Limits: packLimits(limits, now), Claims: packClaims(claims), Grants: packGrants(grants)}), ShouldEqual, size(digest{}))
 			for i := range uint32(many) {
 				limits[i<<20+7] = limit.NewState(limit.PerSecond(1.3), now.Add(-time.Second), now.Add(-time.Minute))
-				asks[i<<20+7] = limit.Claim{Demand: 12.5, Offer: 0.004}
+				claims[i<<20+7] = limit.Claim{Demand: 12.5, Offer: 0.004}
 				grants[i<<20+7] = limit.Grant{Limit: 1.3, PerSecond: 0.4, For: time.Second, Holders: 2, FleetDemand: 920}
 			}
-			So(size(digest{Limits: packLimits(limits, now), Asks: packAsks(asks), Grants: packGrants(grants)}), ShouldBeLessThan, 50*many)
+			So(size(digest{Limits: packLimits(limits, now), Claims: packClaims(claims), Grants: packGrants(grants)}), ShouldBeLessThan, 50*many)
 		})
 
-		Convey("leaves out endpoints with nothing under way, and those with the least where there are too many", func() {
+		Convey("leaves out endpoints without load, and those with the least load if there are too many", func() {
 			loads[1] = pool.Load{Harm: 0.0001}
 			So(len(pack(report{loads: loads}, now).Lines), ShouldEqual, 140)
 			for i := range uint32(1300) {
@@ -60,18 +60,18 @@
 			}
 			loads[3] = pool.Load{Open: 50}
 			d := pack(report{loads: loads}, now)
-			So(len(d.Lines), ShouldEqual, mostLines)
+			So(len(d.Lines), ShouldEqual, maxLines)
 			So(d.Lines[0].Endpoint, ShouldEqual, 3)
 		})
 
-		Convey("tells nothing of a word whose age cannot be right", func() {
-			for _, age := range []int64{-1, math.MinInt64, math.MaxInt64, mostAge.Milliseconds() + 1} {
+		Convey("ignores announcements with an impossible age", func() {
+			for _, age := range []int64{-1, math.MinInt64, math.MaxInt64, maxAge.Milliseconds() + 1} {
 				So(digest{Leaving: []leaving{{Endpoint: 1, AgeMs: age}}}.unpack(now).leaving, ShouldBeEmpty)
-				So(digest{Limits: []named{{Endpoint: 1, NamedMs: age, MissingMs: age}}}.unpack(now).limits[1].Active(now), ShouldBeFalse)
+				So(digest{Limits: []announcedLimit{{Endpoint: 1, NamedMs: age, MissingMs: age}}}.unpack(now).limits[1].Active(now), ShouldBeFalse)
 			}
 		})
 
-		Convey("is read by a build that knows no words, and one of such a build is read", func() {
+		Convey("is readable by builds without announcements, and their digests are readable", func() {
 			type older struct {
 				Lines []line `cbor:"1,keyasint,omitempty"`
 				Rider []byte `cbor:"2,keyasint,omitempty"`
--- a/internal/load/fuzz_test.go
+++ b/internal/load/fuzz_test.go
@@ -10,11 +10,11 @@
 	"github.com/ledgemount/ledgemount/internal/pool"
 )
 
-// FuzzDigest looks for digests that stop the process, or tell of words that cannot be.
+// FuzzDigest looks for digests that crash the process, or that decode to impossible announcements.
 func FuzzDigest(f *testing.F) {
 	raw, err := cbor.Marshal(digest{
 		Lines: packLoads(pool.Loads{7: {Open: 3}}), Leaving: packLeaving(pool.Leaving{8: time.Second}),
-		Limits: []named{{Endpoint: 7, Rate: 1500, NamedMs: 20, MissingMs: never}}, Asks: []ask{{Endpoint: 7, Demand: 1000, Offer: 10}},
+		Limits: []announcedLimit{{Endpoint: 7, Rate: 1500, NamedMs: 20, MissingMs: never}}, Claims: []claim{{Endpoint: 7, Demand: 1000, Offer: 10}},
 		Grants: []grant{{Endpoint: 7, Limit: 1500, PerSecond: 20, ForMs: 1500}},
 	})
 	if err != nil {
@@ -29,8 +29,8 @@
 		}
 		r := d.unpack(time.Now())
 		for key, age := range r.leaving {
-			if age < 0 || age > mostAge {
-				t.Fatalf("the endpoint %d has said that it leaves %v ago", key, age)
+			if age < 0 || age > maxAge {
+				t.Fatalf("endpoint %d announced %v ago that it is leaving", key, age)
 			}
 		}
 		p := pool.New("a")
@@ -38,21 +38,21 @@
 		p.SetOthers(r.loads)
 		p.ObserveLeaving(r.leaving)
 		p.ObserveLimits(r.limits)
-		fuzzDivision(t, d)
+		checkLending(t, d)
 		p.Pick(pool.Query{Service: "s"})
 	})
 }
 
-// fuzzDivision lends what was asked for: never more than the limit.
-func fuzzDivision(t *testing.T, d digest) {
+// checkLending fails if more than the limit is lent for the claims of a digest.
+func checkLending(t *testing.T, d digest) {
 	now := time.Now()
 	rates := map[uint32]limit.Rate{7: limit.PerSecond(1.5)}
-	v := limit.NewAllocator()
-	v.Observe("x", unpackAsks(d.Asks), now)
-	v.AcceptGrants(unpackGrants(d.Grants), now)
-	for _, g := range v.Lend("x", rates, now) {
+	allocator := limit.NewAllocator()
+	allocator.Observe("x", unpackClaims(d.Claims), now)
+	allocator.AcceptGrants(unpackGrants(d.Grants), now)
+	for _, g := range allocator.Lend("x", rates, now) {
 		if !(g.PerSecond <= rates[7].Bound()) {
-			t.Fatalf("%v a second were lent of %v", g.PerSecond, rates[7].Bound())
+			t.Fatalf("lent %v requests per second of %v", g.PerSecond, rates[7].Bound())
 		}
 	}
 }
--- a/internal/load/limits.go
+++ b/internal/load/limits.go
@@ -10,27 +10,27 @@
 	"github.com/ledgemount/ledgemount/internal/pool"
 )
 
-// never is an age in messages of what has not been.
+// never is the age, in messages, of an event that has not happened.
 const never = -1
 
-// named is what an endpoint has said of its limit.
-type named struct {
+// announcedLimit is what an endpoint has announced about its limit.
+type announcedLimit struct {
 	_         struct{} `cbor:",toarray"`
 	Endpoint  uint32   // as in pool.Loads
-	Rate      int64    // that it last named, in thousandths of a request a second
-	NamedMs   int64    // since then; never: it has named none
-	MissingMs int64    // since a request was sent whose answer named none; never: there was none
+	Rate      int64    // last announced, in thousandths of a request per second
+	NamedMs   int64    // since the announcement; never: none was made
+	MissingMs int64    // since a request was sent whose response announced no limit; never: there was none
 }
 
-// ask is a limit.Ask, in thousandths of a request a second.
-type ask struct {
+// claim is a limit.Claim, in thousandths of a request per second.
+type claim struct {
 	_        struct{} `cbor:",toarray"`
 	Endpoint uint32   // as in pool.Loads
 	Demand   int64
 	Offer    int64
 }
 
-// grant is a limit.Grant, in thousandths of a request a second.
+// grant is a limit.Grant, in thousandths of a request per second.
 type grant struct {
 	_         struct{} `cbor:",toarray"`
 	Endpoint  uint32   // as in pool.Loads
@@ -38,53 +38,53 @@
 	PerSecond int64
 	ForMs     int64
 	Holders   int
-	Fleet     int64 // in thousandths of a request a second
+	Fleet     int64 // in thousandths of a request per second
 	Few       bool
 }
 
-// packLimits writes limits down; of too many those that were said last.
-func packLimits(limits pool.Limits, now time.Time) []named {
+// packLimits encodes limits. If there are too many, it keeps the latest announcements.
+func packLimits(limits pool.Limits, now time.Time) []announcedLimit {
 	age := func(at time.Time) int64 {
 		if at.IsZero() {
 			return never
 		}
 		return max(0, now.Sub(at).Milliseconds())
 	}
-	out := make([]named, 0, len(limits))
-	for key, k := range limits {
-		out = append(out, named{Endpoint: key, Rate: thousandths(k.LastRate().PerSecond()), NamedMs: age(k.AnnouncedAt()), MissingMs: age(k.OmittedAt())})
+	out := make([]announcedLimit, 0, len(limits))
+	for key, s := range limits {
+		out = append(out, announcedLimit{Endpoint: key, Rate: floorThousandths(s.LastRate().PerSecond()), NamedMs: age(s.AnnouncedAt()), MissingMs: age(s.OmittedAt())})
 	}
-	return capped(out, func(a, b named) int { return cmp.Compare(a.NamedMs, b.NamedMs) })
+	return truncate(out, func(a, b announcedLimit) int { return cmp.Compare(a.NamedMs, b.NamedMs) })
 }
 
-func unpackLimits(list []named, now time.Time) pool.Limits {
+func unpackLimits(list []announcedLimit, now time.Time) pool.Limits {
 	out := make(pool.Limits, len(list))
 	at := func(age int64) time.Time {
-		if age < 0 || age > mostAge.Milliseconds() {
+		if age < 0 || age > maxAge.Milliseconds() {
 			return time.Time{}
 		}
 		return now.Add(-time.Duration(age) * time.Millisecond)
 	}
 	for _, n := range list {
 		if n.Rate >= 0 {
-			out[n.Endpoint] = limit.NewState(limit.PerSecond(whole(n.Rate)), at(n.NamedMs), at(n.MissingMs))
+			out[n.Endpoint] = limit.NewState(limit.PerSecond(fromThousandths(n.Rate)), at(n.NamedMs), at(n.MissingMs))
 		}
 	}
 	return out
 }
 
-func packAsks(asks limit.Claims) []ask {
-	out := make([]ask, 0, len(asks))
-	for key, a := range asks {
-		out = append(out, ask{Endpoint: key, Demand: thousandths(a.Demand), Offer: thousandths(a.Offer)})
+func packClaims(claims limit.Claims) []claim {
+	out := make([]claim, 0, len(claims))
+	for key, c := range claims {
+		out = append(out, claim{Endpoint: key, Demand: floorThousandths(c.Demand), Offer: floorThousandths(c.Offer)})
 	}
-	return capped(out, func(a, b ask) int { return cmp.Compare(b.Demand, a.Demand) })
+	return truncate(out, func(a, b claim) int { return cmp.Compare(b.Demand, a.Demand) })
 }
 
-func unpackAsks(list []ask) limit.Claims {
+func unpackClaims(list []claim) limit.Claims {
 	out := make(limit.Claims, len(list))
-	for _, a := range list {
-		out[a.Endpoint] = limit.Claim{Demand: whole(a.Demand), Offer: whole(a.Offer)}
+	for _, c := range list {
+		out[c.Endpoint] = limit.Claim{Demand: fromThousandths(c.Demand), Offer: fromThousandths(c.Offer)}
 	}
 	return out
 }
@@ -93,8 +93,8 @@
 	out := make([]grant, 0, len(grants))
 	for key, g := range grants {
 		out = append(out, grant{
-			Endpoint: key, Limit: thousandths(g.Limit), PerSecond: thousandths(g.PerSecond), ForMs: g.For.Milliseconds(), Holders: g.Holders,
-			Fleet: thousandths(g.FleetDemand), Few: g.Partial,
+			Endpoint: key, Limit: floorThousandths(g.Limit), PerSecond: floorThousandths(g.PerSecond), ForMs: g.For.Milliseconds(), Holders: g.Holders,
+			Fleet: floorThousandths(g.FleetDemand), Few: g.Partial,
 		})
 	}
 	return out
@@ -104,91 +104,94 @@
 	out := make(limit.Grants, len(list))
 	for _, g := range list {
 		out[g.Endpoint] = limit.Grant{
-			Limit: whole(g.Limit), PerSecond: whole(g.PerSecond), For: time.Duration(min(g.ForMs, mostAge.Milliseconds())) * time.Millisecond,
-			Holders: g.Holders, FleetDemand: whole(g.Fleet), Partial: g.Few,
+			Limit: fromThousandths(g.Limit), PerSecond: fromThousandths(g.PerSecond), For: time.Duration(min(g.ForMs, maxAge.Milliseconds())) * time.Millisecond,
+			Holders: g.Holders, FleetDemand: fromThousandths(g.Fleet), Partial: g.Few,
 		}
 	}
 	return out
 }
 
-// capped is a list without what is too much of it, the first in an order kept.
-func capped[T any](list []T, order func(a, b T) int) []T {
-	if len(list) > mostLines {
+// truncate shortens a list to maxLines entries. If it is too long, the first entries by order are kept.
+func truncate[T any](list []T, order func(a, b T) int) []T {
+	if len(list) > maxLines {
 		slices.SortFunc(list, order)
-		list = list[:mostLines]
+		list = list[:maxLines]
 	}
 	return list
 }
 
-// thousandths rounds down: what is lent must not grow on the way.
-func thousandths(perSecond float64) int64 { return int64(math.Floor(perSecond * flowSteps)) }
+// floorThousandths rounds down: a lent rate must not grow when it is encoded.
+func floorThousandths(perSecond float64) int64 { return int64(math.Floor(perSecond * flowScale)) }
 
-func whole(thousandths int64) float64 { return float64(thousandths) / flowSteps }
+func fromThousandths(thousandths int64) float64 { return float64(thousandths) / flowScale }
 
-// stalled is how old this instance's last exchange may be while it lends: what it hears after it stood still may have been said long before.
-const stalled = 3 * tellEvery
+// maxExchangeAge is how old the last exchange of this instance may be while it lends rates. After a longer stall, the
+// claims that it receives may have been sent long before.
+const maxExchangeAge = 3 * exchangeInterval
 
-// asking brings what this instance says of limits up to date.
-func (x *Exchange) asking() {
+// updateClaims refreshes this instance's own claims, and the rates that it may lend.
+func (x *Exchange) updateClaims() {
 	now := x.now()
 	limited := x.pool.Limited()
 	part := x.dir.Part(limit.SettleTime)
-	rates, asks := make(map[uint32]limit.Rate, len(limited)), make(limit.Claims, len(limited))
+	rates, claims := make(map[uint32]limit.Rate, len(limited)), make(limit.Claims, len(limited))
 	for key, l := range limited {
 		rates[key] = l.Rate
-		asks[key] = limit.Claim{Demand: l.Demand, Offer: part * l.Rate.Bound()}
+		claims[key] = limit.Claim{Demand: l.Demand, Offer: part * l.Rate.Bound()}
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.dir.Part(limit.LeaseDuration) == 0 {
-		clear(rates) // what the process before this one has lent may still be in use
+		clear(rates) // what the previous process of this instance has lent may still be in use
 	}
-	x.rates, x.synced = rates, now
-	x.division.Prune(rates, now)
-	x.division.SetLocal(asks, now)
+	x.rates, x.lastExchange = rates, now
+	x.allocator.Prune(rates, now)
+	x.allocator.SetLocal(claims, now)
 }
 
-// asks is what is asked of another instance for those who ask this one.
-func (x *Exchange) asks(to string) []ask {
+// claimsFor returns the claims to send to another instance, for this instance and for those that send their claims to
+// it.
+func (x *Exchange) claimsFor(to string) []claim {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return packAsks(x.division.Aggregate(to, x.now()))
+	return packClaims(x.allocator.Aggregate(to, x.now()))
 }
 
-// granted takes what was lent for what was asked at a moment.
-func (x *Exchange) granted(list []grant, asked time.Time) {
+// acceptGrants stores the rates that were lent for the claims sent at requestedAt.
+func (x *Exchange) acceptGrants(list []grant, requestedAt time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.division.AcceptGrants(unpackGrants(list), asked)
+	x.allocator.AcceptGrants(unpackGrants(list), requestedAt)
 }
 
-// grants lends to an instance what it asks for.
-func (x *Exchange) grants(to string, asks []ask) []grant {
+// grantsFor lends rates to an instance for its claims.
+func (x *Exchange) grantsFor(to string, claims []claim) []grant {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	now := x.now()
-	if len(asks) == 0 || now.Sub(x.synced) > stalled {
+	if len(claims) == 0 || now.Sub(x.lastExchange) > maxExchangeAge {
 		return nil
 	}
-	x.division.Observe(to, unpackAsks(asks), now)
-	return packGrants(x.division.Lend(to, x.rates, now))
+	x.allocator.Observe(to, unpackClaims(claims), now)
+	return packGrants(x.allocator.Lend(to, x.rates, now))
 }
 
-// lease gives the pool what this instance itself is lent.
-func (x *Exchange) lease() {
+// applyLeases passes the rates that are lent to this instance itself to the pool.
+func (x *Exchange) applyLeases() {
 	x.mu.Lock()
-	leases, endpoints := x.division.LocalLeases(x.rates, x.now()), len(x.rates)
+	leases, endpoints := x.allocator.LocalLeases(x.rates, x.now()), len(x.rates)
 	x.mu.Unlock()
 	x.pool.SetLeases(leases)
 	perSecond := 0.0
 	for _, l := range leases {
 		perSecond += l.PerSecond()
 	}
-	x.limits(endpoints, perSecond)
+	x.onLimits(endpoints, perSecond)
 }
 
-// top is the instance that a zone's leader asks for its zone; false: this one asks none.
-func (x *Exchange) top() (peer string, ok bool) {
+// fleetLeader returns the instance to which the leader of an availability zone sends the claims of its zone; ok is
+// false if this instance sends none.
+func (x *Exchange) fleetLeader() (peer string, ok bool) {
 	list := x.dir.FleetLeaders()
 	if len(list) == 0 {
 		return "", false
--- a/internal/load/limits_test.go
+++ b/internal/load/limits_test.go
@@ -22,22 +22,23 @@
 	limitSettle = 3 * time.Second
 )
 
-// limited is a fleet before three endpoints, of which the first names a limit in each answer; virtual time.
-type limited struct {
-	bed
-	list           []mesh.Peer
-	rate           limit.Rate
-	got            []time.Time // arrivals at the first endpoint
-	asked, refused int
-	turn           []int // how often an instance has made an exchange, in exchanges' lengths
+// limitedFleet is a fleet in virtual time that sends to three endpoints, of which the first announces a limit in each
+// response.
+type limitedFleet struct {
+	testFleet
+	list            []mesh.Peer
+	rate            limit.Rate
+	arrivals        []time.Time // requests at the first endpoint
+	asked, rejected int
+	lastTurn        []int // by instance: the interval of its last exchange
 }
 
-func newLimited(ctx context.Context, instances int, rate float64) *limited {
-	b := &limited{bed: bed{net: meshtest.New(), now: time.Unix(1_000_000, 0)}, rate: limit.PerSecond(rate), turn: make([]int, instances)}
-	known := false
+func newLimitedFleet(ctx context.Context, instances int, rate float64) *limitedFleet {
+	b := &limitedFleet{testFleet: testFleet{net: meshtest.New(), now: time.Unix(1_000_000, 0)}, rate: limit.PerSecond(rate), lastTurn: make([]int, instances)}
+	started := false
 	clock := func() time.Time {
-		if !known {
-			b.now = b.now.Add(time.Second) // so that instances take it that they know each other
+		if !started {
+			b.now = b.now.Add(time.Second) // so that instances discover each other
 		}
 		return b.now
 	}
@@ -48,7 +49,7 @@
 	const large = 17
 	fleet, err := peerstest.Fleet(ctx, b.net, clock, large, b.list)
 	So(err, ShouldBeNil)
-	known = true
+	started = true
 	for _, x := range fleet {
 		p := pool.New(x.Self.Zone, pool.WithNow(clock), pool.WithLeases())
 		for e := range 3 {
@@ -60,56 +61,58 @@
 	return b
 }
 
-// run lets callers ask some instances for a while, so many requests a second in all, and all instances exchange.
-func (b *limited) run(ctx context.Context, d time.Duration, perSecond float64, callers ...int) {
+// run sends perSecond requests a second in total through the given instances for a duration, while all instances
+// exchange loads.
+func (b *limitedFleet) run(ctx context.Context, d time.Duration, perSecond float64, callers ...int) {
 	due := 0.0
 	for end := b.now.Add(d); b.now.Before(end); b.now = b.now.Add(limitStep) {
 		for i, x := range b.nodes {
-			phase := time.Duration(i%int(tellEvery/limitStep)) * limitStep
-			if turn := int(b.now.Add(-phase).UnixNano() / int64(tellEvery)); turn != b.turn[i] {
-				b.turn[i] = turn
+			phase := time.Duration(i%int(exchangeInterval/limitStep)) * limitStep
+			if turn := int(b.now.Add(-phase).UnixNano() / int64(exchangeInterval)); turn != b.lastTurn[i] {
+				b.lastTurn[i] = turn
 				x.Sync(ctx)
 			}
 		}
 		for due += perSecond * limitStep.Seconds(); due >= 1; due-- {
 			b.asked++
-			b.ask(b.pools[callers[b.asked%len(callers)]])
+			b.sendRequest(b.pools[callers[b.asked%len(callers)]])
 		}
 	}
 }
 
-// ask sends one request, which is answered at once.
-func (b *limited) ask(p *pool.Pool) {
+// sendRequest sends one request, which is answered at once.
+func (b *limitedFleet) sendRequest(p *pool.Pool) {
 	lease := p.Pick(pool.Query{Service: "models", Affinity: fmt.Sprint(b.asked)})
 	if lease == nil {
-		b.refused++
+		b.rejected++
 		return
 	}
-	word := pool.Notice{}
+	notice := pool.Notice{}
 	if lease.Endpoint().ID == "e-0" {
-		b.got = append(b.got, b.now)
-		word.Limit = b.rate
+		b.arrivals = append(b.arrivals, b.now)
+		notice.Limit = b.rate
 	}
-	lease.Said(word, pool.Answer{})
+	lease.Said(notice, pool.Answer{})
 	lease.Done(pool.EndGood)
 }
 
-// most is the greatest number of requests that the first endpoint got in any window since a moment.
-func (b *limited) most(since time.Time) (most, all int) {
+// peak returns the greatest number of requests that the first endpoint received in any window since a moment, and
+// their total since then.
+func (b *limitedFleet) peak(since time.Time) (peak, total int) {
 	first := 0
-	for i, t := range b.got {
-		for b.got[first].Before(since) && first < i || t.Sub(b.got[first]) >= limitWindow {
+	for i, t := range b.arrivals {
+		for b.arrivals[first].Before(since) && first < i || t.Sub(b.arrivals[first]) >= limitWindow {
 			first++
 		}
 		if !t.Before(since) {
-			most = max(most, i-first+1)
-			all++
+			peak = max(peak, i-first+1)
+			total++
 		}
 	}
-	return most, all
+	return peak, total
 }
 
-func all(n int) []int {
+func indexes(n int) []int {
 	out := make([]int, n)
 	for i := range out {
 		out[i] = i
@@ -117,51 +120,51 @@
 	return out
 }
 
-// An endpoint's limit is kept by the sum of what instances send, whose parts are told and lent with the exchange of loads.
+// The instances' requests together stay within an endpoint's limit, whose shares are lent with the load exchange.
 func TestLimits(t *testing.T) {
 	for _, instances := range []int{3, 6, 30, 300} {
 		for _, c := range []struct {
 			name    string
 			callers []int
-		}{{"callers are everywhere", all(instances)}, {"all callers are at one instance", []int{1}}} {
+		}{{"callers at all instances", indexes(instances)}, {"all callers at one instance", []int{1}}} {
 			name := fmt.Sprintf("%d instances, %s", instances, c.name)
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				Convey(name+": they keep to a limit of 4 a second and use it", t, func() { playLimits(t, name, instances, c.callers) })
+				Convey(name+": they stay within a limit of 4 requests per second and use it", t, func() { testLimits(t, name, instances, c.callers) })
 			})
 		}
 	}
 }
 
-func playLimits(t *testing.T, name string, instances int, callers []int) {
+func testLimits(t *testing.T, name string, instances int, callers []int) {
 	const rate, length = 4, 8 * time.Second
 	ctx, load := context.Background(), max(150, 2*float64(instances))
-	b := newLimited(ctx, instances, rate)
+	b := newLimitedFleet(ctx, instances, rate)
 	b.run(ctx, limitSettle, load, callers...)
 	since := b.now
-	play := func(what string, cut func(from, to mesh.Peer) bool) (got int) {
-		begun := b.now
+	play := func(phase string, cut func(from, to mesh.Peer) bool) (got int) {
+		start := b.now
 		b.net.SetCut(cut)
 		b.run(ctx, length, load, callers...)
-		_, got = b.most(begun)
-		most, _ := b.most(since)
-		t.Logf("%s, %s: most %d, %d in %v", name, what, most, got, length)
-		SoMsg(what, float64(most), ShouldBeLessThanOrEqualTo, 1.5*rate*limitWindow.Seconds()+5)
-		So(b.refused, ShouldEqual, 0)
+		_, got = b.peak(start)
+		peak, _ := b.peak(since)
+		t.Logf("%s, %s: most %d, %d in %v", name, phase, peak, got, length)
+		SoMsg(phase, float64(peak), ShouldBeLessThanOrEqualTo, 1.5*rate*limitWindow.Seconds()+5)
+		So(b.rejected, ShouldEqual, 0)
 		return got
 	}
 	none := func(_, _ mesh.Peer) bool { return false }
-	So(float64(play("all linked", none)), ShouldBeGreaterThanOrEqualTo, 0.5*rate*length.Seconds())
-	play("a zone is cut off", func(from, to mesh.Peer) bool { return (from.Zone == "c") != (to.Zone == "c") })
-	play("linked again", none)
-	play("nobody reaches another", func(_, _ mesh.Peer) bool { return true })
-	play("linked again", none)
-	So(float64(play("linked for some time", none)), ShouldBeGreaterThanOrEqualTo, 0.5*rate*length.Seconds())
+	So(float64(play("connected", none)), ShouldBeGreaterThanOrEqualTo, 0.5*rate*length.Seconds())
+	play("one availability zone is isolated", func(from, to mesh.Peer) bool { return (from.Zone == "c") != (to.Zone == "c") })
+	play("connected again", none)
+	play("every instance is isolated", func(_, _ mesh.Peer) bool { return true })
+	play("connected again", none)
+	So(float64(play("connected for some time", none)), ShouldBeGreaterThanOrEqualTo, 0.5*rate*length.Seconds())
 
 	b.rate = limit.Rate{}
 	b.run(ctx, 4*time.Second, load, callers...)
 	since = b.now
 	b.run(ctx, time.Second, load, callers...)
-	_, got := b.most(since)
-	So(float64(got), ShouldBeGreaterThanOrEqualTo, 0.5*load/3) // it is lifted: half of an even share at least
+	_, got := b.peak(since)
+	So(float64(got), ShouldBeGreaterThanOrEqualTo, 0.5*load/3) // the limit is lifted: at least half of an even share
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,8 +1,9 @@
-// Package load lets the instances of a fleet know what others have under way at the endpoints.
+// Package load exchanges the load of endpoints among the instances of a fleet.
 //
-// An instance sees only its own requests, which in a large fleet is next to nothing of what runs at an endpoint. Each tells one
-// instance (its zone's leader in a large fleet) what it has there, and gets what all others have. Leaders exchange the sums of
-// their zones. All of it is a hint: picks work without, and what is old counts as unknown.
+// An instance sees only its own requests, which in a large fleet are a small part of what runs at an endpoint. Each
+// instance reports its load to one other instance (the leader of its availability zone in a large fleet) and receives
+// the load of all others in response. Zone leaders exchange the sums of their availability zones. The figures are
+// hints: picks work without them, and figures that are too old count as unknown.
 package load
 
 import (
@@ -17,110 +18,112 @@
 	"github.com/ledgemount/ledgemount/internal/pool"
 )
 
-// KindReport tells what the sender has under way and asks for what all others have.
+// KindReport is the message that reports the load of the sender and requests the load of all other instances.
 const KindReport mesh.Kind = "load.tell"
 
-// KindZone tells the sum of a zone and asks for that of the answering instance's zone.
+// KindZone is the message that reports the sum of the sender's availability zone and requests that of the receiver's
+// zone.
 const KindZone mesh.Kind = "load.zone"
 
 const (
-	tellEvery = 500 * time.Millisecond // between exchanges: a stream lasts some seconds, and each exchange costs a message
-	askLimit  = 250 * time.Millisecond // of one exchange
-	life      = pool.OthersLife        // what was told counts for so long
-	sumFor    = tellEvery / 2          // a sum that is told to many is made anew after this
+	exchangeInterval = 500 * time.Millisecond // a stream lasts some seconds, and each exchange costs a message
+	exchangeTimeout  = 250 * time.Millisecond // for one exchange
+	reportLifetime   = pool.OthersLife        // a report counts for this long
+	summaryLifetime  = exchangeInterval / 2   // a summary is recomputed after this
 )
 
-// report is what some instances know of endpoints.
+// report is what one or more instances know about endpoints.
 type report struct {
 	loads   pool.Loads
-	leaving pool.Leaving // which endpoints have said to them that they leave
-	limits  pool.Limits  // what endpoints have said to them of their limits
+	leaving pool.Leaving // endpoints that have announced to them that they are leaving
+	limits  pool.Limits  // limits that endpoints have announced to them
 }
 
 func newReport() report {
 	return report{loads: make(pool.Loads), leaving: make(pool.Leaving), limits: make(pool.Limits)}
 }
 
-// add adds what other instances know.
+// add merges what other instances know.
 func (r report) add(other report) {
 	r.loads.Add(other.loads)
 	r.leaving.Add(other.leaving)
 	r.limits.Add(other.limits)
 }
 
-// received is what one instance or zone said last.
+// received is the last report of one instance or availability zone.
 type received struct {
 	digest digest
 	report report
 	at     time.Time
 }
 
-// summary is what this instance and those that tell it have under way, as it is told to many of them. It is made once for all, and the part of the
-// one that is told is left out of it: made anew for each, it took the leader of a large zone most of its processor time.
+// summary is the load at this instance and at all instances that report to it, as it is sent to many of them. It is
+// computed once for all recipients, and the part of a recipient is subtracted from it: computed separately for each
+// recipient, it took the leader of a large availability zone most of its processor time.
 type summary struct {
 	lines    []line
-	included map[string][]line // of each instance that tells this one
+	included map[string][]line // by instance that reports to this one
 	at       time.Time
 }
 
-// Piggyback has something to tell to the same instances, rarely and in few bytes. It travels with the loads: messages of its own would double what
-// the leader of a zone handles.
+// Piggyback supplies data that is sent along with the loads, rarely and in few bytes. Separate messages would double
+// the number of messages that the leader of an availability zone handles.
 type Piggyback interface {
-	// Payload is what is to be told to an instance now; nil: nothing.
+	// Payload returns the data to send to an instance now, or nil if there is none.
 	Payload(to string) []byte
-	// Receive takes what an instance tells.
+	// Receive handles data that an instance has sent.
 	Receive(from string, b []byte)
 }
 
-type noRider struct{}
+type noPiggyback struct{}
 
-func (noRider) Payload(string) []byte  { return nil }
-func (noRider) Receive(string, []byte) {}
+func (noPiggyback) Payload(string) []byte  { return nil }
+func (noPiggyback) Receive(string, []byte) {}
 
-// Exchange is the service that tells and asks.
+// Exchange is the service that exchanges loads with other instances.
 type Exchange struct {
-	dir   *peers.Directory
-	pool  *pool.Pool
-	now   func() time.Time
-	rider Piggyback
+	dir       *peers.Directory
+	pool      *pool.Pool
+	now       func() time.Time
+	piggyback Piggyback
 
 	mu      sync.Mutex
-	members map[string]received // by instance, where this one gathers
-	zones   map[string]received // by zone other than its own, likewise
+	members map[string]received // by reporting instance, if this one collects reports
+	zones   map[string]received // by availability zone other than its own, likewise
 	summary summary
 
-	division *limit.Allocator
-	rates    map[uint32]limit.Rate // of endpoints that name limits, as of synced
-	synced   time.Time             // the last exchange began
-	limits   func(endpoints int, perSecond float64)
+	allocator    *limit.Allocator
+	rates        map[uint32]limit.Rate // of endpoints that announce limits, as of lastExchange
+	lastExchange time.Time             // when the last exchange began
+	onLimits     func(endpoints int, perSecond float64)
 }
 
-// Option changes an Exchange.
+// Option configures an Exchange.
 type Option func(*Exchange)
 
 // WithNow replaces the clock.
 func WithNow(now func() time.Time) Option { return func(x *Exchange) { x.now = now } }
 
-// WithPiggyback lets something else travel with the loads.
-func WithPiggyback(r Piggyback) Option { return func(x *Exchange) { x.rider = r } }
+// WithPiggyback sets the data that is sent along with the loads.
+func WithPiggyback(p Piggyback) Option { return func(x *Exchange) { x.piggyback = p } }
 
-// OnLimits sets what is told, with each exchange, how many endpoints name limits, and how many requests a second this instance may send to all of
-// them.
+// OnLimits sets a function that is called with each exchange. It receives the number of endpoints that announce
+// limits, and the requests per second that this instance may send to all of them.
 func OnLimits(f func(endpoints int, perSecond float64)) Option {
-	return func(x *Exchange) { x.limits = f }
+	return func(x *Exchange) { x.onLimits = f }
 }
 
-// New makes an exchange and registers its messages.
+// New creates an Exchange and registers its message handlers.
 func New(dir *peers.Directory, p *pool.Pool, router *mesh.Router, opts ...Option) *Exchange {
 	x := &Exchange{
-		dir: dir, pool: p, now: time.Now, rider: noRider{}, members: make(map[string]received), zones: make(map[string]received),
-		division: limit.NewAllocator(), limits: func(int, float64) {},
+		dir: dir, pool: p, now: time.Now, piggyback: noPiggyback{}, members: make(map[string]received), zones: make(map[string]received),
+		allocator: limit.NewAllocator(), onLimits: func(int, float64) {},
 	}
 	for _, opt := range opts {
 		opt(x)
 	}
-	mesh.Handle(router, KindReport, x.tell)
-	mesh.Handle(router, KindZone, x.zone)
+	mesh.Handle(router, KindReport, x.handleReport)
+	mesh.Handle(router, KindZone, x.handleZone)
 	return x
 }
 
@@ -129,174 +132,177 @@
 
 // Run implements kernel.Service.
 func (x *Exchange) Run(ctx context.Context) error {
-	kernel.Every(ctx, tellEvery, x.Sync)
+	kernel.Every(ctx, exchangeInterval, x.Sync)
 	return nil
 }
 
-// Sync makes one exchange.
+// Sync performs one exchange.
 func (x *Exchange) Sync(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	x.asking()
-	defer x.lease()
-	keepers := x.dir.Keepers()
-	if len(keepers) == 0 {
-		x.askZones(ctx)
-		x.observe(x.sum(""))
+	x.updateClaims()
+	defer x.applyLeases()
+	gatherers := x.dir.Keepers()
+	if len(gatherers) == 0 {
+		x.exchangeZones(ctx)
+		x.applyOthers(x.reportExcept(""))
 		return
 	}
-	mine := pack(x.own(), x.now())
-	for _, p := range keepers {
-		asked := x.now()
-		mine.Rider, mine.Asks = x.rider.Payload(p.ID), x.asks(p.ID)
+	mine := pack(x.localReport(), x.now())
+	for _, p := range gatherers {
+		requestedAt := x.now()
+		mine.Piggyback, mine.Claims = x.piggyback.Payload(p.ID), x.claimsFor(p.ID)
 		others, err := peers.Call[digest, digest](ctx, x.dir, p, KindReport, mine)
 		if err == nil {
-			x.rider.Receive(p.ID, others.Rider)
-			x.granted(others.Grants, asked)
-			x.observe(others.unpack(x.now()))
+			x.piggyback.Receive(p.ID, others.Piggyback)
+			x.acceptGrants(others.Grants, requestedAt)
+			x.applyOthers(others.unpack(x.now()))
 			return
 		}
 	}
 }
 
-// own is what this instance knows itself.
-func (x *Exchange) own() report {
+// localReport returns what this instance itself knows.
+func (x *Exchange) localReport() report {
 	return report{loads: x.pool.Loads(), leaving: x.pool.Leaving(), limits: x.pool.Limits()}
 }
 
-// observe takes what all others know.
-func (x *Exchange) observe(r report) {
+// applyOthers passes what all other instances know to the pool.
+func (x *Exchange) applyOthers(r report) {
 	x.pool.SetOthers(r.loads)
 	x.pool.ObserveLeaving(r.leaving)
 	x.pool.ObserveLimits(r.limits)
 }
 
-// askZones exchanges sums with one instance of each other zone, if the fleet is so large that its zones are led.
-func (x *Exchange) askZones(ctx context.Context) {
+// exchangeZones exchanges sums with one instance of each other availability zone, if the fleet is large enough for
+// its zones to have leaders.
+func (x *Exchange) exchangeZones(ctx context.Context) {
 	if !x.dir.Large() {
 		return
 	}
-	mine := pack(x.zoneSum(), x.now())
-	top, led := x.top()
+	mine := pack(x.zoneReport(), x.now())
+	leader, ok := x.fleetLeader()
 	var wg sync.WaitGroup
 	for _, p := range x.dir.Heads() {
 		wg.Go(func() {
-			asked := x.now()
-			mine := digest{Lines: mine.Lines, Leaving: mine.Leaving, Limits: mine.Limits, Rider: x.rider.Payload(p.ID)}
-			if led && p.ID == top {
-				mine.Asks = x.asks(p.ID)
+			requestedAt := x.now()
+			mine := digest{Lines: mine.Lines, Leaving: mine.Leaving, Limits: mine.Limits, Piggyback: x.piggyback.Payload(p.ID)}
+			if ok && p.ID == leader {
+				mine.Claims = x.claimsFor(p.ID)
 			}
 			theirs, err := peers.Call[digest, digest](ctx, x.dir, p, KindZone, mine)
 			if err == nil {
-				x.rider.Receive(p.ID, theirs.Rider)
-				x.granted(theirs.Grants, asked)
-				x.note(x.zones, p.Zone, theirs)
+				x.piggyback.Receive(p.ID, theirs.Piggyback)
+				x.acceptGrants(theirs.Grants, requestedAt)
+				x.record(x.zones, p.Zone, theirs)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// tell takes what another instance has under way and answers with what all but that one have.
-func (x *Exchange) tell(_ context.Context, from mesh.Peer, d digest) (digest, error) {
-	x.note(x.members, from.ID, d)
+// handleReport stores the load of another instance and responds with the load of all instances except that one.
+func (x *Exchange) handleReport(_ context.Context, from mesh.Peer, d digest) (digest, error) {
+	x.record(x.members, from.ID, d)
 	if x.dir.Large() {
-		return x.ride(from, d, x.summed(from.ID)), nil
+		return x.reply(from, d, x.summaryExcept(from.ID)), nil
 	}
-	sum := x.sum(from.ID)
-	sum.add(x.own())
-	return x.ride(from, d, pack(sum, x.now())), nil
+	sum := x.reportExcept(from.ID)
+	sum.add(x.localReport())
+	return x.reply(from, d, pack(sum, x.now())), nil
 }
 
-// summed is the summary without the part of one instance.
-func (x *Exchange) summed(without string) digest {
+// summaryExcept returns the summary without the part of one instance.
+func (x *Exchange) summaryExcept(except string) digest {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.now().Sub(x.summary.at) >= sumFor {
-		x.summarize()
+	if x.now().Sub(x.summary.at) >= summaryLifetime {
+		x.refreshSummary()
 	}
-	words := x.words(without)
+	announced := x.announcements(except)
 	return digest{
-		Lines: minus(x.summary.lines, x.summary.included[without]), Leaving: packLeaving(words.leaving), Limits: packLimits(words.limits, x.now()),
+		Lines: subtract(x.summary.lines, x.summary.included[except]), Leaving: packLeaving(announced.leaving), Limits: packLimits(announced.limits, x.now()),
 	}
 }
 
-// summarize makes the summary anew. The caller holds mu.
-func (x *Exchange) summarize() {
+// refreshSummary recomputes the summary. The caller holds mu.
+func (x *Exchange) refreshSummary() {
 	sum := make(pool.Loads)
 	sum.Add(x.pool.Loads())
 	add := func(r report) { sum.Add(r.loads) }
-	x.eachReported(x.members, "", add)
-	x.eachReported(x.zones, "", add)
+	x.eachCurrent(x.members, "", add)
+	x.eachCurrent(x.zones, "", add)
 	included := make(map[string][]line, len(x.members))
-	for id, t := range x.members {
-		included[id] = t.digest.Lines
+	for id, r := range x.members {
+		included[id] = r.digest.Lines
 	}
 	x.summary = summary{lines: packLoads(sum), included: included, at: x.now()}
 }
 
-// words is what endpoints have said to this instance or to others but one. It is few, and told as it is now: a word must not come back to who has
-// forgotten it. The caller holds mu.
-func (x *Exchange) words(without string) report {
+// announcements returns what endpoints have announced to this instance, or to any other instance except one. It is
+// small and never cached: an announcement must not return to an instance that has discarded it. The caller holds mu.
+func (x *Exchange) announcements(except string) report {
 	out := report{leaving: make(pool.Leaving), limits: make(pool.Limits)}
 	add := func(r report) {
 		out.leaving.Add(r.leaving)
 		out.limits.Add(r.limits)
 	}
 	add(report{leaving: x.pool.Leaving(), limits: x.pool.Limits()})
-	x.eachReported(x.members, without, add)
-	x.eachReported(x.zones, "", add)
+	x.eachCurrent(x.members, except, add)
+	x.eachCurrent(x.zones, "", add)
 	return out
 }
 
-// zone takes the sum of another zone and answers with that of the own.
-func (x *Exchange) zone(_ context.Context, from mesh.Peer, d digest) (digest, error) {
-	x.note(x.zones, from.Zone, d)
-	return x.ride(from, d, pack(x.zoneSum(), x.now())), nil
+// handleZone stores the sum of another availability zone and responds with the sum of this instance's zone.
+func (x *Exchange) handleZone(_ context.Context, from mesh.Peer, d digest) (digest, error) {
+	x.record(x.zones, from.Zone, d)
+	return x.reply(from, d, pack(x.zoneReport(), x.now())), nil
 }
 
-// ride lets the rider hear what came with a digest, and tell with the answer; the answer has what is lent of limits, too.
-func (x *Exchange) ride(from mesh.Peer, d, out digest) digest {
-	x.rider.Receive(from.ID, d.Rider)
-	out.Rider, out.Grants = x.rider.Payload(from.ID), x.grants(from.ID, d.Asks)
+// reply handles the piggybacked data of a received digest, and completes the response with the data for its sender
+// and with the rates that are lent to it.
+func (x *Exchange) reply(from mesh.Peer, d, out digest) digest {
+	x.piggyback.Receive(from.ID, d.Piggyback)
+	out.Piggyback, out.Grants = x.piggyback.Payload(from.ID), x.grantsFor(from.ID, d.Claims)
 	return out
 }
 
-func (x *Exchange) note(list map[string]received, key string, d digest) {
+func (x *Exchange) record(list map[string]received, key string, d digest) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	list[key] = received{digest: d, report: d.unpack(x.now()), at: x.now()}
 }
 
-// zoneSum is what the instances that tell this one know, and this one itself.
-func (x *Exchange) zoneSum() report {
+// zoneReport sums what this instance and those that report to it know.
+func (x *Exchange) zoneReport() report {
 	out := newReport()
-	out.add(x.own())
+	out.add(x.localReport())
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.eachReported(x.members, "", out.add)
+	x.eachCurrent(x.members, "", out.add)
 	return out
 }
 
-// sum is what all others know but one.
-func (x *Exchange) sum(without string) report {
+// reportExcept sums what all other instances except one know.
+func (x *Exchange) reportExcept(except string) report {
 	out := newReport()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.eachReported(x.members, without, out.add)
-	x.eachReported(x.zones, "", out.add)
+	x.eachCurrent(x.members, except, out.add)
+	x.eachCurrent(x.zones, "", out.add)
 	return out
 }
 
-// eachReported takes what was told lately by all but one, and forgets what is old. The caller holds mu.
-func (x *Exchange) eachReported(list map[string]received, without string, take func(report)) {
+// eachCurrent calls visit with the recent reports of all but one instance, and drops outdated reports. The caller
+// holds mu.
+func (x *Exchange) eachCurrent(list map[string]received, except string, visit func(report)) {
 	now := x.now()
-	for key, t := range list {
+	for key, r := range list {
 		switch {
-		case now.Sub(t.at) > life:
+		case now.Sub(r.at) > reportLifetime:
 			delete(list, key)
-		case key != without:
-			take(t.report)
+		case key != except:
+			visit(r.report)
 		}
 	}
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -14,8 +14,9 @@
 	"github.com/ledgemount/ledgemount/internal/pool"
 )
 
-// bed is two instances in each of two zones, which know the same endpoints. The first of each zone leads it where the fleet is large.
-type bed struct {
+// testFleet is two instances in each of two availability zones, which know the same endpoints. If the fleet is large,
+// the first instance of each zone is its leader.
+type testFleet struct {
 	net   *meshtest.Net
 	now   time.Time
 	pools []*pool.Pool
@@ -24,8 +25,8 @@
 
 const zoneNodes = 2
 
-func newBed(ctx context.Context, large int) *bed {
-	b := &bed{net: meshtest.New(), now: time.Unix(1_000_000, 0)}
+func newTestFleet(ctx context.Context, large int) *testFleet {
+	b := &testFleet{net: meshtest.New(), now: time.Unix(1_000_000, 0)}
 	clock := func() time.Time { return b.now }
 	list := make([]mesh.Peer, 0, 2*zoneNodes)
 	for i := range 2 * zoneNodes {
@@ -44,18 +45,18 @@
 	return b
 }
 
-// sync lets all exchange three times, as far apart as a sum is told to many.
-func (b *bed) sync(ctx context.Context) {
+// exchange lets all instances exchange loads three times, one summaryLifetime apart.
+func (b *testFleet) exchange(ctx context.Context) {
 	for range 3 {
-		b.now = b.now.Add(sumFor)
+		b.now = b.now.Add(summaryLifetime)
 		for _, x := range b.nodes {
 			x.Sync(ctx)
 		}
 	}
 }
 
-// open sums what a pool knows to be open at endpoints.
-func open(loads pool.Loads) int {
+// openRequests sums the open requests at all endpoints.
+func openRequests(loads pool.Loads) int {
 	n := 0
 	for _, l := range loads {
 		n += l.Open
@@ -68,40 +69,40 @@
 	for _, fleet := range []struct {
 		name  string
 		large int
-	}{{"small fleet", 9}, {"large fleet, whose zones are led", 2}} {
+	}{{"small fleet", 9}, {"large fleet with zone leaders", 2}} {
 		Convey("In a "+fleet.name, t, func() {
-			b := newBed(ctx, fleet.large)
+			b := newTestFleet(ctx, fleet.large)
 			for i, p := range b.pools {
 				for range i + 1 {
 					So(p.Pick(pool.Query{Service: "models"}), ShouldNotBeNil)
 				}
 			}
 			const all = 1 + 2 + 3 + 4
-			b.sync(ctx)
+			b.exchange(ctx)
 
-			Convey("each instance knows what all others have under way, and its own not twice", func() {
+			Convey("each instance receives the load of all others, without its own", func() {
 				for i, p := range b.pools {
-					So(open(p.Others()), ShouldEqual, all-(i+1))
+					So(openRequests(p.Others()), ShouldEqual, all-(i+1))
 				}
 			})
 
-			Convey("what an instance said counts no longer once it is silent", func() {
+			Convey("the report of an instance expires once the instance is silent", func() {
 				b.net.SetDown("i-3:1", true)
-				b.now = b.now.Add(life + time.Millisecond)
+				b.now = b.now.Add(reportLifetime + time.Millisecond)
 				for range 3 {
-					b.now = b.now.Add(sumFor)
+					b.now = b.now.Add(summaryLifetime)
 					for _, x := range b.nodes[:3] {
 						x.Sync(ctx)
 					}
 				}
-				So(open(b.pools[0].Others()), ShouldEqual, all-1-4)
+				So(openRequests(b.pools[0].Others()), ShouldEqual, all-1-4)
 			})
 
-			Convey("an instance that reaches nobody forgets what it was told", func() {
+			Convey("an isolated instance discards the reports that it has received", func() {
 				b.net.SetCut(func(_, _ mesh.Peer) bool { return true })
-				b.now = b.now.Add(life + time.Millisecond)
-				b.sync(ctx)
-				So(open(b.pools[3].Others()), ShouldEqual, 0)
+				b.now = b.now.Add(reportLifetime + time.Millisecond)
+				b.exchange(ctx)
+				So(openRequests(b.pools[3].Others()), ShouldEqual, 0)
 			})
 		})
 	}
@@ -109,52 +110,52 @@
 
 func TestSummary(t *testing.T) {
 	ctx := context.Background()
-	Convey("Where a zone is led", t, func() {
-		b := newBed(ctx, 2)
+	Convey("With a zone leader", t, func() {
+		b := newTestFleet(ctx, 2)
 		for i, p := range b.pools {
 			for range 3 * (i + 1) {
 				So(p.Pick(pool.Query{Service: "models"}), ShouldNotBeNil)
 			}
 		}
-		b.sync(ctx)
+		b.exchange(ctx)
 		leader := b.nodes[0]
 
-		Convey("each instance is told the sum without its own part, endpoint by endpoint", func() {
-			b.now = b.now.Add(sumFor)
-			got, err := leader.tell(ctx, mesh.Peer{ID: "i-1", Zone: "a"}, pack(b.nodes[1].own(), b.now))
+		Convey("each instance receives the sum without its own part, for each endpoint", func() {
+			b.now = b.now.Add(summaryLifetime)
+			got, err := leader.handleReport(ctx, mesh.Peer{ID: "i-1", Zone: "a"}, pack(b.nodes[1].localReport(), b.now))
 			So(err, ShouldBeNil)
-			exact := leader.sum("i-1")
-			exact.add(leader.own())
-			told := got.unpack(b.now).loads
+			exact := leader.reportExcept("i-1")
+			exact.add(leader.localReport())
+			received := got.unpack(b.now).loads
 			for key, want := range exact.loads {
-				So(told[key].Open, ShouldEqual, want.Open)
+				So(received[key].Open, ShouldEqual, want.Open)
 			}
-			So(open(told), ShouldEqual, open(exact.loads))
+			So(openRequests(received), ShouldEqual, openRequests(exact.loads))
 		})
 
-		Convey("an instance that tells more than when the sum was made is not told a negative figure", func() {
-			b.now = b.now.Add(sumFor)
-			_, err := leader.tell(ctx, mesh.Peer{ID: "i-1", Zone: "a"}, digest{})
+		Convey("an instance whose load has grown since the summary receives no negative figure", func() {
+			b.now = b.now.Add(summaryLifetime)
+			_, err := leader.handleReport(ctx, mesh.Peer{ID: "i-1", Zone: "a"}, digest{})
 			So(err, ShouldBeNil)
-			got, err := leader.tell(ctx, mesh.Peer{ID: "i-1", Zone: "a"}, digest{Lines: []line{{Endpoint: 1, Open: 1000}}})
+			got, err := leader.handleReport(ctx, mesh.Peer{ID: "i-1", Zone: "a"}, digest{Lines: []line{{Endpoint: 1, Open: 1000}}})
 			So(err, ShouldBeNil)
 			for _, l := range got.Lines {
 				So(l.Open, ShouldBeGreaterThanOrEqualTo, 0)
 			}
 		})
 
-		Convey("its own word that an endpoint leaves does not come back to it once it has called it off", func() {
+		Convey("an instance does not receive its own report of a leaving endpoint back once it has withdrawn it", func() {
 			key := packLeaving(pool.Leaving{7: time.Second})
-			b.now = b.now.Add(sumFor)
-			got, err := leader.tell(ctx, mesh.Peer{ID: "i-1", Zone: "a"}, digest{Leaving: key})
+			b.now = b.now.Add(summaryLifetime)
+			got, err := leader.handleReport(ctx, mesh.Peer{ID: "i-1", Zone: "a"}, digest{Leaving: key})
 			So(err, ShouldBeNil)
 			So(got.Leaving, ShouldBeEmpty)
-			got, err = leader.tell(ctx, mesh.Peer{ID: "i-9", Zone: "a"}, digest{})
+			got, err = leader.handleReport(ctx, mesh.Peer{ID: "i-9", Zone: "a"}, digest{})
 			So(err, ShouldBeNil)
 			So(got.Leaving, ShouldHaveLength, 1)
-			_, err = leader.tell(ctx, mesh.Peer{ID: "i-1", Zone: "a"}, digest{})
+			_, err = leader.handleReport(ctx, mesh.Peer{ID: "i-1", Zone: "a"}, digest{})
 			So(err, ShouldBeNil)
-			got, err = leader.tell(ctx, mesh.Peer{ID: "i-9", Zone: "a"}, digest{})
+			got, err = leader.handleReport(ctx, mesh.Peer{ID: "i-9", Zone: "a"}, digest{})
 			So(err, ShouldBeNil)
 			So(got.Leaving, ShouldBeEmpty)
 		})
