--- a/internal/limit/division.go
+++ b/internal/limit/division.go
@@ -7,143 +7,146 @@
 	"time"
 )
 
-// Times of a division.
+// Durations and thresholds of the allocation.
 const (
-	// givenUpFor is how long an instance does without its part after it has offered it: longer than the part can be in use elsewhere, which is
-	// countsFor at each of the instances that it is passed on to, then LeaseTime, and the time of the messages.
-	givenUpFor = 5 * time.Second
-	// countsFor is how long what an instance has said counts: it says it again twice a second.
-	countsFor = 800 * time.Millisecond
+	// offerDuration is how long an instance does without its own share after it has offered it. This is longer than the
+	// share can be in use elsewhere: claimLifetime at each of the instances that pass it on, then LeaseDuration, and the
+	// transit time of the messages.
+	offerDuration = 5 * time.Second
+	// claimLifetime is how long a claim counts; instances repeat their claims twice a second.
+	claimLifetime = 800 * time.Millisecond
 	// LeaseDuration is how long a granted rate may be used.
 	LeaseDuration = 1500 * time.Millisecond
-	// keeping is by how much more others must have to send for a lease to move to them: an instance that is given one begins with nothing.
-	keeping = 1.5
+	// hysteresis is the factor by which the demand of others must be higher for a lease to move to them: an instance
+	// that receives a new lease starts with an empty bucket.
+	hysteresis = 1.5
 )
 
-// SettleTime is how long an instance that has started again has no part of its own: the process before it may have given it up.
-const SettleTime = givenUpFor
+// SettleTime is how long a restarted instance has no share of its own: the previous process may have offered it.
+const SettleTime = offerDuration
 
-// Claim is what an instance, or a group of them, says of one endpoint.
+// Claim is what an instance, or a group of instances, reports about one endpoint.
 type Claim struct {
-	Demand float64 // requests a second that it would send there
-	Offer  float64 // requests a second that are its own part, and that it gives up for some seconds
+	Demand float64 // requests per second that it would send there
+	Offer  float64 // requests per second of its own share, which it offers for some seconds
 }
 
-// Grant is what is lent for an Ask.
+// Grant is what is lent for a Claim.
 type Grant struct {
-	Limit       float64 // under which, in requests a second
+	Limit       float64 // under which it is lent, in requests per second
 	PerSecond   float64
-	For         time.Duration // from when the instance asked
-	Holders     int           // among how many instances it may be divided
-	FleetDemand float64       // requests a second that all instances have for the endpoint's service
+	For         time.Duration // since the claim was sent
+	Holders     int           // number of instances among which it may be divided
+	FleetDemand float64       // requests per second of all instances for the service of the endpoint
 	Partial     bool          // other instances that have requests were lent nothing
 }
 
-// Claims are by endpoint, as an exchange between instances names it.
+// Claims maps endpoints, by their key in the load exchange, to claims.
 type Claims map[uint32]Claim
 
-// Grants are by endpoint, like Asks.
+// Grants maps endpoints, by the same keys as Claims, to grants.
 type Grants map[uint32]Grant
 
-// own is the name under which an instance asks itself.
-const own = ""
+// local is the name of the instance itself as a claimant.
+const local = ""
 
-// Allocator lends the limits of endpoints to the instances that have requests for them, as far as they have given up their parts to this one.
-// It passes both on to an instance above it, if there is one. It is not safe for concurrent use.
+// Allocator lends the limits of endpoints to the instances that have requests for them, as far as instances have
+// offered their shares to this one. If there is an upstream instance, it passes claims and offers on to it. It is not
+// safe for concurrent use.
 type Allocator struct {
-	above     string    // to which this instance's parts, and those given up to it, were last given up
-	given     time.Time // until when they are
-	asked     time.Time // when another instance was last asked
-	lent      time.Time // until when leases are in use that were granted from parts that were not given up
-	endpoints map[uint32]*shares
+	upstream      string    // the instance to which shares were last offered
+	offeredUntil  time.Time // until when they are offered
+	lastAggregate time.Time // when claims were last aggregated for another instance
+	lentUntil     time.Time // end of the leases granted from shares that were not offered upstream
+	endpoints     map[uint32]*allocation
 }
 
-// NewAllocator makes a Division.
-func NewAllocator() *Allocator { return &Allocator{endpoints: make(map[uint32]*shares)} }
+// NewAllocator returns an empty Allocator.
+func NewAllocator() *Allocator { return &Allocator{endpoints: make(map[uint32]*allocation)} }
 
-// shares are the parts of one endpoint's limit.
-type shares struct {
-	askers map[string]*asker
-	lease  Lease // from above
+// allocation is the division of one endpoint's limit.
+type allocation struct {
+	claimants map[string]*claimant
+	lease     Lease // from the upstream instance
 }
 
-// asker is one that asks.
-type asker struct {
+// claimant is an instance that sends claims.
+type claimant struct {
 	name   string
-	ask    Claim
+	claim  Claim
 	at     time.Time
-	leases []Lease // that may still be in use: an answer may be lost, so that an earlier one is
+	leases []Lease // that may still be in use: if a response is lost, the previous lease is
 }
 
-// counts reports whether what it said still counts.
-func (a *asker) counts(now time.Time) bool { return now.Sub(a.at) < countsFor }
+// fresh reports whether the last claim still counts.
+func (c *claimant) fresh(now time.Time) bool { return now.Sub(c.at) < claimLifetime }
 
-// held is the most that it may be using.
-func (a *asker) held(now time.Time) float64 {
-	a.leases = slices.DeleteFunc(a.leases, func(l Lease) bool { return !now.Before(l.until) })
+// inUse returns the highest rate that the claimant may be using.
+func (c *claimant) inUse(now time.Time) float64 {
+	c.leases = slices.DeleteFunc(c.leases, func(l Lease) bool { return !now.Before(l.until) })
 	x := 0.0
-	for _, l := range a.leases {
+	for _, l := range c.leases {
 		x = max(x, l.perSecond)
 	}
 	return x
 }
 
-// SetLocal takes what this instance would send, and its own parts.
-func (d *Allocator) SetLocal(asks Claims, now time.Time) { d.Observe(own, asks, now) }
+// SetLocal sets the claims of this instance itself.
+func (a *Allocator) SetLocal(claims Claims, now time.Time) { a.Observe(local, claims, now) }
 
-// Observe takes what an instance asks.
-func (d *Allocator) Observe(from string, asks Claims, now time.Time) {
-	for key, ask := range asks {
-		s := d.endpoints[key]
+// Observe records the claims of an instance.
+func (a *Allocator) Observe(from string, claims Claims, now time.Time) {
+	for key, claim := range claims {
+		s := a.endpoints[key]
 		if s == nil {
-			s = &shares{askers: make(map[string]*asker)}
-			d.endpoints[key] = s
+			s = &allocation{claimants: make(map[string]*claimant)}
+			a.endpoints[key] = s
 		}
-		a := s.askers[from]
-		if a == nil {
-			a = &asker{name: from}
-			s.askers[from] = a
+		c := s.claimants[from]
+		if c == nil {
+			c = &claimant{name: from}
+			s.claimants[from] = c
 		}
-		a.ask, a.at = clean(ask), now
+		c.claim, c.at = sanitize(claim), now
 	}
 }
 
-// clean makes what another instance says safe to add up.
-func clean(a Claim) Claim {
-	fit := func(x float64) float64 {
+// sanitize bounds the figures of another instance, so that they can be summed.
+func sanitize(c Claim) Claim {
+	clamp := func(x float64) float64 {
 		if math.IsNaN(x) {
 			return 0
 		}
-		return min(max(0, x), most)
+		return min(max(0, x), maxRate)
 	}
-	return Claim{Demand: fit(a.Demand), Offer: fit(a.Offer)}
+	return Claim{Demand: clamp(c.Demand), Offer: clamp(c.Offer)}
 }
 
-// Aggregate is what to ask of an instance, for all who ask this one. All parts are given up to it, unless they are given up to another one for some
-// seconds more, or are lent.
-func (d *Allocator) Aggregate(to string, now time.Time) Claims {
-	d.asked = now
-	if now.Before(d.lent) || (to != d.above && now.Before(d.given)) {
-		return d.sums(now, false)
+// Aggregate returns the claims to send to another instance on behalf of all claimants. It offers all their shares,
+// unless these are lent, or are still offered to a different instance for some seconds.
+func (a *Allocator) Aggregate(to string, now time.Time) Claims {
+	a.lastAggregate = now
+	if now.Before(a.lentUntil) || (to != a.upstream && now.Before(a.offeredUntil)) {
+		return a.totals(now, false)
 	}
-	out := d.sums(now, true)
+	out := a.totals(now, true)
 	if len(out) > 0 {
-		d.above, d.given = to, now.Add(givenUpFor)
+		a.upstream, a.offeredUntil = to, now.Add(offerDuration)
 	}
 	return out
 }
 
-func (d *Allocator) sums(now time.Time, offering bool) Claims {
-	out := make(Claims, len(d.endpoints))
-	for key, s := range d.endpoints {
+func (a *Allocator) totals(now time.Time, withOffers bool) Claims {
+	out := make(Claims, len(a.endpoints))
+	for key, s := range a.endpoints {
 		var sum Claim
-		for _, a := range s.askers {
-			if !a.counts(now) {
+		for _, c := range s.claimants {
+			if !c.fresh(now) {
 				continue
 			}
-			sum.Demand += a.ask.Demand
-			if offering {
-				sum.Offer += a.ask.Offer
+			sum.Demand += c.claim.Demand
+			if withOffers {
+				sum.Offer += c.claim.Offer
 			}
 		}
 		out[key] = sum
@@ -151,175 +154,183 @@
 	return out
 }
 
-// AcceptGrants takes what was lent from above for what was asked at a moment.
-func (d *Allocator) AcceptGrants(grants Grants, asked time.Time) {
+// AcceptGrants stores what the upstream instance has lent for the claims sent at requestedAt.
+func (a *Allocator) AcceptGrants(grants Grants, requestedAt time.Time) {
 	for key, g := range grants {
-		if s := d.endpoints[key]; s != nil {
-			s.lease = g.lease(asked)
+		if s := a.endpoints[key]; s != nil {
+			s.lease = g.lease(requestedAt)
 		}
 	}
 }
 
-// lease is what a grant means to the instance that asked for it at a moment.
-func (g Grant) lease(asked time.Time) Lease {
-	fit := clean(Claim{Demand: g.PerSecond, Offer: g.FleetDemand})
+// lease returns the lease of an instance that receives a grant for its claim sent at requestedAt.
+func (g Grant) lease(requestedAt time.Time) Lease {
+	sanitized := sanitize(Claim{Demand: g.PerSecond, Offer: g.FleetDemand})
 	return Lease{
-		limit: max(asking, g.Limit), perSecond: fit.Demand, until: asked.Add(min(max(0, g.For), LeaseDuration)), holders: max(1, g.Holders),
-		fleet: fit.Offer, few: g.Partial,
+		limit: max(minRate, g.Limit), perSecond: sanitized.Demand, until: requestedAt.Add(min(max(0, g.For), LeaseDuration)), holders: max(1, g.Holders),
+		fleetDemand: sanitized.Offer, partial: g.Partial,
 	}
 }
 
-// LocalLeases are the leases of this instance itself, of endpoints whose limits are given.
-func (d *Allocator) LocalLeases(limits map[uint32]Rate, now time.Time) map[uint32]Lease {
+// LocalLeases returns the leases of this instance itself, for endpoints whose limits are given.
+func (a *Allocator) LocalLeases(limits map[uint32]Rate, now time.Time) map[uint32]Lease {
 	out := make(map[uint32]Lease, len(limits))
-	for key, g := range d.Lend(own, limits, now) {
+	for key, g := range a.Lend(local, limits, now) {
 		out[key] = g.lease(now)
 	}
 	return out
 }
 
-// Lend grants an instance its share, of endpoints whose limits are given. What others may be using is not granted twice.
-func (d *Allocator) Lend(to string, limits map[uint32]Rate, now time.Time) Grants {
+// Lend grants an instance its share for endpoints whose limits are given. Rates that others may be using are not
+// granted twice.
+func (a *Allocator) Lend(to string, limits map[uint32]Rate, now time.Time) Grants {
 	out := make(Grants, len(limits))
 	for key, r := range limits {
-		s := d.endpoints[key]
-		if s == nil || s.askers[to] == nil || !s.askers[to].counts(now) {
+		s := a.endpoints[key]
+		if s == nil || s.claimants[to] == nil || !s.claimants[to].fresh(now) {
 			continue
 		}
-		whole := d.whole(s, r, now)
-		g := s.grant(s.askers[to], whole, now)
-		if g.PerSecond <= 0 || !whole.until.After(now) {
+		available := a.lendable(s, r, now)
+		g := s.grant(s.claimants[to], available, now)
+		if g.PerSecond <= 0 || !available.until.After(now) {
 			continue
 		}
-		s.askers[to].leases = append(s.askers[to].leases, Lease{perSecond: g.PerSecond, until: whole.until})
+		s.claimants[to].leases = append(s.claimants[to].leases, Lease{perSecond: g.PerSecond, until: available.until})
 		out[key] = g
-		if !d.led(now) && whole.until.After(d.lent) {
-			d.lent = whole.until
+		if !a.subordinate(now) && available.until.After(a.lentUntil) {
+			a.lentUntil = available.until
 		}
 	}
 	return out
 }
 
-// led reports whether this instance lends only what it is lent: it has given its parts up, or is about to.
-func (d *Allocator) led(now time.Time) bool {
-	return now.Before(d.given) || now.Sub(d.asked) < countsFor
+// subordinate reports whether this instance lends only what is lent to it: it has offered its shares upstream, or is
+// about to.
+func (a *Allocator) subordinate(now time.Time) bool {
+	return now.Before(a.offeredUntil) || now.Sub(a.lastAggregate) < claimLifetime
 }
 
-// whole is what this instance may lend, and until when: of what it is lent itself, or of what was given up to it.
-func (d *Allocator) whole(s *shares, r Rate, now time.Time) Lease {
+// lendable returns what this instance may lend, and until when: what is lent to it if it is subordinate, otherwise
+// the shares that were offered to it.
+func (a *Allocator) lendable(s *allocation, r Rate, now time.Time) Lease {
 	until := now.Add(LeaseDuration)
-	if d.led(now) {
-		whole := s.lease
-		whole.limit, whole.perSecond = r.Bound(), s.lease.under(r)
-		if until.Before(whole.until) {
-			whole.until = until
+	if a.subordinate(now) {
+		out := s.lease
+		out.limit, out.perSecond = r.Bound(), s.lease.rateUnder(r)
+		if until.Before(out.until) {
+			out.until = until
 		}
-		return whole
+		return out
 	}
 	var sum Claim
-	for _, a := range s.askers {
-		if a.counts(now) {
-			sum.Demand += a.ask.Demand
-			sum.Offer += a.ask.Offer
+	for _, c := range s.claimants {
+		if c.fresh(now) {
+			sum.Demand += c.claim.Demand
+			sum.Offer += c.claim.Offer
 		}
 	}
-	return Lease{limit: r.Bound(), perSecond: min(sum.Offer, r.Bound()), until: until, holders: mostHolders(r), fleet: sum.Demand}
+	return Lease{limit: r.Bound(), perSecond: min(sum.Offer, r.Bound()), until: until, holders: maxHolders(r), fleetDemand: sum.Demand}
 }
 
-// mostHolders is how many instances may have a lease of a limit at a time: few enough that a request of each at once does no harm.
-func mostHolders(r Rate) int { return int(1.5*r.Bound()) + 2 }
+// maxHolders returns how many instances may hold a lease of a limit at a time: few enough that one request from each
+// at the same moment does not overload the endpoint.
+func maxHolders(r Rate) int { return int(1.5*r.Bound()) + 2 }
 
-// grant is what one asker gets of a whole, as far as the others leave it. While all who have requests may hold something, they get parts by what they
-// have. Where they are too many, those with the most hold something, and each as much as the others: each draws what it holds.
-func (s *shares) grant(a *asker, whole Lease, now time.Time) Grant {
-	list, few := s.holders(whole.holders, now)
+// grant returns what a claimant receives of the available rate, as far as the leases of others leave it. If every
+// claimant with demand may hold a lease, rates are proportional to demand. If there are too many claimants, those
+// with the highest demand hold leases at equal rates per instance, since each holder attracts requests up to the rate
+// that it holds.
+func (s *allocation) grant(c *claimant, available Lease, now time.Time) Grant {
+	list, partial := s.selectHolders(available.holders, now)
 	sum, mine, others := 0.0, 0.0, 0.0
 	for _, h := range list {
-		x := h.asker.ask.Demand
-		if few {
-			x = float64(h.count)
+		x := h.claimant.claim.Demand
+		if partial {
+			x = float64(h.instances)
 		}
 		sum += x
-		if h.asker == a {
+		if h.claimant == c {
 			mine = x
 		}
 	}
-	for _, x := range s.askers {
-		if x != a {
-			others += x.held(now)
+	for _, x := range s.claimants {
+		if x != c {
+			others += x.inUse(now)
 		}
 	}
 	if mine == 0 {
 		return Grant{}
 	}
 	return Grant{
-		Limit: whole.limit, PerSecond: max(0, min(whole.perSecond*mine/sum, whole.perSecond-others)), For: whole.until.Sub(now),
-		Holders: countOf(list, a), FleetDemand: whole.fleet, Partial: whole.few || few,
+		Limit: available.limit, PerSecond: max(0, min(available.perSecond*mine/sum, available.perSecond-others)), For: available.until.Sub(now),
+		Holders: instancesOf(list, c), FleetDemand: available.fleetDemand, Partial: available.partial || partial,
 	}
 }
 
-// holder is an asker that gets something, and among how many instances it may divide that.
-type holder struct {
-	asker *asker
-	count int
+// leaseHolder is a claimant that receives a lease, and the number of instances among which it may divide it.
+type leaseHolder struct {
+	claimant  *claimant
+	instances int
 }
 
-func countOf(list []holder, a *asker) int {
-	i := slices.IndexFunc(list, func(h holder) bool { return h.asker == a })
-	return list[i].count
+func instancesOf(list []leaseHolder, c *claimant) int {
+	i := slices.IndexFunc(list, func(h leaseHolder) bool { return h.claimant == c })
+	return list[i].instances
 }
 
-// holders divides a number of holders among the askers, by what they have to send; few: some are left out.
-func (s *shares) holders(most int, now time.Time) (out []holder, few bool) {
-	weights := make(map[*asker]float64, len(s.askers))
-	list, sum := make([]*asker, 0, len(s.askers)), 0.0
-	for _, a := range s.askers {
-		if !a.counts(now) || a.ask.Demand <= 0 {
+// selectHolders divides a maximum number of lease holders among the claimants by their demand. partial reports
+// whether some claimants are left out.
+func (s *allocation) selectHolders(maxCount int, now time.Time) (out []leaseHolder, partial bool) {
+	weights := make(map[*claimant]float64, len(s.claimants))
+	list, sum := make([]*claimant, 0, len(s.claimants)), 0.0
+	for _, c := range s.claimants {
+		if !c.fresh(now) || c.claim.Demand <= 0 {
 			continue
 		}
-		weights[a] = a.ask.Demand
-		if a.held(now) > 0 {
-			weights[a] *= keeping
+		weights[c] = c.claim.Demand
+		if c.inUse(now) > 0 {
+			weights[c] *= hysteresis
 		}
-		list = append(list, a)
-		sum += weights[a]
+		list = append(list, c)
+		sum += weights[c]
 	}
-	// Each gets the whole part of its share, and those with the largest rest one more.
-	share := func(a *asker) float64 { return float64(max(0, most-len(list))) * weights[a] / sum }
-	if few = len(list) > most; few {
-		share = func(a *asker) float64 { return float64(most) * weights[a] / sum }
+	// Each claimant gets the integer part of its share. If some are left out, those with the largest remainders get one
+	// more, otherwise all do.
+	share := func(c *claimant) float64 { return float64(max(0, maxCount-len(list))) * weights[c] / sum }
+	if partial = len(list) > maxCount; partial {
+		share = func(c *claimant) float64 { return float64(maxCount) * weights[c] / sum }
 	}
-	slices.SortFunc(list, func(a, b *asker) int {
+	slices.SortFunc(list, func(a, b *claimant) int {
 		x, y := share(a), share(b)
 		return cmp.Or(cmp.Compare(y-math.Floor(y), x-math.Floor(x)), cmp.Compare(a.name, b.name))
 	})
-	left := most
-	for _, a := range list {
-		left -= int(share(a))
+	left := maxCount
+	for _, c := range list {
+		left -= int(share(c))
 	}
-	for _, a := range list {
-		n := int(share(a))
-		if !few || left > 0 {
+	for _, c := range list {
+		n := int(share(c))
+		if !partial || left > 0 {
 			n++
 			left--
 		}
 		if n > 0 {
-			out = append(out, holder{asker: a, count: n})
+			out = append(out, leaseHolder{claimant: c, instances: n})
 		}
 	}
-	return out, few
+	return out, partial
 }
 
-// Prune drops the endpoints that name no limit any more, and askers that are silent and have nothing.
-func (d *Allocator) Prune(limits map[uint32]Rate, now time.Time) {
-	for key, s := range d.endpoints {
-		for name, a := range s.askers {
-			if !a.counts(now) && a.held(now) == 0 {
-				delete(s.askers, name)
+// Prune removes endpoints that no longer announce a limit, and claimants that send no claims and hold no leases.
+func (a *Allocator) Prune(limits map[uint32]Rate, now time.Time) {
+	for key, s := range a.endpoints {
+		for name, c := range s.claimants {
+			if !c.fresh(now) && c.inUse(now) == 0 {
+				delete(s.claimants, name)
 			}
 		}
-		if _, named := limits[key]; !named && len(s.askers) == 0 {
-			delete(d.endpoints, key)
+		if _, limited := limits[key]; !limited && len(s.claimants) == 0 {
+			delete(a.endpoints, key)
 		}
 	}
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,10 +1,13 @@
-// Package limit keeps what all instances together send to an endpoint under the rate that the endpoint names in its answers.
+// Package limit keeps the requests that all instances together send to an endpoint within the rate that the endpoint
+// announces in its responses.
 //
-// The load that it answers: an endpoint in need names a few requests a second for all instances, and each of six or three hundred instances has a
-// part of what it gets; what none of them exceeds, their sum does. So the rate is divided like a budget. Each instance has an even part of its own,
-// a Division gives it up to another instance for some seconds, and that one lends what was given up to those who have the requests. A part is in use
-// at one place at any time, also in a cut, across restarts, and where two instances believe that they divide. Replays: TestDivision here,
-// TestEndpointLimit.
+// An overloaded endpoint announces a few requests per second for all instances. Each of six or three hundred
+// instances sends it a part of its requests, so their sum may exceed a limit that no single instance exceeds. The
+// rate is therefore divided like a budget. Each instance has an even share of its own. An Allocator offers it to
+// another instance for some seconds, and that instance lends the offered shares to the instances that have requests.
+// A share is in use at one instance at any time, also during network partitions, across restarts, and while two
+// instances both believe that they divide the limit. Tests: TestAllocator here, TestEndpointLimit in
+// platform/endtoend.
 package limit
 
 import (
@@ -15,37 +18,39 @@
 )
 
 const (
-	// most is the highest rate that is believed, in requests a second: above it a limit bounds nothing.
-	most = 1e6
-	// asking is the rate, in requests a second, that an endpoint gets that takes less: without any request nobody would hear that it takes more again.
-	asking = 0.5
-	// life is how long a limit holds that was not named again, and how long it is remembered that one was lifted.
-	life = 10 * time.Minute
+	// maxRate is the highest accepted rate, in requests per second: a limit above it restricts nothing.
+	maxRate = 1e6
+	// minRate is the rate, in requests per second, at which an endpoint receives requests although it accepts fewer:
+	// without any request, no instance would discover that it accepts more again.
+	minRate = 0.5
+	// lifetime is how long a limit stays in force after it was last announced, and how long its lifting is remembered.
+	lifetime = 10 * time.Minute
 )
 
-// Rate is a number of requests a second that an endpoint takes. Its zero value reports that none is named.
+// Rate is a number of requests per second that an endpoint accepts. The zero value means that none is announced.
 type Rate struct {
 	perSecond float64
-	named     bool
+	set       bool
 }
 
-// PerSecond makes a Rate.
-func PerSecond(x float64) Rate { return Rate{perSecond: min(max(0, x), most), named: true} }
+// PerSecond returns a Rate of x requests per second, clamped to the accepted range.
+func PerSecond(x float64) Rate { return Rate{perSecond: min(max(0, x), maxRate), set: true} }
 
-// IsSet reports whether a rate is named at all.
-func (r Rate) IsSet() bool { return r.named }
+// IsSet reports whether a rate is announced.
+func (r Rate) IsSet() bool { return r.set }
 
-// PerSecond is the rate as it was named, in requests a second.
+// PerSecond returns the rate as it was announced, in requests per second.
 func (r Rate) PerSecond() float64 { return r.perSecond }
 
-// Bound is the rate that is kept to, in requests a second.
-func (r Rate) Bound() float64 { return max(r.perSecond, asking) }
+// Bound returns the rate that is enforced, in requests per second.
+func (r Rate) Bound() float64 { return max(r.perSecond, minRate) }
 
-// FromHeader reads the rates that a head names. FromHeader several the lowest counts; what is no number of requests a second names none.
+// FromHeader parses the values of the header that announces a rate. The lowest value counts; values that are not a
+// number of requests per second are ignored.
 func FromHeader(values []string) Rate {
 	var out Rate
 	for _, v := range values {
-		if r, ok := parse(strings.TrimSpace(v)); ok && (!out.named || r.perSecond < out.perSecond) {
+		if r, ok := parse(strings.TrimSpace(v)); ok && (!out.set || r.perSecond < out.perSecond) {
 			out = r
 		}
 	}
@@ -60,70 +65,73 @@
 	return PerSecond(x), true
 }
 
-// State is what is known of the limit of one run of an endpoint's process. Answers are under way in any order, and other instances tell older ones.
+// State is what is known about the limit of one run of an endpoint's process. Responses arrive in any order, and
+// other instances report older ones.
 type State struct {
-	rate    Rate
-	named   time.Time // when the head of an answer last named it
-	missing time.Time // when the last request was sent whose answer named none
+	rate        Rate
+	announcedAt time.Time // when a response header last announced it
+	omittedAt   time.Time // when the last request was sent whose response announced none
 }
 
-// Active reports whether the limit counts.
-func (k State) Active(now time.Time) bool {
-	return !k.named.IsZero() && !k.missing.After(k.named) && now.Sub(k.named) < life
+// Active reports whether the limit is in force.
+func (s State) Active(now time.Time) bool {
+	return !s.announcedAt.IsZero() && !s.omittedAt.After(s.announcedAt) && now.Sub(s.announcedAt) < lifetime
 }
 
-// Expired reports whether nothing that is known matters any more.
-func (k State) Expired(now time.Time) bool {
-	return now.Sub(k.named) >= life && now.Sub(k.missing) >= life
+// Expired reports whether the state is too old to have any effect.
+func (s State) Expired(now time.Time) bool {
+	return now.Sub(s.announcedAt) >= lifetime && now.Sub(s.omittedAt) >= lifetime
 }
 
-// Rate is the limit, if it holds.
-func (k State) Rate(now time.Time) Rate {
-	if !k.Active(now) {
+// Rate returns the limit if it is in force.
+func (s State) Rate(now time.Time) Rate {
+	if !s.Active(now) {
 		return Rate{}
 	}
-	return k.rate
+	return s.rate
 }
 
-// AnnouncedAt is when the limit was last named.
-func (k State) AnnouncedAt() time.Time { return k.named }
+// AnnouncedAt returns when the limit was last announced.
+func (s State) AnnouncedAt() time.Time { return s.announcedAt }
 
-// OmittedAt is when the last request was sent whose answer named none.
-func (k State) OmittedAt() time.Time { return k.missing }
+// OmittedAt returns when the last request was sent whose response announced no limit.
+func (s State) OmittedAt() time.Time { return s.omittedAt }
 
-// LastRate is the rate that was last named, whether it holds or not.
-func (k State) LastRate() Rate { return k.rate }
+// LastRate returns the last announced rate, whether it is in force or not.
+func (s State) LastRate() Rate { return s.rate }
 
-// Observe takes an answer's head, to a request that was sent at a moment.
+// Observe records the header of a response to a request that was sent at sentAt.
 //
-// An answer that names none lifts the limit only if its request was sent after the limit had last been named: one that began before may come later.
-// Where two answers that were under way at once name two rates, the lower one holds until the next answer.
-func (k *State) Observe(r Rate, sent, now time.Time) {
+// A response without a limit lifts the limit only if its request was sent after the limit was last announced: the
+// response to an earlier request may arrive later. If the responses to two concurrent requests announce different
+// rates, the lower one counts until the next response.
+func (s *State) Observe(r Rate, sentAt, now time.Time) {
 	switch {
-	case !r.named:
-		if sent.After(k.missing) {
-			k.missing = sent
+	case !r.set:
+		if sentAt.After(s.omittedAt) {
+			s.omittedAt = sentAt
 		}
 		return
-	case k.Active(now) && !sent.After(k.named) && r.perSecond > k.rate.perSecond:
+	case s.Active(now) && !sentAt.After(s.announcedAt) && r.perSecond > s.rate.perSecond:
 	default:
-		k.rate = r
+		s.rate = r
 	}
-	k.named = now
+	s.announcedAt = now
 }
 
-// Merge takes what another instance has observed itself. Told twice, late or in another order, it comes to the same.
-func (k *State) Merge(other State) {
-	if other.named.After(k.named) {
-		k.rate, k.named = other.rate, other.named
+// Merge adds what another instance has observed itself. Reports that arrive twice, late or in another order lead to
+// the same state.
+func (s *State) Merge(other State) {
+	if other.announcedAt.After(s.announcedAt) {
+		s.rate, s.announcedAt = other.rate, other.announcedAt
 	}
-	if other.missing.After(k.missing) {
-		k.missing = other.missing
+	if other.omittedAt.After(s.omittedAt) {
+		s.omittedAt = other.omittedAt
 	}
 }
 
-// NewState makes what another instance has heard from what it says: the rate that was last named and when, and when a request was sent whose answer
-// named none. A zero time reports that there was none.
-func NewState(r Rate, named, missing time.Time) State {
-	return State{rate: r, named: named, missing: missing}
+// NewState returns the state that another instance reports: the last announced rate and when it was announced, and
+// when a request was sent whose response announced none. A zero time means never.
+func NewState(r Rate, announcedAt, omittedAt time.Time) State {
+	return State{rate: r, announcedAt: announcedAt, omittedAt: omittedAt}
 }
