--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,4 +1,5 @@
-// Package answer reads what an endpoint reports of itself in the head of an answer, for all who speak to endpoints.
+// Package answer parses the notices that endpoints send about themselves in response headers. All clients of endpoints
+// use it.
 package answer
 
 import (
@@ -11,16 +12,17 @@
 	"github.com/ledgemount/ledgemount/internal/retryafter"
 )
 
-// yes is the value of a header that only says yes.
+// yes is the value of a boolean header that is set.
 const yes = "1"
 
-// Headers name the headers of endpoints' words that are not standard ones.
+// Headers holds the names of the non-standard headers in which endpoints send notices.
 type Headers struct {
-	Leaving string // "1": the endpoint leaves
-	Limit   string // requests a second that it takes from all instances together
+	Leaving string // "1": the endpoint is about to stop
+	Limit   string // requests per second that the endpoint accepts from all instances together
 }
 
-// Notice reads the word in a head with a status. A time for which the endpoint wants nothing counts where it turns a request away.
+// Notice parses the notice in the header of a response with the given status. Retry-After is only considered if the
+// endpoint rejected the request with 503 or 429.
 func Notice(status int, h http.Header, names Headers) pool.Notice {
 	w := pool.Notice{Leaving: slices.Contains(h.Values(names.Leaving), yes), Limit: limit.Of(h.Values(names.Limit))}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
--- a/internal/observe/observe.go
+++ b/internal/observe/observe.go
@@ -1,4 +1,4 @@
-// Package observe makes the loggers and the metrics of an instance.
+// Package observe provides the logger and the metrics of an instance.
 package observe
 
 import (
@@ -14,7 +14,7 @@
 
 const reportEvery = time.Second
 
-// Logger writes JSON lines.
+// Logger returns a logger that writes JSON lines to w, at level info if the level is not a known one.
 func Logger(w io.Writer, level, instance, zone string) zerolog.Logger {
 	l, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -30,7 +30,7 @@
 	closer  io.Closer
 }
 
-// NewMetrics makes the metrics of an instance.
+// NewMetrics returns the metrics of an instance, tagged with its ID and availability zone.
 func NewMetrics(instance, zone string) *Metrics {
 	reg := prometheus.NewRegistry()
 	rep := promreporter.NewReporter(promreporter.Options{Registerer: reg, Gatherer: reg})
@@ -45,11 +45,11 @@
 	return &Metrics{scope: scope, handler: rep.HTTPHandler(), closer: closer}
 }
 
-// Scope is where metrics are made.
+// Scope returns the scope in which metrics are created.
 func (m *Metrics) Scope() tally.Scope { return m.scope }
 
-// Handler serves the scrape address.
+// Handler returns the handler for Prometheus scrapes.
 func (m *Metrics) Handler() http.Handler { return m.handler }
 
-// Close flushes and stops the reporting.
+// Close flushes the metrics and stops reporting them.
 func (m *Metrics) Close() error { return m.closer.Close() }
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,4 +1,4 @@
-// Package retry decides whether and when a failed dispatch is tried again.
+// Package retry decides whether and when a failed dispatch is retried.
 package retry
 
 import (
@@ -13,22 +13,23 @@
 	mostAttempts = 4
 	firstPause   = 10 * time.Millisecond
 	longestPause = 500 * time.Millisecond
-	budgetShare  = 0.1 // retries that each request earns
+	budgetShare  = 0.1 // retry tokens that each request adds to its customer's budget
 	budgetMost   = 10.0
 )
 
-// Failure is what the decision needs to know.
+// Failure describes a failed attempt, as input for ShouldRetry.
 type Failure struct {
 	Verdict    verdict.Verdict
 	Code       verdict.Code
 	Attempt    int  // the attempt that failed, from 1
-	Repeatable bool // running twice does no harm
-	Delivered  bool // the caller has seen a part of the answer
+	Repeatable bool // the request may safely run more than once
+	Delivered  bool // the caller has received part of the response
 	Remaining  time.Duration
 }
 
-// ShouldRetry reports whether another attempt is allowed, but for the retry budget: another endpoint may do better, nothing runs
-// twice that may not, nothing contradicts what the caller has seen, and there is time left.
+// ShouldRetry reports whether another attempt is allowed, apart from the retry budget. It is if another endpoint may
+// succeed, no request that must not be repeated can run twice, the caller has received no part of a response yet, and
+// there is time left.
 func ShouldRetry(f Failure) bool {
 	if f.Attempt >= mostAttempts || f.Delivered || f.Remaining <= firstPause {
 		return false
@@ -37,26 +38,26 @@
 	case verdict.CodeEndpointRefused, verdict.CodeEndpointFailed, verdict.CodeOverloaded, verdict.CodeStopping, verdict.CodeTruncated:
 		return f.Verdict == verdict.NotRun || f.Repeatable
 	default:
-		return false // another endpoint would not do better
+		return false // another endpoint would fail in the same way
 	}
 }
 
-// Backoff is the jittered time to wait before an attempt; attempt is the one that failed, from 1.
+// Backoff returns the jittered time to wait before the next attempt. attempt is the number of the failed one, from 1.
 func Backoff(attempt int, r *rand.Rand) time.Duration {
 	d := min(firstPause<<min(attempt-1, 10), longestPause)
 	return d/2 + time.Duration(r.Int64N(int64(d/2)+1))
 }
 
-// Budgets limits retries to a share of each customer's requests, so that an outage is not multiplied.
+// Budgets limits retries to a share of each customer's requests, so that retries do not amplify an outage.
 type Budgets struct {
 	mu     sync.Mutex
 	tokens map[string]float64
 }
 
-// NewBudgets makes full budgets.
+// NewBudgets returns Budgets in which every customer starts with a full budget.
 func NewBudgets() *Budgets { return &Budgets{tokens: make(map[string]float64)} }
 
-// Earn notes a first attempt.
+// Earn credits a customer's budget for the first attempt of a request.
 func (b *Budgets) Earn(customer string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -67,7 +68,7 @@
 	b.tokens[customer] = min(budgetMost, t+budgetShare)
 }
 
-// Spend takes one retry; false means that there is none left.
+// Spend takes one retry from a customer's budget. It returns false if the budget is exhausted.
 func (b *Budgets) Spend(customer string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -19,10 +19,10 @@
 		{"refused, not run", func(*Failure) {}, true},
 		{"may have run, not repeatable", func(f *Failure) { f.Verdict = verdict.MayHaveRun }, false},
 		{"may have run, repeatable", func(f *Failure) { f.Verdict, f.Repeatable = verdict.MayHaveRun, true }, true},
-		{"the caller has seen a part", func(f *Failure) { f.Repeatable, f.Delivered = true, true }, false},
+		{"the caller has received a part", func(f *Failure) { f.Repeatable, f.Delivered = true, true }, false},
 		{"the budget is exhausted", func(f *Failure) { f.Code = verdict.CodeBudgetExhausted }, false},
 		{"no time left", func(f *Failure) { f.Remaining = 0 }, false},
-		{"enough attempts", func(f *Failure) { f.Attempt = mostAttempts }, false},
+		{"no attempts remain", func(f *Failure) { f.Attempt = mostAttempts }, false},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
@@ -34,7 +34,7 @@
 }
 
 func TestBudgets(t *testing.T) {
-	Convey("In a full outage, retries stay below a tenth of the requests beside the first few", t, func() {
+	Convey("In a full outage, retries stay below a tenth of the requests plus the initial budget", t, func() {
 		b := NewBudgets()
 		retries := 0
 		const requests = 10_000
--- a/internal/retry/shared.go
+++ b/internal/retry/shared.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// FleetBudget bounds the requests that are sent again to a service, by this instance's part of a budget that all instances share:
-// in each window no more than ratio of the requests and a fixed number beside them. It needs no word from other instances.
+// FleetBudget limits the retries to each service to this instance's share of a budget of the whole fleet. In each window,
+// the fleet may retry a ratio of its requests plus a fixed number. Instances need no communication to apply it.
 type FleetBudget struct {
 	ratio  float64
-	slack  float64 // of all instances together
+	slack  float64 // fixed number of retries per window, for all instances together
 	window time.Duration
 	now    func() time.Time
 	fleet  func() int // instances that share the budget
@@ -18,28 +18,28 @@
 	services map[string]*usage
 }
 
-// usage counts one service's requests and repeats in slices of the window.
+// usage counts one service's requests and retries in slices of the window.
 type usage struct {
 	slices [usageSlices]slice
 }
 
 type slice struct {
-	number   int64 // of the slice since the clock's zero
+	number   int64 // counts slices from the clock's zero
 	requests int
 	repeats  int
 }
 
 const (
 	usageSlices  = 20
-	sharedMargin = 0.85 // the part of the budget that is used: instances start and end, and windows differ
+	sharedMargin = 0.85 // part of the budget that is used: instances start and stop, and their windows are not aligned
 )
 
-// NewFleetBudget makes a budget. fleet tells how many instances share it.
+// NewFleetBudget returns a FleetBudget. fleet returns the number of instances that share it.
 func NewFleetBudget(ratio float64, slack int, window time.Duration, fleet func() int, now func() time.Time) *FleetBudget {
 	return &FleetBudget{ratio: ratio, slack: float64(slack), window: window, fleet: fleet, now: now, services: make(map[string]*usage)}
 }
 
-// at finds a service's current slice. The caller holds mu.
+// at returns a service's usage, its current slice and the slice's number. The caller holds mu.
 func (s *FleetBudget) at(service string) (*usage, *slice, int64) {
 	u := s.services[service]
 	if u == nil {
@@ -62,7 +62,7 @@
 	sl.requests++
 }
 
-// Take counts a request that is to be sent again, if the budget allows it.
+// Take reports whether the budget allows a retry of a request to a service, and counts the retry if so.
 func (s *FleetBudget) Take(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/retry/shared_test.go
+++ b/internal/retry/shared_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestShared(t *testing.T) {
-	Convey("A budget of repeats that four instances share", t, func() {
+	Convey("A retry budget shared by four instances", t, func() {
 		now := time.Unix(1000, 0)
 		s := NewFleetBudget(0.2, 40, 10*time.Second, func() int { return 4 }, func() time.Time { return now })
 		take := func() int {
@@ -19,16 +19,16 @@
 			return n
 		}
 
-		Convey("allows this instance's part of the fixed number", func() {
+		Convey("allows this instance's share of the fixed number", func() {
 			So(take(), ShouldEqual, 8) // 0.85 of 10
 		})
-		Convey("allows a share of the requests beside it", func() {
+		Convey("allows a ratio of the requests in addition", func() {
 			for range 100 {
 				s.CountRequest("models")
 			}
-			So(take(), ShouldEqual, 25) // 0.85 of 10 and 20
+			So(take(), ShouldEqual, 25) // 0.85 of the sum of 10 and 20, rounded down
 		})
-		Convey("counts services apart, and forgets with the window", func() {
+		Convey("counts services separately, and drops usage that has left the window", func() {
 			take()
 			So(s.Take("portal"), ShouldBeTrue)
 			now = now.Add(5 * time.Second)
--- a/internal/retryafter/retryafter.go
+++ b/internal/retryafter/retryafter.go
@@ -1,4 +1,4 @@
-// Package retryafter reads for how long an HTTP server asks its client to stay away.
+// Package retryafter parses the Retry-After header of HTTP responses.
 package retryafter
 
 import (
@@ -11,12 +11,13 @@
 
 const header = "Retry-After"
 
-// Max is the longest time that is believed. A longer one is taken for it: it is more likely a mistake than meant.
+// Max caps the parsed delay. A server that names a longer one has more likely made a mistake than meant it.
 const Max = 24 * time.Hour
 
-// Of reads the Retry-After field of an answer's head: a number of seconds, fractions too, or a date (RFC 9110, 10.2.3). Of several
-// values the longest time counts. ok is false where there is none that can be read, or none that lies ahead. now is the time of day, for a
-// date in a head that does not tell its own.
+// Of returns the delay that the Retry-After field of a response header asks for. The field holds a number of seconds,
+// fractions allowed, or a date (RFC 9110, 10.2.3); of several values the longest delay counts. ok is false if no value
+// is valid or none lies in the future. now is the wall-clock time, to which a date is compared if the header has no
+// Date field.
 func Of(h http.Header, now time.Time) (d time.Duration, ok bool) {
 	for _, v := range h.Values(header) {
 		if one, valid := parse(strings.TrimSpace(v), h, now); valid {
@@ -40,7 +41,8 @@
 	return time.Duration(s * float64(time.Second)), true
 }
 
-// sent is when the answer was sent, by the server's own time of day if the head tells it: the two may differ.
+// sent returns the time at which the response was sent, by the server's clock if the header has a Date field: the
+// server's clock and the local one may differ.
 func sent(h http.Header, now time.Time) time.Time {
 	if at, err := http.ParseTime(h.Get("Date")); err == nil {
 		return at
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -15,29 +15,29 @@
 		name   string
 		values []string
 		date   string
-		want   time.Duration // 0: nothing is asked for
+		want   time.Duration // 0: no delay is requested
 	}{
 		{"whole seconds", []string{"3"}, "", 3 * time.Second},
 		{"a fraction", []string{"1.25"}, "", 1250 * time.Millisecond},
-		{"blanks around it", []string{"  2 "}, "", 2 * time.Second},
+		{"surrounding blanks", []string{"  2 "}, "", 2 * time.Second},
 		{"a date", []string{in(7 * time.Second)}, "", 7 * time.Second},
-		{"a date, by the server's own time of day", []string{in(7 * time.Second)}, in(5 * time.Second), 2 * time.Second},
-		{"a date that is over", []string{in(-time.Second)}, "", 0},
-		{"a date in another zone than UTC's name", []string{"Sunday, 01-Mar-26 12:00:04 GMT"}, "", 4 * time.Second},
-		{"a number that some client libraries round", []string{"0.0004"}, "", 400 * time.Microsecond},
+		{"a date, by the server's own clock", []string{in(7 * time.Second)}, in(5 * time.Second), 2 * time.Second},
+		{"a date in the past", []string{in(-time.Second)}, "", 0},
+		{"a date in the obsolete RFC 850 format", []string{"Sunday, 01-Mar-26 12:00:04 GMT"}, "", 4 * time.Second},
+		{"a small fraction, which some client libraries round", []string{"0.0004"}, "", 400 * time.Microsecond},
 		{"over a day", []string{"1e9"}, "", Max},
-		{"more than a duration holds", []string{"1e300"}, "", Max},
+		{"more than time.Duration can hold", []string{"1e300"}, "", Max},
 		{"a date over a day ahead", []string{in(48 * time.Hour)}, "", Max},
-		{"twice: the longest", []string{"1", "4", "2"}, "", 4 * time.Second},
-		{"twice, one of which cannot be read", []string{"soon", "4"}, "", 4 * time.Second},
-		{"none", nil, "", 0},
-		{"nothing", []string{""}, "", 0},
+		{"several values: the longest", []string{"1", "4", "2"}, "", 4 * time.Second},
+		{"several values, one of which is invalid", []string{"soon", "4"}, "", 4 * time.Second},
+		{"no header", nil, "", 0},
+		{"an empty value", []string{""}, "", 0},
 		{"zero", []string{"0"}, "", 0},
-		{"below zero", []string{"-3"}, "", 0},
+		{"a negative number", []string{"-3"}, "", 0},
 		{"not a number", []string{"NaN"}, "", 0},
-		{"infinite", []string{"Inf"}, "", 0},
-		{"below zero without end", []string{"-Inf"}, "", 0},
-		{"a unit", []string{"3s"}, "", 0},
+		{"infinity", []string{"Inf"}, "", 0},
+		{"negative infinity", []string{"-Inf"}, "", 0},
+		{"a number with a unit", []string{"3s"}, "", 0},
 		{"a word", []string{"soon"}, "", 0},
 	} {
 		Convey(c.name, t, func() {
@@ -52,7 +52,7 @@
 	}
 }
 
-// No text makes a time that is not over 0, or over a day.
+// FuzzOf checks that no header value yields a delay that is negative or longer than Max.
 func FuzzOf(f *testing.F) {
 	for _, v := range []string{"3", "1.5", "-1", "NaN", "1e999", "0x1p-2", "Sun, 01 Mar 2026 12:00:04 GMT", "3, 4", "\x00"} {
 		f.Add(v, "")
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,4 +1,5 @@
-// Package route holds the routing configuration: which service serves a host and path, under which limits and for which customers.
+// Package route holds the routing configuration: which service serves a host and path, under which limits and for which
+// customers.
 package route
 
 import (
@@ -12,14 +13,14 @@
 	"github.com/ledgemount/ledgemount/internal/slowstart"
 )
 
-// Kind reports what may be repeated of a request.
+// Kind determines whether a request may run more than once.
 type Kind int
 
-// The kinds. The zero value is the cautious one.
+// Kinds of requests. The zero value is the most restrictive one.
 const (
 	Unsafe    Kind = iota // runs at most once
 	Safe                  // may run more than once
-	Streaming             // answers with events; runs at most once unless its route is resumable
+	Streaming             // responds with a stream of events; runs at most once unless its route is resumable
 )
 
 var kindNames = map[Kind]string{Unsafe: "unsafe", Safe: "safe", Streaming: "streaming"}
@@ -27,27 +28,27 @@
 // String returns the kind's name in logs.
 func (k Kind) String() string { return kindNames[k] }
 
-// Share is one service's part of a route's requests.
+// Share is one service's share of a route's requests.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route reports how requests of a host and path prefix are served.
+// Route defines how requests with a host and path prefix are served.
 type Route struct {
 	Name        string
 	Host        string
 	Prefix      string // begins and ends with a slash
 	Kind        Kind
-	Timeout     time.Duration // the longest a request is held; 0: no limit
-	Objective   time.Duration // the time within which an answer, or its first event, is in time
-	Gap         time.Duration // the longest pause between events that is in time; 0: none stated
+	Timeout     time.Duration // maximum duration of a request; 0: no limit
+	Objective   time.Duration // target latency of a response, or of the first event of a stream
+	Gap         time.Duration // target for the longest pause between events; 0: none stated
 	Priority    int           // 0 is highest
 	Split       []Share
 	MaxAttempts int      // endpoints to which one request may be sent
-	Public      bool     // needs no key
-	Resumable   bool     // a stream may go on at another endpoint
-	Regions     []string // in which its requests may run; nil: in all
+	Public      bool     // requests need no key
+	Resumable   bool     // a stream may be resumed at another endpoint
+	Regions     []string // regions in which requests may run; nil: all
 }
 
 // Repeatable reports whether a request of the route may run more than once.
@@ -57,10 +58,10 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int              // connections that an endpoint takes from all callers
-	Stride     int64            // tokens in an event of a stream; 0: the service generates none
-	Memory     int64            // tokens that an endpoint's memory holds; 0: not known
-	Slots      int              // requests that an endpoint works on at once; 0: not known
+	MaxConns   int              // connections that an endpoint accepts from all callers
+	Stride     int64            // tokens in an event of a stream; 0: the service generates no tokens
+	Memory     int64            // tokens that fit into an endpoint's prompt cache; 0: unknown
+	Slots      int              // requests that an endpoint processes concurrently; 0: unknown
 	Warmup     slowstart.Warmup // of endpoints that have just started
 }
 
@@ -72,23 +73,23 @@
 	IdleTimeout    time.Duration
 }
 
-// NoPriority marks a customer whose requests keep their route's priority.
+// NoPriority is the priority of a customer that states none. Its requests have the priority of their route.
 const NoPriority = -1
 
-// Unlimited marks a customer without a prepaid figure.
+// Unlimited is the prepaid amount of a customer without a token budget.
 const Unlimited = -1
 
-// Customer is who pays for a request.
+// Customer is the party that pays for requests.
 type Customer struct {
 	Name     string
 	Keys     []string
-	Priority int      // NoPriority, or what goes before the route's
-	Prepaid  int64    // tokens; Unlimited: none stated
-	Regions  []string // in which its requests may run; nil: in all
+	Priority int      // stated priority, or NoPriority
+	Prepaid  int64    // prepaid tokens, or Unlimited
+	Regions  []string // regions in which requests may run; nil: all
 }
 
-// AllowedRegions are the regions in which a customer's requests of a route may run: those that both allow. nil: all; empty: none. The customer may
-// be nil.
+// AllowedRegions returns the regions in which a customer's requests to a route may run: those that both the route and
+// the customer allow. A nil result means all regions, an empty one means none. The customer may be nil.
 func AllowedRegions(r *Route, c *Customer) []string {
 	switch {
 	case c == nil || c.Regions == nil:
@@ -115,16 +116,16 @@
 	Customers []Customer
 }
 
-// Table is a compiled Config. It never changes.
+// Table is a compiled Config. It is immutable.
 type Table struct {
 	cfg      Config
-	hosts    map[string][]*Route // by falling length of prefix
+	hosts    map[string][]*Route // by host; longest prefix first
 	services map[string]*Service
 	keys     map[string]*Customer
 	names    map[string]*Customer
 }
 
-// Compile checks a configuration and prepares it for look-ups. The error names the field at fault.
+// Compile validates a configuration and indexes it for look-ups. The error names the invalid field.
 func Compile(cfg Config) (*Table, error) {
 	t := &Table{
 		cfg:      cfg,
@@ -157,7 +158,7 @@
 		return eris.Errorf("prefix %q must begin and end with a slash", r.Prefix)
 	}
 	if len(r.Split) == 0 {
-		return eris.New("service: no service is named")
+		return eris.New("service: at least one is required")
 	}
 	for _, s := range r.Split {
 		if t.services[s.Service] == nil {
@@ -175,7 +176,7 @@
 		return eris.New("name is empty")
 	}
 	if t.names[c.Name] != nil {
-		return eris.Errorf("name %q stands twice", c.Name)
+		return eris.Errorf("name %q is used twice", c.Name)
 	}
 	t.names[c.Name] = c
 	for _, k := range c.Keys {
@@ -192,16 +193,16 @@
 	return host
 }
 
-// Version is the configuration's version; versions only rise.
+// Version returns the configuration's version. Versions only increase.
 func (t *Table) Version() int64 { return t.cfg.Version }
 
-// Limits bound what a caller may send.
+// Limits returns the limits on what a caller may send.
 func (t *Table) Limits() Limits { return t.cfg.Limits }
 
 // Keyed reports whether requests need a key.
 func (t *Table) Keyed() bool { return t.cfg.Keyed }
 
-// Warmups are what services say of endpoints that have just started, by service.
+// Warmups returns the slow-start settings for endpoints that have just started, by service.
 func (t *Table) Warmups() map[string]slowstart.Warmup {
 	out := make(map[string]slowstart.Warmup, len(t.services))
 	for name, s := range t.services {
@@ -210,7 +211,8 @@
 	return out
 }
 
-// Connections are how many connections an endpoint takes from all callers together, by service; 0: not told.
+// Connections returns the maximum number of connections that an endpoint accepts from all callers together, by
+// service; 0 if the service states none.
 func (t *Table) Connections() map[string]int {
 	out := make(map[string]int, len(t.services))
 	for name, s := range t.services {
@@ -219,10 +221,10 @@
 	return out
 }
 
-// Customers lists the customers.
+// Customers returns all customers.
 func (t *Table) Customers() []Customer { return t.cfg.Customers }
 
-// Match finds the route of a host with the longest prefix that begins the path.
+// Match returns the route of a host with the longest prefix of the path.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	for _, r := range t.hosts[hostOnly(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -232,25 +234,25 @@
 	return nil, false
 }
 
-// Service finds a service by name.
+// Service looks up a service by name.
 func (t *Table) Service(name string) (*Service, bool) {
 	s, ok := t.services[name]
 	return s, ok
 }
 
-// CustomerByKey finds the holder of a key.
+// CustomerByKey looks up the customer that owns a key.
 func (t *Table) CustomerByKey(key string) (*Customer, bool) {
 	c, ok := t.keys[key]
 	return c, ok
 }
 
-// Customer finds a customer by name.
+// Customer looks up a customer by name.
 func (t *Table) Customer(name string) (*Customer, bool) {
 	c, ok := t.names[name]
 	return c, ok
 }
 
-// Choose picks a service of the split by a number from 0 up to, not including, 1.
+// Choose picks a service of the split by weight. at is a random number in [0, 1).
 func (r *Route) Choose(at float64) string {
 	total := 0
 	for _, s := range r.Split {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -27,7 +27,7 @@
 		table, err := Compile(sample())
 		So(err, ShouldBeNil)
 
-		Convey("finds the longest prefix of a host, whatever its port and case", func() {
+		Convey("matches the longest prefix of a host, ignoring its port and case", func() {
 			for _, c := range []struct{ host, path, want string }{
 				{"api.example", "/draft/deep/x", "deep"},
 				{"API.example:8443", "/draft/x", "draft"},
@@ -42,7 +42,7 @@
 			So(ok, ShouldBeFalse)
 		})
 
-		Convey("knows a customer by each of its keys", func() {
+		Convey("looks up a customer by each of its keys", func() {
 			for _, key := range []string{"k1", "k2"} {
 				c, ok := table.CustomerByKey(key)
 				So(ok, ShouldBeTrue)
@@ -52,7 +52,7 @@
 			So(ok, ShouldBeFalse)
 		})
 
-		Convey("splits by weight", func() {
+		Convey("splits requests by weight", func() {
 			r, _ := table.Match("api.example", "/draft/x")
 			So(r.Choose(0), ShouldEqual, "models")
 			So(r.Choose(0.89), ShouldEqual, "models")
@@ -60,7 +60,7 @@
 		})
 	})
 
-	Convey("A configuration with a fault is refused by the name of the field", t, func() {
+	Convey("An invalid configuration is rejected with an error that names the field", t, func() {
 		for want, change := range map[string]func(*Config){
 			"routes[0]: prefix":           func(c *Config) { c.Routes[0].Prefix = "draft" },
 			"routes[1]: service \"none\"": func(c *Config) { c.Routes[1].Split[0].Service = "none" },
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -1,12 +1,13 @@
-// Package step names the points of a request's and a change's life at which faults are tried.
+// Package step names the points at which tests inject faults: the steps of a request, of token escrow and of a
+// configuration change.
 package step
 
 import "context"
 
-// Step is one named point.
+// Step names a point at which a fault can be injected.
 type Step string
 
-// The steps of a request, of escrow and of a change, in their usual order.
+// Steps of a request, of escrow and of a configuration change, in their usual order.
 const (
 	Accept       Step = "accept"
 	Authenticate Step = "authenticate"
@@ -27,8 +28,9 @@
 	Drain        Step = "drain"
 )
 
-// Hook is called as an instance reaches a step. It may block (a pause) or return an error (a crash).
+// Hook is called when an instance reaches a step. It may block, which simulates a pause, or return an error, which
+// simulates a crash.
 type Hook func(ctx context.Context, s Step) error
 
-// None is the hook of an ordinary instance.
+// None is a Hook that injects no faults, as in production.
 func None(context.Context, Step) error { return nil }
