--- a/internal/relay/core.go
+++ b/internal/relay/core.go
@@ -16,15 +16,15 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// Budgets reserves what requests may use.
+// Budgets reserves tokens of customers' budgets for requests.
 type Budgets interface {
-	Reserve(ctx context.Context, customer string, most int64, rank int) (*escrow.Reservation, error)
+	Reserve(ctx context.Context, customer string, maxTokens int64, priority int) (*escrow.Reservation, error)
 	View(customer string) escrow.View
 }
 
-// Deps are the parts that a Core works with.
+// Deps holds the dependencies of a Core.
 type Deps struct {
-	Table   func() *route.Table // the configuration in force; nil: none is known
+	Table   func() *route.Table // returns the configuration in force, or nil if none is known
 	Pool    *pool.Pool
 	Budgets Budgets
 	Retries *retry.FleetBudget
@@ -32,79 +32,84 @@
 	Dialect Dialect
 }
 
-// Core serves requests. It keeps nothing of them but which ones their endpoints did not outlive.
+// Core serves requests. The only state that it keeps beyond a request is which requests coincided with the exit of an
+// endpoint's process, and the delays that rejected callers were given.
 type Core struct {
 	Deps
-	now      func() time.Time
-	random   func() float64
-	ended    func(Outcome)
-	dialed   func(zone string, took time.Duration)
-	crowded  func() bool
-	woken    func() bool
-	stall    time.Duration
-	maxBody  int64
-	apart    bool // requests of one subject are not kept together
-	late     func(DelayedExit)
-	overdue  overdue
-	endings  endings
-	turns    turns
-	suspects *quarantine.Memory
+	now           func() time.Time
+	random        func() float64
+	onOutcome     func(Outcome)
+	onDial        func(zone string, took time.Duration)
+	congested     func() bool
+	stateFresh    func() bool
+	stallTimeout  time.Duration
+	maxBody       int64
+	noAffinity    bool // requests with a common prompt prefix are not sent to the same endpoint
+	onDelayedExit func(DelayedExit)
+	deadlines     deadlineTracker
+	exits         exitProber
+	retrySlots    retrySchedule
+	suspects      *quarantine.Memory
 }
 
-// Option changes a Core.
+// Option configures a Core.
 type Option func(*Core)
 
 // WithNow replaces the clock.
 func WithNow(now func() time.Time) Option { return func(c *Core) { c.now = now } }
 
-// WithRandom replaces the source of numbers from 0 up to 1.
+// WithRandom replaces the source of random numbers in [0, 1).
 func WithRandom(f func() float64) Option { return func(c *Core) { c.random = f } }
 
-// OnOutcome sets what is notified of each request that has ended.
-func OnOutcome(f func(Outcome)) Option { return func(c *Core) { c.ended = f } }
+// OnOutcome sets the function that is called with the outcome of each request.
+func OnOutcome(f func(Outcome)) Option { return func(c *Core) { c.onOutcome = f } }
 
-// OnDelayedExit sets what is notified of an endpoint's end that was seen late.
-func OnDelayedExit(f func(DelayedExit)) Option { return func(c *Core) { c.late = f } }
+// OnDelayedExit sets the function that is called if the exit of an endpoint's process is detected after the outcome of
+// the request was reported.
+func OnDelayedExit(f func(DelayedExit)) Option { return func(c *Core) { c.onDelayedExit = f } }
 
-// WithQuarantine replaces the memory of requests that end endpoints, which is the instance's own where nothing else is set.
+// WithQuarantine replaces the record of requests that may make endpoints exit. By default, each Core has a separate one.
 func WithQuarantine(m *quarantine.Memory) Option { return func(c *Core) { c.suspects = m } }
 
-// OnDial sets what is told how long new connections to endpoints took to come up, by the endpoint's availability zone.
+// OnDial sets the function that is called with the time that a new connection to an endpoint took to be established, and
+// the endpoint's availability zone.
 func OnDial(f func(zone string, took time.Duration)) Option {
-	return func(c *Core) { c.dialed = f }
+	return func(c *Core) { c.onDial = f }
 }
 
-// WithCongested sets what reports whether this instance's link is so crowded that requests are better served elsewhere.
-func WithCongested(f func() bool) Option { return func(c *Core) { c.crowded = f } }
+// WithCongested sets the function that reports whether this instance's network link is so congested that other instances
+// should serve its requests.
+func WithCongested(f func() bool) Option { return func(c *Core) { c.congested = f } }
 
-// WithStateFresh sets what reports whether what is known may be used: a machine that was suspended hears it again first.
-func WithStateFresh(f func() bool) Option { return func(c *Core) { c.woken = f } }
+// WithStateFresh sets the function that reports whether the known configuration and endpoints may be used. After a
+// suspension of the machine, they must be received again first.
+func WithStateFresh(f func() bool) Option { return func(c *Core) { c.stateFresh = f } }
 
-// WithStallTimeout sets how long an endpoint may be silent at least before a request that may be repeated looks elsewhere; long prompts and
-// pauses that are in time make it longer.
-func WithStallTimeout(d time.Duration) Option { return func(c *Core) { c.stall = d } }
+// WithStallTimeout sets the minimum time for which an endpoint may be silent before a repeatable request is retried at
+// another endpoint. The effective time is longer for long prompts, and for routes that allow long pauses.
+func WithStallTimeout(d time.Duration) Option { return func(c *Core) { c.stallTimeout = d } }
 
-// WithoutAffinity sends requests wherever there is least to do, whatever they share.
-func WithoutAffinity() Option { return func(c *Core) { c.apart = true } }
+// WithoutAffinity sends requests to the least loaded endpoint, regardless of common prompt prefixes.
+func WithoutAffinity() Option { return func(c *Core) { c.noAffinity = true } }
 
 const (
-	defaultStall   = 700 * time.Millisecond
-	defaultMaxBody = 4 << 20
-	mostDials      = 3 // endpoints that could not be reached in one request
+	defaultStallTimeout = 700 * time.Millisecond
+	defaultMaxBody      = 4 << 20
+	maxDials            = 3 // failed connection attempts per request
 )
 
-// Times after which a caller that was refused may come back.
+// Delays after which a rejected caller may retry.
 const (
-	retryNow  = 150 * time.Millisecond
-	retrySoon = 400 * time.Millisecond
+	retryAfterShort = 150 * time.Millisecond
+	retryAfterLong  = 400 * time.Millisecond
 )
 
-// New makes a core.
+// New returns a Core.
 func New(deps Deps, opts ...Option) *Core {
 	c := &Core{
-		Deps: deps, now: time.Now, random: rand.Float64, ended: func(Outcome) {}, dialed: func(string, time.Duration) {},
-		late: func(DelayedExit) {}, suspects: quarantine.New(),
-		crowded: func() bool { return false }, woken: func() bool { return true }, stall: defaultStall, maxBody: defaultMaxBody,
+		Deps: deps, now: time.Now, random: rand.Float64, onOutcome: func(Outcome) {}, onDial: func(string, time.Duration) {},
+		onDelayedExit: func(DelayedExit) {}, suspects: quarantine.New(),
+		congested: func() bool { return false }, stateFresh: func() bool { return true }, stallTimeout: defaultStallTimeout, maxBody: defaultMaxBody,
 	}
 	for _, opt := range opts {
 		opt(c)
@@ -112,7 +117,7 @@
 	return c
 }
 
-// MaxBody is the largest body that the configuration in force lets a caller send, in bytes.
+// MaxBody returns the maximum size of a caller's request body in bytes, according to the configuration in force.
 func (c *Core) MaxBody() int64 {
 	if t := c.Table(); t != nil && t.Limits().MaxBodyBytes > 0 {
 		return t.Limits().MaxBodyBytes
@@ -120,7 +125,8 @@
 	return c.maxBody
 }
 
-// MaxHeader is the largest head that the configuration in force lets a caller send, in bytes; 0: no limit.
+// MaxHeader returns the maximum size of a caller's request header in bytes, according to the configuration in force. 0
+// means no limit.
 func (c *Core) MaxHeader() int {
 	if t := c.Table(); t != nil {
 		return t.Limits().MaxHeaderBytes
@@ -128,8 +134,9 @@
 	return 0
 }
 
-// Serve carries a request through. An error means that the caller has no answer yet and is to be told of it; ErrBroken, that
-// the answer has begun and cannot be completed.
+// Serve processes a request and writes the response to out. If it returns an error, no response has been started, and
+// the caller must be sent the error; if the error matches ErrBroken, the response has been started but cannot be
+// completed.
 func (c *Core) Serve(ctx context.Context, req *Request, out Sink) error {
 	j := &job{core: c, req: req, out: out, tried: make(map[string]bool)}
 	j.outcome.Request = req
@@ -138,55 +145,55 @@
 	return err
 }
 
-// ErrBroken reports that an answer ended before it was whole.
-var ErrBroken = errors.New("the answer was broken off")
+// ErrBroken reports that a response ended before it was complete.
+var ErrBroken = errors.New("response interrupted")
 
-// job is one request on its way.
+// job is the state of a request in progress.
 type job struct {
 	core    *Core
 	req     *Request
 	out     Sink
 	outcome Outcome
 
-	route    *route.Route
-	service  *route.Service
-	customer *route.Customer
-	escrow   *escrow.Reservation
-	end      time.Time // of the caller's patience or the route's time; zero: none
-
-	tried    map[string]bool
-	attempts int
-	dials    int
-	opening  pool.Opening // as far as it was asked
-	ran      bool         // an endpoint may have run it
-	begun    bool         // the caller has seen the head
-	events   int64
-	heard    time.Time // when the last event came
-	// wholeMetered: the caller has an answer without events, of which the tokens cannot be counted
-	wholeMetered bool
-	last         string // ID of the last event that was passed on
-	known        *quarantine.Digest
-	entered      bool // its digest is under suspicion, and it was let in
+	route       *route.Route
+	service     *route.Service
+	customer    *route.Customer
+	reservation *escrow.Reservation
+	deadline    time.Time // from the caller's deadline and the route's timeout; zero: none
+
+	tried       map[string]bool
+	attempts    int
+	dials       int
+	opening     pool.Opening // availability of endpoints as last queried
+	mayHaveRun  bool         // an endpoint may have run the request
+	headerSent  bool         // the response header has been sent to the caller
+	events      int64
+	lastEventAt time.Time // when the last event was received
+	// billInFull: the caller has a response that is not a stream, whose tokens cannot be counted
+	billInFull      bool
+	lastEventID     string // ID of the last event that was forwarded
+	cachedDigest    *quarantine.Digest
+	suspectAdmitted bool // the request is under suspicion and was admitted
 }
 
 func (j *job) run(ctx context.Context) error {
 	if err := j.admit(); err != nil {
 		return err
 	}
-	if err := j.enter(); err != nil {
+	if err := j.checkQuarantine(); err != nil {
 		return err
 	}
-	defer j.leave()
-	if j.core.crowded() {
-		return refuse(verdict.CodeOverloaded, "this instance's link is crowded", retryNow)
+	defer j.leaveQuarantine()
+	if j.core.congested() {
+		return refuse(verdict.CodeOverloaded, "this instance's link is crowded", retryAfterShort)
 	}
-	if !j.end.IsZero() {
+	if !j.deadline.IsZero() {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, j.end.Sub(j.core.now()))
+		ctx, cancel = context.WithTimeout(ctx, j.deadline.Sub(j.core.now()))
 		defer cancel()
-		defer j.core.overdue.add(j, cancel)()
+		defer j.core.deadlines.add(j, cancel)()
 	}
-	if err := j.opens(); err != nil {
+	if err := j.checkEndpoints(); err != nil {
 		return err
 	}
 	if err := j.reserve(ctx); err != nil {
@@ -197,14 +204,14 @@
 	return err
 }
 
-// admit finds the route and who pays.
+// admit determines the route, the customer and the service of the request.
 func (j *job) admit() error {
-	if !j.core.woken() {
-		return refuse(verdict.CodeUnavailable, "this machine was suspended, and has not heard the configuration since", retrySoon)
+	if !j.core.stateFresh() {
+		return refuse(verdict.CodeUnavailable, "this machine was suspended, and has not heard the configuration since", retryAfterLong)
 	}
 	table := j.core.Table()
 	if table == nil {
-		return refuse(verdict.CodeUnavailable, "no configuration is known yet", retrySoon)
+		return refuse(verdict.CodeUnavailable, "no configuration is known yet", retryAfterLong)
 	}
 	j.outcome.Version = table.Version()
 	r, ok := table.Match(j.req.Host, j.req.Path)
@@ -223,22 +230,22 @@
 	name := r.Choose(j.core.random())
 	j.service, ok = table.Service(name)
 	if !ok {
-		return refuse(verdict.CodeNoEndpoint, "the route's service is not declared", retrySoon)
+		return refuse(verdict.CodeNoEndpoint, "the route's service is not declared", retryAfterLong)
 	}
 	j.outcome.Service = name
 	j.core.Retries.CountRequest(name)
-	j.setEnd()
+	j.setDeadline()
 	return nil
 }
 
-// setEnd finds the moment at which the request is given up.
-func (j *job) setEnd() {
-	left := j.req.Deadline
-	if t := j.route.Timeout; t > 0 && (left <= 0 || t < left) {
-		left = t
+// setDeadline sets the deadline to the earlier one of the caller's deadline and the route's timeout.
+func (j *job) setDeadline() {
+	limit := j.req.Deadline
+	if t := j.route.Timeout; t > 0 && (limit <= 0 || t < limit) {
+		limit = t
 	}
-	if left > 0 {
-		j.end = j.req.Arrived.Add(left)
+	if limit > 0 {
+		j.deadline = j.req.Arrived.Add(limit)
 	}
 }
 
@@ -246,31 +253,31 @@
 	if j.customer == nil || j.customer.Prepaid < 0 || !j.req.Metered {
 		return nil
 	}
-	most := j.req.TokensIn + j.req.TokensOut
-	r, err := j.core.Budgets.Reserve(ctx, j.customer.Name, most, j.route.Priority)
-	j.outcome.Reserved = most
+	maxTokens := j.req.TokensIn + j.req.TokensOut
+	r, err := j.core.Budgets.Reserve(ctx, j.customer.Name, maxTokens, j.route.Priority)
+	j.outcome.Reserved = maxTokens
 	j.outcome.Budget = j.core.Budgets.View(j.customer.Name)
-	j.escrow = r
+	j.reservation = r
 	return err
 }
 
-// settle spends what the caller got: the tokens of the prompt, once any token of an answer was handed out, and those handed out.
-// A request that brought its caller nothing is not billed.
+// settle bills the tokens of the prompt and those that were sent to the caller. A request for which the caller received
+// no token is not billed.
 func (j *job) settle() {
 	used := int64(0)
 	switch {
 	case j.events > 0:
 		used = j.req.TokensIn + min(j.req.TokensOut, j.events*max(1, j.service.Stride))
-	case j.wholeMetered:
+	case j.billInFull:
 		used = j.req.TokensIn + j.req.TokensOut
 	}
 	j.outcome.Used = used
-	if j.escrow != nil {
-		j.escrow.Settle(used)
+	if j.reservation != nil {
+		j.reservation.Settle(used)
 	}
 }
 
-// refuse makes an error for a request that has not run.
+// refuse returns the error for a request that was rejected and has not run.
 func refuse(code verdict.Code, detail string, after time.Duration) error {
 	return verdict.New(verdict.NotRun, code, detail, verdict.WithRetryAfter(after))
 }
@@ -289,13 +296,13 @@
 	} else {
 		o.Verdict = verdict.Ran
 	}
-	j.core.ended(*o)
+	j.core.onOutcome(*o)
 }
 
-// lateness judges an answer that has begun by what its route wants.
+// lateness compares a response that has been started with the latency targets of its route.
 func (j *job) lateness() Lateness {
 	switch {
-	case !j.begun || j.route == nil:
+	case !j.headerSent || j.route == nil:
 		return NotLate
 	case j.route.Objective > 0 && j.outcome.FirstByte > j.route.Objective:
 		return LateFirst
@@ -305,20 +312,20 @@
 	return NotLate
 }
 
-// left is the time that the request still has; ok is false if it has no limit.
-func (j *job) left() (time.Duration, bool) {
-	if j.end.IsZero() {
+// remaining returns the time until the deadline. ok is false if the request has none.
+func (j *job) remaining() (time.Duration, bool) {
+	if j.deadline.IsZero() {
 		return 0, false
 	}
-	return j.end.Sub(j.core.now()), true
+	return j.deadline.Sub(j.core.now()), true
 }
 
-// begin sends the head of the answer, once.
-func (j *job) begin(status int, header http.Header, length int64) {
-	if j.begun {
+// sendHeader sends the response header, unless it has been sent before.
+func (j *job) sendHeader(status int, header http.Header, length int64) {
+	if j.headerSent {
 		return
 	}
-	j.begun = true
+	j.headerSent = true
 	j.outcome.Status = status
 	j.outcome.FirstByte = j.core.now().Sub(j.req.Arrived)
 	j.out.Begin(status, j.core.Dialect.ResponseHeader(header), length)
--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -13,67 +13,67 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// result is how one attempt ended.
+// result is the outcome of one attempt.
 type result int
 
 const (
-	resultDone      result = iota // the caller has a whole answer
-	resultUnsent                  // the endpoint could not be reached: nothing was sent
-	resultNotRun                  // the endpoint reports that it did not run the request
-	resultFailed                  // the endpoint answered that it failed; the answer is kept
-	resultBroken                  // the request may have run; its answer is lost or broken off
-	resultLeft                    // the caller left, or does not take the answer
-	resultWithdrawn               // nothing was sent: the endpoint has said meanwhile that it takes nothing
+	resultDone       result = iota // the caller has received a complete response
+	resultUnsent                   // the endpoint could not be reached, so nothing was sent
+	resultNotRun                   // the endpoint reports that it did not run the request
+	resultFailed                   // the endpoint responded with a server error; the response is kept
+	resultBroken                   // the request may have run; its response is lost or incomplete
+	resultCallerLeft               // the caller disconnected, or does not accept the response
+	resultWithdrawn                // nothing was sent: the endpoint has announced meanwhile that it accepts no work
 )
 
-// kept is a failed answer that the caller gets if nothing better comes.
-type kept struct {
+// failedResponse is a response with a server error. The caller gets it if no other attempt succeeds.
+type failedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// dispatch sends the request until it is answered or nothing more can be tried.
+// dispatch sends the request to endpoints until one responds or no further attempt is possible.
 func (j *job) dispatch(ctx context.Context) error {
-	var failure *kept
+	var failure *failedResponse
 	for {
-		if j.heldMeanwhile() {
-			return j.giveUpHeld(ctx, failure)
+		if j.quarantinedMeanwhile() {
+			return j.giveUpQuarantined(ctx, failure)
 		}
 		lease := j.pick()
 		if lease == nil {
 			return j.giveUp(ctx, failure, resultUnsent)
 		}
-		res, answer := j.try(ctx, lease)
+		res, response := j.try(ctx, lease)
 		switch res {
 		case resultDone:
-			j.endedWell()
+			j.clearSuspicion()
 			return nil
 		case resultWithdrawn:
 			continue
 		case resultFailed:
-			failure = answer
+			failure = response
 		case resultUnsent:
 			j.dials++
-			if j.dials < mostDials && ctx.Err() == nil {
+			if j.dials < maxDials && ctx.Err() == nil {
 				continue
 			}
-		case resultNotRun, resultBroken, resultLeft:
+		case resultNotRun, resultBroken, resultCallerLeft:
 		}
-		if !j.again(ctx, res) {
+		if !j.shouldRetry(ctx, res) {
 			return j.giveUp(ctx, failure, res)
 		}
 	}
 }
 
-// query is what an endpoint is picked for.
+// query returns the criteria by which an endpoint is picked.
 func (j *job) query() pool.Query {
 	q := pool.Query{
 		Service: j.service.Name, Affinity: j.req.AffinityKey(), Prompt: j.req.TokensIn, Shared: j.req.SharedTokens(),
 		Target: j.route.Objective, Gap: j.route.Gap, Tried: j.tried,
 		Regions: route.AllowedRegions(j.route, j.customer),
 	}
-	if j.core.apart {
+	if j.core.noAffinity {
 		q.Affinity = ""
 	}
 	return q
@@ -90,137 +90,139 @@
 	return lease
 }
 
-// opens refuses a request at once that no endpoint takes now, before anything is reserved for it.
-func (j *job) opens() error {
+// checkEndpoints rejects a request that no endpoint accepts now, before tokens are reserved for it.
+func (j *job) checkEndpoints() error {
 	if j.opening = j.core.Pool.Opens(j.query()); j.opening.Open {
 		return nil
 	}
 	return j.noEndpoint()
 }
 
-// noEndpoint tells the caller that no endpoint takes the request. Where endpoints have asked for rest it comes back when the first of them does,
-// and some time later: all who are refused meanwhile would come back at that moment.
+// noEndpoint returns the error for a request that no endpoint accepts. If the endpoints have asked for rest, the caller
+// may retry when the first of them is available again, plus a random delay: otherwise all callers that were rejected in
+// the meantime would retry at the same moment.
 func (j *job) noEndpoint() error {
 	rest := j.opening.Rest
 	switch {
 	case j.opening.Full:
-		return refuse(verdict.CodeEndpointRefused, "the endpoints have as much as they bear", retryNow)
+		return refuse(verdict.CodeEndpointRefused, "the endpoints have as much as they bear", retryAfterShort)
 	case j.opening.Limited:
-		return refuse(verdict.CodeEndpointLimit, "the endpoints have had as many requests as they say that they take", j.turn())
+		return refuse(verdict.CodeEndpointLimit, "the endpoints have had as many requests as they say that they take", j.nextRetry())
 	case rest <= 0:
-		return refuse(verdict.CodeNoEndpoint, "no endpoint takes work or can be reached", retrySoon)
+		return refuse(verdict.CodeNoEndpoint, "no endpoint takes work or can be reached", retryAfterLong)
 	}
-	spread := j.core.random() * float64(max(retrySoon, min(rest, mostSpread)))
+	spread := j.core.random() * float64(max(retryAfterLong, min(rest, maxSpread)))
 	return refuse(verdict.CodeNoEndpoint, "all endpoints that take work have asked for rest", rest+time.Duration(spread))
 }
 
-// turn is when this caller's turn comes at endpoints that take a few requests a second.
-func (j *job) turn() time.Duration {
-	return j.core.turns.next(j.service.Name, j.opening.Rate, j.core.now()) + time.Duration(j.core.random()*float64(retrySoon))
+// nextRetry returns the delay until this caller's retry slot at endpoints that accept only a few requests per second.
+func (j *job) nextRetry() time.Duration {
+	return j.core.retrySlots.next(j.service.Name, j.opening.Rate, j.core.now()) + time.Duration(j.core.random()*float64(retryAfterLong))
 }
 
-// mostSpread bounds the time over which callers come back who were refused while all endpoints rested.
-const mostSpread = 2 * time.Second
+// maxSpread limits the random delay of callers that were rejected while all endpoints rested.
+const maxSpread = 2 * time.Second
 
-// again reports whether the request goes to another endpoint.
-func (j *job) again(ctx context.Context, res result) bool {
+// shouldRetry reports whether the request is sent to another endpoint.
+func (j *job) shouldRetry(ctx context.Context, res result) bool {
 	if ctx.Err() != nil || j.attempts >= j.route.MaxAttempts {
 		return false
 	}
 	switch res {
 	case resultNotRun:
 	case resultFailed, resultBroken:
-		if !j.route.Repeatable() || (res == resultBroken && j.lone()) {
+		if !j.route.Repeatable() || (res == resultBroken && j.onlyCallerMayRetry()) {
 			return false
 		}
-	case resultDone, resultUnsent, resultLeft, resultWithdrawn:
+	case resultDone, resultUnsent, resultCallerLeft, resultWithdrawn:
 		return false
 	}
-	if left, ok := j.left(); ok && left < leastLeft {
+	if remaining, ok := j.remaining(); ok && remaining < minRemaining {
 		return false
 	}
 	return j.core.Retries.Take(j.service.Name)
 }
 
-// leastLeft is the time below which another attempt cannot help.
-const leastLeft = 30 * time.Millisecond
+// minRemaining is the remaining time below which another attempt cannot succeed.
+const minRemaining = 30 * time.Millisecond
 
-// giveUp tells the caller how it ended.
-func (j *job) giveUp(ctx context.Context, failure *kept, res result) error {
+// giveUp ends a request for which no further attempt is made. It sends the caller the last failed response if there is
+// one, and returns an error otherwise.
+func (j *job) giveUp(ctx context.Context, failure *failedResponse, res result) error {
 	switch {
-	case j.begun:
-		return j.broken(ctx, res)
+	case j.headerSent:
+		return j.truncated(ctx, res)
 	case failure != nil:
-		j.begin(failure.status, failure.header, int64(len(failure.body)))
+		j.sendHeader(failure.status, failure.header, int64(len(failure.body)))
 		_ = j.out.Write(failure.body)
 		return nil
-	case errors.Is(ctx.Err(), context.DeadlineExceeded), j.over(ctx):
+	case errors.Is(ctx.Err(), context.DeadlineExceeded), j.deadlinePassed(ctx):
 		return j.timedOut()
 	case ctx.Err() != nil:
 		return verdict.New(j.verdict(), verdict.CodeCancelled, "the caller left")
-	case !j.ran && res == resultUnsent:
+	case !j.mayHaveRun && res == resultUnsent:
 		return j.noEndpoint()
-	case !j.ran:
-		return refuse(verdict.CodeEndpointRefused, "the endpoints did not run it", retryNow)
+	case !j.mayHaveRun:
+		return refuse(verdict.CodeEndpointRefused, "the endpoints did not run it", retryAfterShort)
 	}
 	return verdict.New(verdict.MayHaveRun, verdict.CodeEndpointFailed, "the endpoint's answer was lost")
 }
 
-// broken tells why an answer that has begun is not completed.
-func (j *job) broken(ctx context.Context, res result) error {
+// truncated returns the error for a response that has been started and cannot be completed.
+func (j *job) truncated(ctx context.Context, res result) error {
 	code, detail := verdict.CodeTruncated, "the endpoint broke its answer off, and nothing else could complete it"
 	switch {
-	case errors.Is(ctx.Err(), context.DeadlineExceeded), j.over(ctx):
+	case errors.Is(ctx.Err(), context.DeadlineExceeded), j.deadlinePassed(ctx):
 		code, detail = verdict.CodeTimeout, "the time was up in the middle of the answer"
-	case ctx.Err() != nil, res == resultLeft:
+	case ctx.Err() != nil, res == resultCallerLeft:
 		code, detail = verdict.CodeCancelled, "the caller left in the middle of the answer"
 	}
 	return verdict.New(verdict.Ran, code, detail, verdict.WithCause(ErrBroken))
 }
 
 func (j *job) timedOut() error {
-	if j.ran {
+	if j.mayHaveRun {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeTimeout, "the time was up before an answer came")
 	}
-	return refuse(verdict.CodeDeadline, "the time was up before an endpoint could run it", retryNow)
+	return refuse(verdict.CodeDeadline, "the time was up before an endpoint could run it", retryAfterShort)
 }
 
 func (j *job) verdict() verdict.Verdict {
-	if j.ran {
+	if j.mayHaveRun {
 		return verdict.MayHaveRun
 	}
 	return verdict.NotRun
 }
 
-// try sends the request to one endpoint and passes on what comes.
-func (j *job) try(ctx context.Context, lease *pool.Lease) (result, *kept) {
+// try makes one attempt: it sends the request to an endpoint and forwards the response.
+func (j *job) try(ctx context.Context, lease *pool.Lease) (result, *failedResponse) {
 	began := j.core.now()
 	events := j.events
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watch := j.watch(lease, cancel)
-	res, answer := j.exchange(ctx, lease, watch)
-	watch.stop()
-	if res == resultBroken && ctx.Err() != nil && !watch.stalled() {
-		res = resultLeft
+	dog := j.watch(lease, cancel)
+	res, failure := j.exchange(ctx, lease, dog)
+	dog.stop()
+	if res == resultBroken && ctx.Err() != nil && !dog.stalled() {
+		res = resultCallerLeft
 	}
-	if watch.stalled() {
-		j.core.Client.CloseIdle(lease.Endpoint().Addr) // other kept connections there may have fallen silent too
+	if dog.stalled() {
+		j.core.Client.CloseIdle(lease.Endpoint().Addr) // other idle connections to it may be dead too
 	}
-	lease.Done(endOf(res))
+	lease.Done(poolEnd(res))
 	j.outcome.Endpoints = append(j.outcome.Endpoints, AttemptOutcome{
 		Endpoint: lease.Endpoint().ID, Reason: string(lease.Reason()), SkipReason: string(lease.Kept()), Result: resultNames[res], At: began.Sub(j.req.Arrived),
-		ProcessExited: res == resultBroken && !watch.stalled() && j.sawEnd(lease, began, j.events > events),
+		ProcessExited: res == resultBroken && !dog.stalled() && j.recordExit(lease, began, j.events > events),
 	})
-	return res, answer
+	return res, failure
 }
 
 var resultNames = map[result]string{
 	resultDone: "done", resultUnsent: "unreachable", resultNotRun: "not-run", resultFailed: "failed", resultBroken: "broken",
-	resultLeft: "left", resultWithdrawn: "withdrawn",
+	resultCallerLeft: "left", resultWithdrawn: "withdrawn",
 }
 
-func endOf(res result) pool.End {
+func poolEnd(res result) pool.End {
 	switch res {
 	case resultDone:
 		return pool.EndGood
@@ -234,29 +236,29 @@
 		return pool.EndBusy
 	case resultWithdrawn:
 		return pool.EndUnsent
-	case resultLeft:
+	case resultCallerLeft:
 	}
 	return pool.EndNeutral
 }
 
-// exchange sends the request and reads the answer's head.
-func (j *job) exchange(ctx context.Context, lease *pool.Lease, watch *watchdog) (result, *kept) {
+// exchange sends the request, reads the response header, and forwards the response if it is acceptable.
+func (j *job) exchange(ctx context.Context, lease *pool.Lease, watch *watchdog) (result, *failedResponse) {
 	e := lease.Endpoint()
-	a := Attempt{Endpoint: e.ID, LastEventID: j.last}
+	a := Attempt{Endpoint: e.ID, LastEventID: j.lastEventID}
 	if a.LastEventID == "" {
 		a.LastEventID = j.req.LastEventID
 	}
 	if j.customer != nil {
 		a.Customer = j.customer.Name
 	}
-	if left, ok := j.left(); ok {
-		a.Remaining = max(left, time.Millisecond)
+	if remaining, ok := j.remaining(); ok {
+		a.Remaining = max(remaining, time.Millisecond)
 	}
-	out := j.core.Dialect.Outbound(j.req, a)
+	outbound := j.core.Dialect.Outbound(j.req, a)
 	sent := j.core.now()
-	out.OnDial = func(took time.Duration) { j.core.dialed(e.Zone, took) }
-	out.ShouldSend = lease.Wanted
-	res, err := j.core.Client.Do(ctx, e.Addr, out)
+	outbound.OnDial = func(took time.Duration) { j.core.onDial(e.Zone, took) }
+	outbound.ShouldSend = lease.Wanted
+	res, err := j.core.Client.Do(ctx, e.Addr, outbound)
 	switch {
 	case errors.Is(err, upstream.ErrWithdrawn):
 		return resultWithdrawn, nil
@@ -265,7 +267,7 @@
 	}
 	j.attempts++
 	if err != nil {
-		j.ran = true
+		j.mayHaveRun = true
 		return resultBroken, nil
 	}
 	defer func() { _ = res.Body.Close() }()
@@ -282,60 +284,61 @@
 		lease.Done(pool.EndMoved)
 		return resultNotRun, nil
 	case reading.NotRun:
-		_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, drainMost))
+		_, _ = io.Copy(io.Discard, io.LimitReader(res.Body, maxDrain))
 		return resultNotRun, nil
 	case !reading.Genuine:
-		j.ran = true
+		j.mayHaveRun = true
 		return resultBroken, nil
 	}
-	j.ran = true
-	if j.streams(res) {
-		return j.stream(res, watch, lease, sent), nil
+	j.mayHaveRun = true
+	if j.isStream(res) {
+		return j.relayStream(res, watch, lease, sent), nil
 	}
-	return j.whole(res, watch)
+	return j.relayBuffered(res, watch)
 }
 
-// drainMost is how much of an answer that nobody wants is read to keep its connection.
-const drainMost = 4 << 10
+// maxDrain limits how many bytes of an unneeded response are read so that its connection can be reused.
+const maxDrain = 4 << 10
 
-// mostWhole is the size in bytes up to which an answer is read before the caller sees any of it.
-const mostWhole = 256 << 10
+// maxBuffered is the size in bytes up to which a response is read completely before it is forwarded.
+const maxBuffered = 256 << 10
 
-// whole passes on an answer that is no stream. A failure may still be repeated, so it is kept.
-func (j *job) whole(res *upstream.Response, watch *watchdog) (result, *kept) {
-	body, err := io.ReadAll(io.LimitReader(res.Body, mostWhole))
+// relayBuffered forwards a response that is not a stream. It returns a server error instead of forwarding it, because the
+// request may still be retried.
+func (j *job) relayBuffered(res *upstream.Response, watch *watchdog) (result, *failedResponse) {
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxBuffered))
 	watch.received()
 	if err != nil {
 		return resultBroken, nil
 	}
-	if res.Length >= 0 && int64(len(body)) < min(res.Length, mostWhole) {
+	if res.Length >= 0 && int64(len(body)) < min(res.Length, maxBuffered) {
 		return resultBroken, nil
 	}
 	if res.Status >= http.StatusInternalServerError {
-		return resultFailed, &kept{status: res.Status, header: res.Header, body: body}
+		return resultFailed, &failedResponse{status: res.Status, header: res.Header, body: body}
 	}
-	j.wholeMetered = res.Status < http.StatusMultipleChoices
-	if len(body) < mostWhole {
-		j.begin(res.Status, res.Header, int64(len(body)))
+	j.billInFull = res.Status < http.StatusMultipleChoices
+	if len(body) < maxBuffered {
+		j.sendHeader(res.Status, res.Header, int64(len(body)))
 		if j.out.Write(body) != nil {
-			return resultLeft, nil
+			return resultCallerLeft, nil
 		}
 		return resultDone, nil
 	}
-	return j.long(res, body), nil
+	return j.relayUnbuffered(res, body), nil
 }
 
-// long passes on an answer that is too long to be read first.
-func (j *job) long(res *upstream.Response, first []byte) result {
-	j.begin(res.Status, res.Header, res.Length)
+// relayUnbuffered forwards a response that is too long to be buffered. first holds the bytes that have been read already.
+func (j *job) relayUnbuffered(res *upstream.Response, first []byte) result {
+	j.sendHeader(res.Status, res.Header, res.Length)
 	if j.out.Write(first) != nil {
-		return resultLeft
+		return resultCallerLeft
 	}
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferSize)
 	for {
 		n, err := res.Body.Read(buf)
 		if n > 0 && j.out.Write(buf[:n]) != nil {
-			return resultLeft
+			return resultCallerLeft
 		}
 		if errors.Is(err, io.EOF) {
 			return resultDone
@@ -346,4 +349,4 @@
 	}
 }
 
-const copyBuffer = 16 << 10
+const copyBufferSize = 16 << 10
--- a/internal/relay/endings.go
+++ b/internal/relay/endings.go
@@ -11,18 +11,20 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// endings finds out whether an endpoint's process has ended, once for all requests that broke off there at the same moment.
-type endings struct{ looks singleflight.Group }
-
-// look asks once for all that ask at the same moment.
-func (e *endings) look(what, addr string, f func(context.Context, string) bool) bool {
-	ended, _, _ := e.looks.Do(what+addr, func() (any, error) { return f(context.Background(), addr), nil })
-	return ended.(bool) //nolint:forcetypeassert // the function above returns nothing else
+// exitProber determines whether an endpoint's process has exited. Requests that are interrupted at the same endpoint at the
+// same time share one probe.
+type exitProber struct{ inFlight singleflight.Group }
+
+// probe calls f once for all concurrent calls of the same kind and address.
+func (e *exitProber) probe(kind, addr string, f func(context.Context, string) bool) bool {
+	exited, _, _ := e.inFlight.Do(kind+addr, func() (any, error) { return f(context.Background(), addr), nil })
+	return exited.(bool) //nolint:forcetypeassert // the function above returns nothing else
 }
 
-// ended looks whether the endpoint of an attempt that broke off has ended with it. An endpoint whose planned end is known proves nothing.
-// What a first look does not show is looked for again beside the request, and told by late.
-func (j *job) ended(lease *pool.Lease, late func()) bool {
+// endpointExited reports whether the endpoint of an interrupted attempt has exited. An endpoint whose planned stop is known
+// does not count. If a first probe does not detect an exit, further probes run in the background, and onDelayed is called
+// if one of them does.
+func (j *job) endpointExited(lease *pool.Lease, onDelayed func()) bool {
 	switch lease.Fate() {
 	case pool.FateLeaving:
 		return false
@@ -31,35 +33,36 @@
 	case pool.FateUnknown:
 	}
 	addr := lease.Endpoint().Addr
-	if j.core.endings.look("now ", addr, j.core.Client.Refused) {
+	if j.core.exits.probe("now ", addr, j.core.Client.Refused) {
 		return true
 	}
 	go func() {
-		if j.core.endings.look("soon ", addr, j.core.Client.RefusedSoon) {
-			late()
+		if j.core.exits.probe("soon ", addr, j.core.Client.RefusedSoon) {
+			onDelayed()
 		}
 	}()
 	return false
 }
 
-// sawEnd notes whether the endpoint of an attempt that broke off has ended with it. events reports whether the attempt had passed events on.
-func (j *job) sawEnd(lease *pool.Lease, began time.Time, events bool) bool {
+// recordExit reports whether the endpoint of an interrupted attempt has exited, and records the exit for the quarantine.
+// events reports whether the attempt had forwarded events.
+func (j *job) recordExit(lease *pool.Lease, began time.Time, events bool) bool {
 	digest, customer, endpoint := j.digest(), j.outcome.Customer, lease.Endpoint()
 	j.outcome.Digest = digest.String()
 	end := quarantine.End{Run: endpoint.Run(), Began: began, Ended: j.core.now(), Events: events}
-	ended := j.ended(lease, func() {
+	exited := j.endpointExited(lease, func() {
 		j.core.suspects.Ended(digest, customer, end)
-		j.core.late(DelayedExit{Digest: digest.String(), Endpoint: endpoint.ID})
+		j.core.onDelayedExit(DelayedExit{Digest: digest.String(), Endpoint: endpoint.ID})
 	})
-	if ended {
+	if exited {
 		j.core.suspects.Ended(digest, customer, end)
 	}
-	return ended
+	return exited
 }
 
-// enter refuses a request at once that several endpoints did not outlive, before anything is reserved for it. Each further run would break off
-// all else that its endpoint runs.
-func (j *job) enter() error {
+// checkQuarantine rejects a request during whose runs several endpoints have exited, before tokens are reserved for it.
+// Each further run might interrupt all other requests at its endpoint.
+func (j *job) checkQuarantine() error {
 	if !j.core.suspects.Suspects(j.outcome.Customer) {
 		return nil
 	}
@@ -67,65 +70,67 @@
 	switch decision {
 	case quarantine.Refuse:
 		j.outcome.Digest = j.digest().String()
-		return refuse(verdict.CodeQuarantined, heldDetail, after)
+		return refuse(verdict.CodeQuarantined, quarantinedDetail, after)
 	case quarantine.Wait:
 		j.outcome.Digest = j.digest().String()
-		return refuse(verdict.CodeQuarantined, "the endpoints that ran this request before have ended, and another run of it is under way", retrySoon)
+		return refuse(verdict.CodeQuarantined, "the endpoints that ran this request before have ended, and another run of it is under way", retryAfterLong)
 	case quarantine.Run:
 	}
-	j.entered = true
+	j.suspectAdmitted = true
 	return nil
 }
 
-const heldDetail = "several endpoints ended while they ran this request before; it is kept from the others for a while and has not run this time"
+const quarantinedDetail = "several endpoints ended while they ran this request before; it is kept from the others for a while and has not run this time"
 
-func (j *job) leave() {
-	if j.entered {
+func (j *job) leaveQuarantine() {
+	if j.suspectAdmitted {
 		j.core.suspects.Leave(j.digest())
 	}
 }
 
-// heldMeanwhile reports whether a request that was let in is kept back by now: it waited for its budget, or for its second attempt.
-func (j *job) heldMeanwhile() bool {
+// quarantinedMeanwhile reports whether a request was quarantined after it was admitted, while it waited for its budget or
+// for a second attempt.
+func (j *job) quarantinedMeanwhile() bool {
 	return j.core.suspects.Suspects(j.outcome.Customer) && j.core.suspects.Held(j.digest())
 }
 
-// giveUpHeld tells the caller that the request does not go to another endpoint.
-func (j *job) giveUpHeld(ctx context.Context, failure *kept) error {
+// giveUpQuarantined ends a request that was quarantined after it was admitted.
+func (j *job) giveUpQuarantined(ctx context.Context, failure *failedResponse) error {
 	j.outcome.Digest = j.digest().String()
-	if !j.ran && !j.begun && failure == nil {
-		return refuse(verdict.CodeQuarantined, heldDetail, retrySoon)
+	if !j.mayHaveRun && !j.headerSent && failure == nil {
+		return refuse(verdict.CodeQuarantined, quarantinedDetail, retryAfterLong)
 	}
 	return j.giveUp(ctx, failure, resultBroken)
 }
 
-// lone reports whether only its caller may send a request again: two endpoints in a row did not outlive it.
-func (j *job) lone() bool {
+// onlyCallerMayRetry reports whether the request is no longer retried here, because two endpoints in a row have exited
+// while running it.
+func (j *job) onlyCallerMayRetry() bool {
 	return j.core.suspects.Suspects(j.outcome.Customer) && j.core.suspects.Lone(j.digest())
 }
 
-// endedWell clears a request of suspicion.
-func (j *job) endedWell() {
+// clearSuspicion records that the request ran to its end, which clears it of suspicion.
+func (j *job) clearSuspicion() {
 	if j.core.suspects.Suspects(j.outcome.Customer) {
 		j.core.suspects.Well(j.digest())
 	}
 }
 
-// DelayedExit reports that an endpoint was seen to have ended only after the request that broke off there had been told of.
+// DelayedExit reports an exit of an endpoint that was detected after the outcome of the interrupted request was reported.
 type DelayedExit struct {
 	Digest   string // of the request
 	Endpoint string
 }
 
-// digest names the request by what it asks, whatever its ID.
+// digest identifies the request by its content, regardless of its ID.
 func (j *job) digest() quarantine.Digest {
-	if j.known == nil {
+	if j.cachedDigest == nil {
 		customer := ""
 		if j.customer != nil {
 			customer = j.customer.Name
 		}
 		p := quarantine.Of(customer, j.req.Method, j.req.Host, j.req.Target, j.req.Body)
-		j.known = &p
+		j.cachedDigest = &p
 	}
-	return *j.known
+	return *j.cachedDigest
 }
--- a/internal/relay/late_test.go
+++ b/internal/relay/late_test.go
@@ -10,17 +10,17 @@
 )
 
 func TestLateness(t *testing.T) {
-	Convey("An answer is judged by its route's objective and longest pause", t, func() {
+	Convey("The lateness of a response depends on its route's targets for latency and pauses", t, func() {
 		now := time.Unix(1000, 0)
 		j := &job{core: New(Deps{}, WithNow(func() time.Time { return now })), route: &route.Route{Objective: time.Second, Gap: 500 * time.Millisecond}}
 		So(j.lateness(), ShouldEqual, NotLate)
-		j.begun = true
+		j.headerSent = true
 		for _, gap := range []time.Duration{0, 100 * time.Millisecond, 600 * time.Millisecond, 20 * time.Millisecond} {
 			now = now.Add(gap)
-			j.received("7")
+			j.recordEvent("7")
 		}
 		So(j.events, ShouldEqual, 4)
-		So(j.last, ShouldEqual, "7")
+		So(j.lastEventID, ShouldEqual, "7")
 		So(j.outcome.MaxPause, ShouldEqual, 600*time.Millisecond)
 		So(j.lateness(), ShouldEqual, LatePause)
 		j.outcome.FirstByte = 2 * time.Second
--- a/internal/relay/overdue.go
+++ b/internal/relay/overdue.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// overdue knows the requests under way that have an end. Timers stand still while the machine is suspended, so it ends those whose time was up
-// by then. Its zero value knows none.
-type overdue struct {
+// deadlineTracker holds the requests in progress that have a deadline. Timers do not advance while the machine is suspended,
+// so after a suspension it cancels the requests whose deadlines have passed. Its zero value is empty and ready to use.
+type deadlineTracker struct {
 	mu   sync.Mutex
 	jobs map[*job]context.CancelFunc
 }
 
-// add takes a request; the function that it returns takes it out.
-func (o *overdue) add(j *job, cancel context.CancelFunc) (done func()) {
+// add adds a request. The returned function removes it.
+func (o *deadlineTracker) add(j *job, cancel context.CancelFunc) (done func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.jobs == nil {
@@ -28,21 +28,21 @@
 	}
 }
 
-// end ends the requests whose time is up.
-func (o *overdue) end(now time.Time) {
+// cancelExpired cancels the requests whose deadlines have passed.
+func (o *deadlineTracker) cancelExpired(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for j, cancel := range o.jobs {
-		if !now.Before(j.end) {
+		if !now.Before(j.deadline) {
 			cancel()
 		}
 	}
 }
 
-// CancelExpired ends the requests whose time is up by now, however long their timers still have.
-func (c *Core) CancelExpired() { c.overdue.end(c.now()) }
+// CancelExpired cancels the requests whose deadlines have passed, even if their timers have not fired yet.
+func (c *Core) CancelExpired() { c.deadlines.cancelExpired(c.now()) }
 
-// over reports whether a request ended because its time was up.
-func (j *job) over(ctx context.Context) bool {
-	return ctx.Err() != nil && !j.end.IsZero() && !j.core.now().Before(j.end)
+// deadlinePassed reports whether a request was cancelled because its deadline has passed.
+func (j *job) deadlinePassed(ctx context.Context) bool {
+	return ctx.Err() != nil && !j.deadline.IsZero() && !j.core.now().Before(j.deadline)
 }
--- a/internal/relay/overdue_test.go
+++ b/internal/relay/overdue_test.go
@@ -10,35 +10,35 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// The timers of requests stand still while the machine is suspended.
-func TestEndOverdue(t *testing.T) {
-	Convey("Of the requests under way those end whose time was up while the machine was suspended", t, func() {
+// Timers of requests do not advance while the machine is suspended, so CancelExpired must enforce the deadlines.
+func TestCancelExpired(t *testing.T) {
+	Convey("Requests whose deadlines passed while the machine was suspended are cancelled", t, func() {
 		now := time.Unix(1000, 0)
 		c := New(Deps{}, WithNow(func() time.Time { return now }))
-		short := &job{core: c, req: &Request{}, end: now.Add(2 * time.Second)}
-		long := &job{core: c, req: &Request{}, end: now.Add(20 * time.Second)}
+		short := &job{core: c, req: &Request{}, deadline: now.Add(2 * time.Second)}
+		long := &job{core: c, req: &Request{}, deadline: now.Add(20 * time.Second)}
 		ctxShort, cancelShort := context.WithCancel(context.Background())
 		ctxLong, cancelLong := context.WithCancel(context.Background())
 		defer cancelShort()
 		defer cancelLong()
-		doneShort, doneLong := c.overdue.add(short, cancelShort), c.overdue.add(long, cancelLong)
+		doneShort, doneLong := c.deadlines.add(short, cancelShort), c.deadlines.add(long, cancelLong)
 		now = now.Add(8 * time.Second)
 		c.CancelExpired()
 		So(ctxShort.Err(), ShouldNotBeNil)
 		So(ctxLong.Err(), ShouldBeNil)
 
-		Convey("and are told that their time was up, not that their callers left", func() {
-			So(verdict.From(short.giveUp(ctxShort, nil, resultLeft)).Code(), ShouldEqual, verdict.CodeDeadline)
-			short.ran = true
-			So(verdict.From(short.giveUp(ctxShort, nil, resultLeft)).Code(), ShouldEqual, verdict.CodeTimeout)
+		Convey("and end with a deadline error, not as if their callers had disconnected", func() {
+			So(verdict.From(short.giveUp(ctxShort, nil, resultCallerLeft)).Code(), ShouldEqual, verdict.CodeDeadline)
+			short.mayHaveRun = true
+			So(verdict.From(short.giveUp(ctxShort, nil, resultCallerLeft)).Code(), ShouldEqual, verdict.CodeTimeout)
 			cancelLong()
-			So(verdict.From(long.giveUp(ctxLong, nil, resultLeft)).Code(), ShouldEqual, verdict.CodeCancelled)
+			So(verdict.From(long.giveUp(ctxLong, nil, resultCallerLeft)).Code(), ShouldEqual, verdict.CodeCancelled)
 		})
 
-		Convey("and those that have ended are forgotten", func() {
+		Convey("and requests that have ended are removed", func() {
 			doneShort()
 			doneLong()
-			So(c.overdue.jobs, ShouldBeEmpty)
+			So(c.deadlines.jobs, ShouldBeEmpty)
 		})
 	})
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -1,5 +1,6 @@
-// Package relay carries one request from its caller to an endpoint and its answer back: who pays, whether it may run, where it
-// runs, when it is sent again, and what the caller is told. It does not know which protocol asked: dialects translate.
+// Package relay forwards requests from callers to endpoints and the responses back. It determines the customer that pays,
+// admits or rejects a request, picks endpoints, retries, and reports the outcome to the caller. It is independent of the
+// protocol: a Dialect translates requests and responses.
 package relay
 
 import (
@@ -12,32 +13,33 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// Part is a piece of a prompt that other requests may share.
+// Part is a part of a prompt that other requests may share.
 type Part struct {
 	ID     string
 	Tokens int64
 }
 
-// Request is a caller's request, read whole.
+// Request is a caller's request with its complete body.
 type Request struct {
 	ID          string
 	Method      string
-	Target      string // path and query as the caller wrote them
+	Target      string // path and query as the caller sent them
 	Path        string
 	Host        string
-	Header      http.Header // what goes on to the endpoint, without what the instance sets itself
+	Header      http.Header // fields to forward to the endpoint, without those that the instance sets itself
 	Body        []byte
 	Key         string
-	Deadline    time.Duration // from Arrived; 0: the caller names none
+	Deadline    time.Duration // relative to Arrived; 0: the caller states none
 	Arrived     time.Time
 	TokensIn    int64
-	TokensOut   int64 // the most that may come
-	Metered     bool  // the token counts were given
+	TokensOut   int64 // maximum number of output tokens
+	Metered     bool  // the caller stated token counts
 	Parts       []Part
-	LastEventID string // the last event that the caller has; empty: none
+	LastEventID string // last event that the caller has received; empty: none
 }
 
-// AffinityKey is the part of the prompt by which requests find each other's memory: the last that others share.
+// AffinityKey returns the ID of the last part of the prompt that other requests share. Requests with the same key are sent
+// to the same endpoint, which then has the shared parts in its prompt cache.
 func (r *Request) AffinityKey() string {
 	switch n := len(r.Parts); n {
 	case 0:
@@ -49,7 +51,7 @@
 	}
 }
 
-// SharedTokens is the number of tokens up to and with the last part that others share.
+// SharedTokens returns the number of tokens in the parts of the prompt that other requests share: all but the last part.
 func (r *Request) SharedTokens() int64 {
 	var n int64
 	for i := range len(r.Parts) - 1 {
@@ -58,41 +60,41 @@
 	return n
 }
 
-// Attempt is one sending of a request to an endpoint.
+// Attempt holds the parameters of one attempt to run a request at an endpoint.
 type Attempt struct {
 	Endpoint    string // the endpoint's ID
-	Customer    string // empty: none pays
+	Customer    string // empty: no customer is billed
 	Remaining   time.Duration
-	LastEventID string // the last event that was passed on; empty: none
+	LastEventID string // last event that the caller has received; empty: none
 }
 
-// Reading is what an endpoint's answer reports of itself.
+// Reading is the interpretation of an endpoint's response header.
 type Reading struct {
-	Genuine bool // it answers this request, and an endpoint has signed it
+	Genuine bool // the response belongs to this request and is signed by an endpoint
 	NotRun  bool // the endpoint reports that it did not run the request
-	Moved   bool // it comes from another endpoint than the one meant
+	Moved   bool // the response comes from a different endpoint than the intended one
 	Notice  pool.Notice
 }
 
-// Dialect writes requests for endpoints and reads their answers.
+// Dialect translates requests and responses between relay and the protocol of the endpoints.
 type Dialect interface {
-	// Outbound is the request as it is sent in one attempt.
+	// Outbound returns the request to send in an attempt.
 	Outbound(r *Request, a Attempt) *upstream.Request
-	// Read judges an answer's head.
+	// Read interprets the header of a response.
 	Read(r *Request, res *upstream.Response) Reading
-	// ResponseHeader is the header that the caller gets of an endpoint's answer.
+	// ResponseHeader returns the header to send to the caller for the header of an endpoint's response.
 	ResponseHeader(h http.Header) http.Header
 }
 
-// Sink is where a caller's answer goes.
+// Sink receives the response for the caller.
 type Sink interface {
-	// Begin sends the head. length is the body's, -1 where it is not known.
+	// Begin sends the response header. length is the length of the body, or -1 if it is unknown.
 	Begin(status int, header http.Header, length int64)
-	// Write sends a piece of the body at once.
+	// Write sends a piece of the body without delay.
 	Write(p []byte) error
 }
 
-// Outcome tells how a request ended, for logs and metrics.
+// Outcome describes how a request ended, for logs and metrics.
 type Outcome struct {
 	Request   *Request
 	Route     string
@@ -108,37 +110,38 @@
 	Endpoints []AttemptOutcome
 	Events    int64
 	Used      int64         // tokens
-	Reserved  int64         // tokens that were asked for, or refused
-	Budget    escrow.View   // after that
-	FirstByte time.Duration // until the answer's first byte; 0: none came
-	MaxPause  time.Duration // the longest between two events of a stream
-	Late      Lateness      // against the route's objective and its longest pause
+	Reserved  int64         // tokens whose reservation was requested, whether granted or refused
+	Budget    escrow.View   // after the reservation
+	FirstByte time.Duration // time until the first byte of the response; 0: none was received
+	MaxPause  time.Duration // longest pause between two events of a stream
+	Late      Lateness      // compared with the route's latency targets
 	Total     time.Duration
-	// Digest names the request by what it asks, whatever its ID; empty where no attempt broke off.
+	// Digest identifies the request by its content, regardless of its ID. It is empty unless an attempt was interrupted or the
+	// request was quarantined.
 	Digest string
 }
 
-// Lateness reports what of an answer came later than its route wants it.
+// Lateness states which latency target of its route a response missed.
 type Lateness string
 
-// What may be late. An answer whose first event is late is not judged by its pauses.
+// Missed targets. If the first event is late, pauses are not considered.
 const (
 	NotLate   Lateness = ""
-	LateFirst Lateness = "first" // the answer, or its first event
-	LatePause Lateness = "pause" // an event in the middle of a stream
+	LateFirst Lateness = "first" // the response, or its first event
+	LatePause Lateness = "pause" // a later event of a stream
 )
 
-// AttemptOutcome is one attempt in an Outcome.
+// AttemptOutcome describes one attempt in an Outcome.
 type AttemptOutcome struct {
 	Endpoint      string
 	Reason        string
-	SkipReason    string // why the endpoint before it in the order of affinity got no work; empty: it is the first, or has work
+	SkipReason    string // why the first endpoint by affinity got no work; empty: it was not skipped
 	Result        string
 	At            time.Duration // since the request arrived
-	ProcessExited bool          // the attempt broke off, and the endpoint's process had ended
+	ProcessExited bool          // the attempt was interrupted, and the endpoint's process had exited
 }
 
-// Validate checks what every request needs. The error is a verdict.
+// Validate checks the fields that every request must have. The error is a verdict.
 func (r *Request) Validate() error {
 	if r.ID == "" {
 		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the request has no ID")
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -16,16 +16,16 @@
 	"github.com/ledgemount/ledgemount/internal/upstream"
 )
 
-// eventStream is the media type of a stream of events.
+// eventStream is the media type of server-sent events.
 const eventStream = "text/event-stream"
 
-// mostEvent is the longest event that is passed on, in bytes.
-const mostEvent = 1 << 20
+// maxEventBytes is the maximum size of an event in a stream.
+const maxEventBytes = 1 << 20
 
-var errLongEvent = errors.New("an event is too long")
+var errEventTooLong = errors.New("event too long")
 
-// streams reports whether an answer is a stream of events.
-func (j *job) streams(res *upstream.Response) bool {
+// isStream reports whether a response is a stream of events.
+func (j *job) isStream(res *upstream.Response) bool {
 	if j.route.Kind != route.Streaming || res.Status != http.StatusOK {
 		return false
 	}
@@ -33,55 +33,56 @@
 	return err == nil && kind == eventStream
 }
 
-// stream passes events on as they come, only whole ones. sent is when the request went to the endpoint.
-func (j *job) stream(res *upstream.Response, watch *watchdog, lease *pool.Lease, sent time.Time) result {
+// relayStream forwards each event of a stream once it has arrived completely. sent is the time at which the request was
+// sent to the endpoint.
+func (j *job) relayStream(res *upstream.Response, watch *watchdog, lease *pool.Lease, sent time.Time) result {
 	r := bufio.NewReader(res.Body)
 	var event []byte
 	for {
 		var err error
 		event, err = readEvent(r, event[:0])
 		if errors.Is(err, io.EOF) && len(event) == 0 {
-			j.begin(res.Status, res.Header, -1)
+			j.sendHeader(res.Status, res.Header, -1)
 			return resultDone
 		}
 		if err != nil {
 			return resultBroken
 		}
 		watch.received()
-		watch.begin()
-		if j.heard.IsZero() {
+		watch.noteFirstEvent()
+		if j.lastEventAt.IsZero() {
 			lease.First(j.req.TokensIn, j.core.now().Sub(sent))
 		}
 		id := eventID(event)
-		j.begin(res.Status, res.Header, -1)
-		j.received(id)
+		j.sendHeader(res.Status, res.Header, -1)
+		j.recordEvent(id)
 		if j.out.Write(event) != nil {
-			return resultLeft
+			return resultCallerLeft
 		}
 	}
 }
 
-// received notes an event, by its ID if it has one.
-func (j *job) received(id string) {
+// recordEvent updates the longest pause, and counts the event if it has an ID.
+func (j *job) recordEvent(id string) {
 	now := j.core.now()
-	if !j.heard.IsZero() {
-		j.outcome.MaxPause = max(j.outcome.MaxPause, now.Sub(j.heard))
+	if !j.lastEventAt.IsZero() {
+		j.outcome.MaxPause = max(j.outcome.MaxPause, now.Sub(j.lastEventAt))
 	}
-	j.heard = now
+	j.lastEventAt = now
 	if id != "" {
 		j.events++
-		j.last = id
+		j.lastEventID = id
 	}
 }
 
-// readEvent appends the next event, with the empty line that ends it. io.EOF with no bytes is the end of the stream; bytes
-// without an end are an event that was cut off.
+// readEvent appends the next event to event, including the empty line that terminates it. io.EOF without any bytes is the
+// end of the stream; an error with bytes means that the event was truncated.
 func readEvent(r *bufio.Reader, event []byte) ([]byte, error) {
 	for {
 		line, err := r.ReadSlice('\n')
 		event = append(event, line...)
-		if len(event) > mostEvent {
-			return event, errLongEvent
+		if len(event) > maxEventBytes {
+			return event, errEventTooLong
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
@@ -99,7 +100,7 @@
 
 var idField = []byte("id:")
 
-// eventID finds the ID in an event.
+// eventID returns the ID of an event, or "" if it has none.
 func eventID(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if rest, ok := bytes.CutPrefix(line, idField); ok {
@@ -109,76 +110,79 @@
 	return ""
 }
 
-// watchdog ends an attempt whose endpoint has fallen silent, where the request may go on elsewhere.
+// watchdog cancels an attempt whose endpoint has become silent, if the request may be retried at another endpoint.
 type watchdog struct {
-	lease *pool.Lease
-	now   func() time.Time
-	first time.Duration // how long the endpoint may be silent before the first event
-	later time.Duration // and after it
-	since time.Time     // the watch began
-	last  atomic.Int64  // when something was heard, in nanoseconds since then
-	begun atomic.Bool
-	fired atomic.Bool
+	lease          *pool.Lease
+	now            func() time.Time
+	firstTimeout   time.Duration // maximum silence before the first event
+	laterTimeout   time.Duration // maximum silence after the first event
+	started        time.Time     // when the attempt started
+	lastReceived   atomic.Int64  // when data was last received, in nanoseconds since started
+	firstEventSeen atomic.Bool
+	expired        atomic.Bool
 
 	mu    sync.Mutex
-	timer *time.Timer // nil: it is over, or was never needed
+	timer *time.Timer // nil: stopped, or never started
 }
 
-// watch starts a watchdog; for a request that may not be repeated it only notes what is heard.
+// watch returns a watchdog for an attempt. If the request cannot be retried, the watchdog only records received data and
+// cancels nothing.
 func (j *job) watch(lease *pool.Lease, cancel func()) *watchdog {
 	w := &watchdog{
-		lease: lease, now: j.core.now, first: max(j.core.stall, lease.Patience()), later: max(j.core.stall, stallGaps*j.route.Gap),
-		since: j.core.now(),
+		lease: lease, now: j.core.now, firstTimeout: max(j.core.stallTimeout, lease.Patience()), laterTimeout: max(j.core.stallTimeout, stallGapFactor*j.route.Gap),
+		started: j.core.now(),
 	}
 	if !j.route.Repeatable() || j.attempts+1 >= j.route.MaxAttempts {
 		return w
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(w.first, func() { w.check(cancel) })
+	w.timer = time.AfterFunc(w.firstTimeout, func() { w.check(cancel) })
 	return w
 }
 
-// stallGaps is how many times the longest pause that is in time a stream may rest: going on elsewhere means reading the prompt again.
-const stallGaps = 3
+// stallGapFactor times the target for pauses is how long a stream may pause before it is resumed at another endpoint. That
+// endpoint must process the prompt again, so shorter delays are better waited out.
+const stallGapFactor = 3
 
-// limit is how long the endpoint may be silent now.
-func (w *watchdog) limit() time.Duration {
-	if w.begun.Load() {
-		return w.later
+// timeout returns how long the endpoint may currently be silent.
+func (w *watchdog) timeout() time.Duration {
+	if w.firstEventSeen.Load() {
+		return w.laterTimeout
 	}
-	return w.first
+	return w.firstTimeout
 }
 
-// begin notes the first event.
-func (w *watchdog) begin() { w.begun.Store(true) }
+// noteFirstEvent records that the first event was received.
+func (w *watchdog) noteFirstEvent() { w.firstEventSeen.Store(true) }
 
-// check ends the attempt if the endpoint says nothing, to this request nor to any other of this instance.
+// check cancels the attempt if the endpoint has been silent for too long, both to this request and to all others of this
+// instance.
 func (w *watchdog) check(cancel func()) {
-	stall := w.limit()
+	timeout := w.timeout()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.timer == nil {
 		return
 	}
-	quiet := w.now().Sub(w.since) - time.Duration(w.last.Load())
-	if quiet >= stall && w.lease.Silent() {
-		w.fired.Store(true)
+	silence := w.now().Sub(w.started) - time.Duration(w.lastReceived.Load())
+	if silence >= timeout && w.lease.Silent() {
+		w.expired.Store(true)
 		cancel()
 		return
 	}
-	w.timer.Reset(max(stall-quiet, stall/watchSteps))
+	w.timer.Reset(max(timeout-silence, timeout/checksPerStall))
 }
 
-// watchSteps is how many times a silence is looked at again within the length of a stall.
-const watchSteps = 4
+// checksPerStall limits how often silence is checked within one timeout.
+const checksPerStall = 4
 
 func (w *watchdog) received() {
-	w.last.Store(int64(w.now().Sub(w.since)))
+	w.lastReceived.Store(int64(w.now().Sub(w.started)))
 	w.lease.Received()
 }
 
-func (w *watchdog) stalled() bool { return w.fired.Load() }
+func (w *watchdog) stalled() bool { return w.expired.Load() }
 
 func (w *watchdog) stop() {
 	w.mu.Lock()
--- a/internal/relay/turns.go
+++ b/internal/relay/turns.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// turns gives callers that are refused because endpoints take only some requests a second each a turn of its own: told the same time, all of them
-// would come back at once, for one place.
-type turns struct {
+// retrySchedule assigns a separate retry slot to each caller that is rejected because of the endpoints' rate limits. If
+// all got the same delay, they would retry at the same moment, and only one of them could be served.
+type retrySchedule struct {
 	mu   sync.Mutex
-	last map[string]time.Time // the last turn that was given, by service
+	last map[string]time.Time // the last slot that was assigned, by service
 }
 
 const (
-	mostTurn  = 10 * time.Second // callers do not wait for longer
-	leastRate = 0.1              // requests a second, where this instance may send none for now
+	maxRetryDelay = 10 * time.Second // callers do not wait longer than this
+	minRate       = 0.1              // requests per second, used if this instance may currently send none
 )
 
-// next is how long the next caller has to wait for its turn, where so many have one each second.
-func (t *turns) next(service string, perSecond float64, now time.Time) time.Duration {
-	step := time.Duration(float64(time.Second) / max(leastRate, perSecond))
+// next returns the delay until the next caller's slot, if there are perSecond slots per second.
+func (t *retrySchedule) next(service string, perSecond float64, now time.Time) time.Duration {
+	interval := time.Duration(float64(time.Second) / max(minRate, perSecond))
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.last == nil {
 		t.last = make(map[string]time.Time)
 	}
-	turn := now
+	slot := now
 	if t.last[service].After(now) {
-		turn = t.last[service]
+		slot = t.last[service]
 	}
-	if turn = turn.Add(step); turn.Sub(now) > mostTurn {
-		return mostTurn
+	if slot = slot.Add(interval); slot.Sub(now) > maxRetryDelay {
+		return maxRetryDelay
 	}
-	t.last[service] = turn
-	return turn.Sub(now)
+	t.last[service] = slot
+	return slot.Sub(now)
 }
--- a/internal/relay/turns_test.go
+++ b/internal/relay/turns_test.go
@@ -7,31 +7,31 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestTurns(t *testing.T) {
-	Convey("Callers for whom endpoints have no place", t, func() {
+func TestRetrySchedule(t *testing.T) {
+	Convey("Callers that are rejected because of rate limits", t, func() {
 		now := time.Unix(1000, 0)
-		var turns turns
+		var schedule retrySchedule
 
-		Convey("come back one after the other, as fast as places come", func() {
+		Convey("retry one after the other, at the rate of the endpoints", func() {
 			for i := range 20 {
-				So(turns.next("s", 2, now), ShouldEqual, time.Duration(i+1)*500*time.Millisecond)
+				So(schedule.next("s", 2, now), ShouldEqual, time.Duration(i+1)*500*time.Millisecond)
 			}
 		})
-		Convey("wait for 10 s at most, and take no turns that are later", func() {
+		Convey("wait for 10 s at most, and occupy no later slots", func() {
 			for range 1000 {
-				So(turns.next("s", 2, now), ShouldBeLessThanOrEqualTo, mostTurn)
+				So(schedule.next("s", 2, now), ShouldBeLessThanOrEqualTo, maxRetryDelay)
 			}
 			now = now.Add(5 * time.Second)
-			So(turns.next("s", 2, now), ShouldEqual, 5500*time.Millisecond)
+			So(schedule.next("s", 2, now), ShouldEqual, 5500*time.Millisecond)
 		})
-		Convey("have no turn in the past, and other services have turns of their own", func() {
-			turns.next("s", 2, now)
+		Convey("get no slots in the past, and each service has its own slots", func() {
+			schedule.next("s", 2, now)
 			now = now.Add(time.Minute)
-			So(turns.next("s", 2, now), ShouldEqual, 500*time.Millisecond)
-			So(turns.next("other", 4, now), ShouldEqual, 250*time.Millisecond)
+			So(schedule.next("s", 2, now), ShouldEqual, 500*time.Millisecond)
+			So(schedule.next("other", 4, now), ShouldEqual, 250*time.Millisecond)
 		})
-		Convey("are told a time too where this instance may send nothing now", func() {
-			So(turns.next("s", 0, now), ShouldEqual, mostTurn)
+		Convey("get the maximum delay if this instance may currently send nothing", func() {
+			So(schedule.next("s", 0, now), ShouldEqual, maxRetryDelay)
 		})
 	})
 }
