--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -10,21 +10,22 @@
 	"time"
 )
 
-// exchange is one request and its answer on one connection.
+// exchange is one request and its response on one connection.
 type exchange struct {
-	client *Client
-	conn   *conn
-	stop   func() bool
-	sent   atomic.Bool // the whole request is written
-	done   atomic.Bool
-	header http.Header
-	closes bool // the endpoint ends the connection with this answer
+	client     *Client
+	conn       *conn
+	stopWatch  func() bool
+	sent       atomic.Bool // the request has been written completely
+	done       atomic.Bool
+	header     http.Header
+	closeAfter bool // the endpoint closes the connection after this response
 }
 
-// errFraming reports that an answer's length is not to be trusted.
-var errFraming = errors.New("the answer's framing is not valid")
+// errFraming reports a response whose length is ambiguous.
+var errFraming = errors.New("invalid framing of the response")
 
-// send writes the request. A long body goes out beside the reading of the answer, which may come early.
+// send writes the request. A long body is written concurrently with reading the response, which may arrive before the
+// whole body is sent.
 func (x *exchange) send(req *Request) {
 	var head bytes.Buffer
 	head.Grow(512)
@@ -34,7 +35,7 @@
 	}
 	_ = req.Header.Write(&head)
 	head.WriteString("\r\n")
-	if len(req.Body) <= inlineBody {
+	if len(req.Body) <= maxInlineBody {
 		head.Write(req.Body)
 		x.write(head.Bytes())
 		x.sent.Store(true)
@@ -52,8 +53,8 @@
 	return err == nil
 }
 
-// head reads the answer's head, past interim answers.
-func (x *exchange) head(method string) (*Response, error) {
+// readHeader reads the header of the response and skips interim (1xx) responses.
+func (x *exchange) readHeader(method string) (*Response, error) {
 	for {
 		res, err := http.ReadResponse(x.conn.br, &http.Request{Method: method})
 		if err != nil {
@@ -65,37 +66,38 @@
 		if len(res.Header.Values("Content-Length")) > 1 {
 			return nil, errFraming
 		}
-		x.header, x.closes = res.Header, res.Close
+		x.header, x.closeAfter = res.Header, res.Close
 		body := &body{exchange: x, src: res.Body}
 		return &Response{Status: res.StatusCode, Header: res.Header, Length: res.ContentLength, Body: body}, nil
 	}
 }
 
-// drop ends the exchange and its connection.
-func (x *exchange) drop() {
+// abort ends the exchange and closes its connection.
+func (x *exchange) abort() {
 	if x.done.CompareAndSwap(false, true) {
-		x.stop()
+		x.stopWatch()
 		_ = x.conn.Close()
 	}
 }
 
-// finish ends the exchange after a whole answer and keeps the connection if nothing speaks against it.
+// finish ends the exchange after a complete response. It keeps the connection for reuse unless the request is not fully
+// sent, the endpoint closes the connection, or surplus data has arrived.
 func (x *exchange) finish() {
-	if !x.sent.Load() || x.closes || x.conn.br.Buffered() > 0 {
-		x.drop()
+	if !x.sent.Load() || x.closeAfter || x.conn.br.Buffered() > 0 {
+		x.abort()
 		return
 	}
 	if !x.done.CompareAndSwap(false, true) {
 		return
 	}
-	if !x.stop() {
+	if !x.stopWatch() {
 		_ = x.conn.Close()
 		return
 	}
 	x.client.put(x.conn, x.header)
 }
 
-// body reads an answer's body and ends the exchange with it.
+// body reads the body of a response and ends the exchange at its end.
 type body struct {
 	exchange *exchange
 	src      io.Reader
@@ -115,19 +117,19 @@
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept only if the body was read to its end.
+// Close ends the exchange. The connection is reused only if the body was read to its end.
 func (b *body) Close() error {
-	b.exchange.drop()
+	b.exchange.abort()
 	return nil
 }
 
-// quiet reports whether an idle connection is still open and has received nothing.
-func (c *conn) quiet() bool {
+// isIdle reports whether a pooled connection is still open and has no unread data.
+func (c *conn) isIdle() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
 	if err := c.SetDeadline(time.Time{}); err != nil {
 		return false
 	}
-	return nothingToRead(c.Conn)
+	return nothingBuffered(c.Conn)
 }
--- a/internal/upstream/peek.go
+++ b/internal/upstream/peek.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// nothingToRead reports whether a connection is open and no byte waits on it. It reads without taking anything.
-func nothingToRead(c net.Conn) bool {
+// nothingBuffered reports whether a connection is open and has no data in its receive buffer. It peeks and consumes nothing.
+func nothingBuffered(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true
@@ -16,11 +16,11 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		idle = errors.Is(err, syscall.EAGAIN)
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
--- a/internal/upstream/refused.go
+++ b/internal/upstream/refused.go
@@ -9,45 +9,46 @@
 )
 
 const (
-	// lookLimit bounds a look at an endpoint whose answer broke off. A port without a process refuses within one round trip, some
-	// milliseconds between availability zones.
-	lookLimit = 30 * time.Millisecond
-	// endingFor is how long a process that is ending may still accept connections: its sockets close one after the other.
-	endingFor = 50 * time.Millisecond
-	// lookAgain is the pause before a look that got no answer at all is repeated, and mostLooks how often: packets are lost.
-	lookAgain = 200 * time.Millisecond
-	mostLooks = 3
+	// probeTimeout is the connection timeout when probing an endpoint whose response was interrupted. A port without a process
+	// refuses within one round trip, which takes some milliseconds between availability zones.
+	probeTimeout = 30 * time.Millisecond
+	// exitGrace is how long an exiting process may still accept connections: its sockets close one after the other.
+	exitGrace = 50 * time.Millisecond
+	// probeRetryDelay is the delay before a probe that got no response is repeated, since packets may have been lost. maxProbes
+	// is the maximum number of probes.
+	probeRetryDelay = 200 * time.Millisecond
+	maxProbes       = 3
 )
 
-// looked is what a look at an address has shown.
-type looked int
+// probeResult is the result of probing an address.
+type probeResult int
 
 const (
-	lookedOpen    looked = iota // a connection came up
-	lookedRefused               // the machine answers, and no process listens there
-	lookedNothing               // no answer: the machine is cut off or without power, or packets were lost
+	probeConnected  probeResult = iota // a connection was established
+	probeRefused                       // the machine is reachable, but no process listens on the port
+	probeNoResponse                    // no response: the machine is disconnected or has no power, or packets were lost
 )
 
-// Refused reports whether a new connection to an address is refused. A machine that is cut off or without power says nothing, and does not count.
-// A connection that comes up is kept for the next request.
+// Refused reports whether a new connection to an address is refused. A machine that is disconnected or has no power does
+// not respond at all, which does not count as refused. A connection that is established is kept for the next request.
 func (c *Client) Refused(ctx context.Context, addr string) bool {
-	cn, saw := c.look(ctx, addr)
+	cn, res := c.probe(ctx, addr)
 	if cn != nil {
 		c.put(cn, nil)
 	}
-	return saw == lookedRefused
+	return res == probeRefused
 }
 
-// RefusedSoon is Refused for an address that has not refused just now: if it closes a connection within a moment, or says nothing, it is looked
-// at again.
+// RefusedSoon is Refused for an address that did not refuse a connection just now. It probes the address again if the
+// address closes a connection within exitGrace or does not respond.
 func (c *Client) RefusedSoon(ctx context.Context, addr string) bool {
-	for range mostLooks {
-		cn, saw := c.look(ctx, addr)
+	for range maxProbes {
+		cn, res := c.probe(ctx, addr)
 		switch {
-		case saw == lookedRefused:
+		case res == probeRefused:
 			return true
-		case saw == lookedNothing:
-			pause(ctx, lookAgain)
+		case res == probeNoResponse:
+			sleep(ctx, probeRetryDelay)
 		case staysOpen(cn):
 			c.put(cn, nil)
 			return false
@@ -58,31 +59,31 @@
 	return false
 }
 
-// staysOpen reports whether a new connection is still open after a moment.
+// staysOpen reports whether a new connection is still open after exitGrace.
 func staysOpen(cn *conn) bool {
-	if err := cn.SetReadDeadline(time.Now().Add(endingFor)); err != nil {
+	if err := cn.SetReadDeadline(time.Now().Add(exitGrace)); err != nil {
 		return false
 	}
 	_, err := cn.br.Peek(1)
-	var late net.Error
-	return errors.As(err, &late) && late.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// look makes one new connection; nil: none came up.
-func (c *Client) look(ctx context.Context, addr string) (*conn, looked) {
-	ctx, cancel := context.WithTimeout(ctx, lookLimit)
+// probe tries to establish one new connection. The connection is nil unless the result is probeConnected.
+func (c *Client) probe(ctx context.Context, addr string) (*conn, probeResult) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	nc, err := c.dialer.DialContext(ctx, "tcp", addr)
 	switch {
 	case err == nil:
-		return c.connOf(nc, addr), lookedOpen
+		return c.newConn(nc, addr), probeConnected
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return nil, lookedRefused
+		return nil, probeRefused
 	}
-	return nil, lookedNothing
+	return nil, probeNoResponse
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/internal/upstream/refused_test.go
+++ b/internal/upstream/refused_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestRefused(t *testing.T) {
-	Convey("An address is refused once its process has ended, and not before", t, func() {
+	Convey("Connections to an address are refused once its process has exited, and not before", t, func() {
 		ctx := context.Background()
 		c := New()
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -18,13 +18,13 @@
 		So(c.Refused(ctx, addr), ShouldBeFalse)
 		So(c.RefusedSoon(ctx, addr), ShouldBeFalse)
 
-		Convey("and a connection that came up is kept for the next request", func() {
+		Convey("and an established connection is kept for the next request", func() {
 			So(len(c.idle[addr]), ShouldEqual, 2)
 			cn := c.pop(addr)
-			So(cn.quiet(), ShouldBeTrue)
+			So(cn.isIdle(), ShouldBeTrue)
 		})
 
-		Convey("also if it still accepts a connection while it ends", func() {
+		Convey("also if the process still accepts a connection while it exits", func() {
 			go func() {
 				cn, err := l.Accept()
 				_ = l.Close()
@@ -35,7 +35,7 @@
 			So(c.RefusedSoon(ctx, addr), ShouldBeTrue)
 		})
 
-		Convey("and at once after it has ended", func() {
+		Convey("and immediately after the process has exited", func() {
 			_ = l.Close()
 			So(c.Refused(ctx, addr), ShouldBeTrue)
 			So(c.RefusedSoon(ctx, addr), ShouldBeTrue)
--- a/internal/upstream/silence.go
+++ b/internal/upstream/silence.go
@@ -6,14 +6,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// boundSilence lets the kernel give up a connection on which what was sent is not acknowledged within silentFor.
-func boundSilence(_, _ string, c syscall.RawConn) error {
-	var failed error
+// setUserTimeout makes the kernel close a connection if sent data is not acknowledged within silenceTimeout.
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
+	var optErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentFor.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silenceTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,6 +1,7 @@
-// Package upstream exchanges single HTTP/1.1 requests and answers with endpoints over kept connections.
+// Package upstream is an HTTP/1.1 client for endpoints with a pool of idle connections.
 //
-// It does not use http.Transport: that one sends some requests again by itself, and a request of ours may run once at most.
+// It does not use http.Transport, which retries some requests on its own: a request sent through this package must not
+// run more than once.
 package upstream
 
 import (
@@ -18,90 +19,94 @@
 	"github.com/rotisserie/eris"
 )
 
-// Request is what goes to an endpoint. The body has a length, whatever the caller sent.
+// Request is a request to an endpoint. The length of its body is known, even if the caller sent the body in chunks.
 type Request struct {
-	Method     string
-	Target     string // path and query as the caller wrote them
-	Host       string
-	Header     http.Header
-	Body       []byte
-	OnDial     func(took time.Duration) // told how long a new connection took to come up, or to be given up; nil: nobody is
-	ShouldSend func() bool              // asked when a connection is there: false: nothing is sent; nil: it is sent
+	Method string
+	Target string // path and query as the caller sent them
+	Host   string
+	Header http.Header
+	Body   []byte
+	// OnDial is called with the time that a new connection took to be established or to fail. It may be nil.
+	OnDial func(took time.Duration)
+	// ShouldSend is called once a connection is available. If it returns false, nothing is sent. It may be nil.
+	ShouldSend func() bool
 }
 
-// Response is an endpoint's answer. Close ends the exchange; a body that was not read to its end costs the connection.
+// Response is an endpoint's response. Closing the body ends the exchange; if the body was not read to its end, the
+// connection is closed too.
 type Response struct {
 	Status int
 	Header http.Header
-	Length int64 // of the body; -1: not told
+	Length int64 // of the body; -1: unknown
 	Body   io.ReadCloser
 }
 
-// Why a request was not sent.
+// Errors of requests that were not sent.
 var (
-	ErrNotSent   = errors.New("the request was not sent")            // no byte of it was
-	ErrWithdrawn = errors.New("the request is not wanted there now") // likewise, though the endpoint could be reached
+	ErrNotSent   = errors.New("request not sent")  // no byte of the request was sent
+	ErrWithdrawn = errors.New("request withdrawn") // not sent either, because ShouldSend returned false
 )
 
 // Defaults of a Client.
 const (
 	DefaultDialTimeout = 300 * time.Millisecond
-	DefaultMaxIdle     = 8                // connections kept for an address
-	DefaultIdleTimeout = 10 * time.Second // how long a connection is kept where the endpoint names no time
-	keepMargin         = 700 * time.Millisecond
-	readBuffer         = 2 << 10
-	inlineBody         = 8 << 10 // a body up to this size is written before the answer is read
+	DefaultMaxIdle     = 8                      // idle connections per address
+	DefaultIdleTimeout = 10 * time.Second       // how long a connection is kept if the endpoint states no timeout
+	keepAliveMargin    = 700 * time.Millisecond // subtracted from an idle timeout that the endpoint states
+	readBufferSize     = 2 << 10
+	maxInlineBody      = 8 << 10 // a body up to this size is written before the response is read
 
-	// silentFor is how long what was sent may stay without an acknowledgement, or probes without an answer, before a connection is given up: one
-	// that has fallen silent for good tells nothing by itself. It is longer than the silence after which a request that may be repeated goes elsewhere
-	// (0.7 s and more), and shorter than callers wait for the next event of a stream (4 s where pauses of 500 ms are in time).
-	silentFor  = 3 * time.Second
-	probeAfter = time.Second // of rest, and between probes
+	// silenceTimeout is how long sent data may stay unacknowledged, or keep-alive probes unanswered, before a connection is
+	// closed: a connection whose peer has vanished shows no other sign of it. The value is longer than the silence after
+	// which a repeatable request is retried elsewhere (0.7 s and more), and shorter than the time for which callers wait
+	// for the next event of a stream (4 s if the target for pauses is 500 ms).
+	silenceTimeout    = 3 * time.Second
+	keepAliveInterval = time.Second // idle time before the first keep-alive probe, and between probes
 )
 
-// Client keeps connections to endpoints.
+// Client sends requests to endpoints and keeps idle connections for reuse.
 type Client struct {
-	dialer  net.Dialer
-	maxIdle int
-	idleFor time.Duration
-	now     func() time.Time
-	wrap    func(net.Conn) net.Conn
+	dialer      net.Dialer
+	maxIdle     int
+	idleTimeout time.Duration
+	now         func() time.Time
+	wrap        func(net.Conn) net.Conn
 
 	mu     sync.Mutex
 	idle   map[string][]*conn
 	closed bool
 }
 
-// Option changes a Client.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithDialTimeout bounds the time that a new connection may take.
+// WithDialTimeout sets the timeout for establishing a connection.
 func WithDialTimeout(d time.Duration) Option { return func(c *Client) { c.dialer.Timeout = d } }
 
-// WithMaxIdle bounds the connections that are kept for an address.
+// WithMaxIdle sets the maximum number of idle connections per address.
 func WithMaxIdle(n int) Option { return func(c *Client) { c.maxIdle = n } }
 
-// WithIdleTimeout sets how long a connection is kept where the endpoint names no time.
-func WithIdleTimeout(d time.Duration) Option { return func(c *Client) { c.idleFor = d } }
+// WithIdleTimeout sets how long an idle connection is kept if the endpoint states no timeout.
+func WithIdleTimeout(d time.Duration) Option { return func(c *Client) { c.idleTimeout = d } }
 
-// WithWrap sets what is put around each connection.
+// WithWrap sets a function that wraps each new connection.
 func WithWrap(f func(net.Conn) net.Conn) Option { return func(c *Client) { c.wrap = f } }
 
-// WithNow replaces the clock by which the ages of connections are judged.
+// WithNow replaces the clock that determines the age of connections.
 func WithNow(now func() time.Time) Option { return func(c *Client) { c.now = now } }
 
-// New makes a client without connections.
+// New returns a client without connections.
 func New(opts ...Option) *Client {
 	c := &Client{
 		dialer: net.Dialer{
-			Timeout: DefaultDialTimeout, Control: boundSilence,
-			KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeAfter, Count: int(silentFor / probeAfter)},
+			Timeout: DefaultDialTimeout, Control: setUserTimeout,
+			KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: int(silenceTimeout / keepAliveInterval)},
 		},
-		maxIdle: DefaultMaxIdle,
-		idleFor: DefaultIdleTimeout,
-		now:     time.Now,
-		wrap:    func(c net.Conn) net.Conn { return c },
-		idle:    make(map[string][]*conn),
+		maxIdle:     DefaultMaxIdle,
+		idleTimeout: DefaultIdleTimeout,
+		now:         time.Now,
+		wrap:        func(c net.Conn) net.Conn { return c },
+		idle:        make(map[string][]*conn),
 	}
 	for _, opt := range opts {
 		opt(c)
@@ -109,18 +114,19 @@
 	return c
 }
 
-// conn is one connection. It serves one exchange at a time.
+// conn is a connection to an endpoint. It carries one exchange at a time.
 type conn struct {
 	net.Conn
-	addr  string
-	br    *bufio.Reader
-	until time.Time // the last moment at which it may be taken for an exchange
+	addr    string
+	br      *bufio.Reader
+	expires time.Time // the time after which it must not be reused
 }
 
-// Do sends a request and returns the head of the answer. The exchange ends with ctx, even in the middle of the body.
-// An error that matches ErrNotSent promises that nothing was sent; after any other the request may have run.
+// Do sends a request and returns as soon as it has read the header of the response. The exchange ends with ctx, even in
+// the middle of the body. An error that matches ErrNotSent guarantees that nothing was sent; after any other error, the
+// request may have run.
 func (c *Client) Do(ctx context.Context, addr string, req *Request) (*Response, error) {
-	cn, err := c.take(ctx, addr, req.OnDial)
+	cn, err := c.acquire(ctx, addr, req.OnDial)
 	if err != nil {
 		return nil, err
 	}
@@ -129,11 +135,11 @@
 		return nil, eris.Wrapf(errors.Join(ErrNotSent, ErrWithdrawn), "sending to %s", addr)
 	}
 	x := &exchange{client: c, conn: cn}
-	x.stop = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(time.Unix(1, 0)) })
+	x.stopWatch = context.AfterFunc(ctx, func() { _ = cn.SetDeadline(time.Unix(1, 0)) })
 	x.send(req)
-	res, err := x.head(req.Method)
+	res, err := x.readHeader(req.Method)
 	if err != nil {
-		x.drop()
+		x.abort()
 		if ctx.Err() != nil {
 			err = ctx.Err()
 		}
@@ -142,32 +148,32 @@
 	return res, nil
 }
 
-func (c *Client) take(ctx context.Context, addr string, dialed func(time.Duration)) (*conn, error) {
+func (c *Client) acquire(ctx context.Context, addr string, dialed func(time.Duration)) (*conn, error) {
 	for {
 		cn := c.pop(addr)
 		if cn == nil {
 			break
 		}
-		if c.now().Before(cn.until) && cn.quiet() {
+		if c.now().Before(cn.expires) && cn.isIdle() {
 			return cn, nil
 		}
 		_ = cn.Close()
 	}
-	begun := c.now()
+	started := c.now()
 	nc, err := c.dialer.DialContext(ctx, "tcp", addr)
 	if dialed != nil {
-		dialed(c.now().Sub(begun))
+		dialed(c.now().Sub(started))
 	}
 	if err != nil {
 		return nil, eris.Wrapf(errors.Join(ErrNotSent, err), "connecting to %s", addr)
 	}
-	return c.connOf(nc, addr), nil
+	return c.newConn(nc, addr), nil
 }
 
-// connOf makes a connection for exchanges of one that has come up.
-func (c *Client) connOf(nc net.Conn, addr string) *conn {
+// newConn wraps an established network connection for exchanges.
+func (c *Client) newConn(nc net.Conn, addr string) *conn {
 	nc = c.wrap(nc)
-	return &conn{Conn: nc, addr: addr, br: bufio.NewReaderSize(nc, readBuffer)}
+	return &conn{Conn: nc, addr: addr, br: bufio.NewReaderSize(nc, readBufferSize)}
 }
 
 func (c *Client) pop(addr string) *conn {
@@ -183,21 +189,21 @@
 }
 
 func (c *Client) put(cn *conn, header http.Header) {
-	keep := c.idleFor
+	lifetime := c.idleTimeout
 	if d, ok := keepAlive(header); ok {
-		keep = d - keepMargin
+		lifetime = d - keepAliveMargin
 	}
-	cn.until = c.now().Add(keep)
+	cn.expires = c.now().Add(lifetime)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || keep <= 0 || len(c.idle[cn.addr]) >= c.maxIdle {
+	if c.closed || lifetime <= 0 || len(c.idle[cn.addr]) >= c.maxIdle {
 		_ = cn.Close()
 		return
 	}
 	c.idle[cn.addr] = append(c.idle[cn.addr], cn)
 }
 
-// keepAlive reads the time that an endpoint says it keeps an idle connection.
+// keepAlive returns the idle timeout that the endpoint states in its Keep-Alive header.
 func keepAlive(h http.Header) (time.Duration, bool) {
 	for _, v := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(v), "=")
@@ -212,7 +218,7 @@
 	return 0, false
 }
 
-// CloseIdle closes the kept connections to an address.
+// CloseIdle closes the idle connections to an address.
 func (c *Client) CloseIdle(addr string) {
 	c.mu.Lock()
 	list := c.idle[addr]
@@ -223,7 +229,7 @@
 	}
 }
 
-// CloseAllIdle closes all kept connections.
+// CloseAllIdle closes all idle connections.
 func (c *Client) CloseAllIdle() {
 	c.mu.Lock()
 	all := c.idle
@@ -232,7 +238,6 @@
 	closeAll(all)
 }
 
-// closeAll closes connections.
 func closeAll(all map[string][]*conn) {
 	for _, list := range all {
 		for _, cn := range list {
@@ -241,32 +246,32 @@
 	}
 }
 
-// Sweep closes connections that have been idle for too long.
+// Sweep closes connections that have been idle for longer than their timeout.
 func (c *Client) Sweep() {
 	now := c.now()
-	var old []*conn
+	var expired []*conn
 	c.mu.Lock()
 	for addr, list := range c.idle {
-		kept := list[:0]
+		retained := list[:0]
 		for _, cn := range list {
-			if now.Before(cn.until) {
-				kept = append(kept, cn)
+			if now.Before(cn.expires) {
+				retained = append(retained, cn)
 				continue
 			}
-			old = append(old, cn)
+			expired = append(expired, cn)
 		}
-		c.idle[addr] = kept
-		if len(kept) == 0 {
+		c.idle[addr] = retained
+		if len(retained) == 0 {
 			delete(c.idle, addr)
 		}
 	}
 	c.mu.Unlock()
-	for _, cn := range old {
+	for _, cn := range expired {
 		_ = cn.Close()
 	}
 }
 
-// Close closes the kept connections. Exchanges that are open end with their contexts.
+// Close closes the idle connections. Open exchanges end with their contexts.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	c.closed = true
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -16,19 +16,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// peer is an endpoint whose connections a test plays by hand.
-type peer struct {
+// fakeEndpoint is an endpoint whose connections are served by a function of the test.
+type fakeEndpoint struct {
 	l     net.Listener
 	conns atomic.Int32
 }
 
-// newPeer serves each connection with play, which gets its number from 1 on.
-func newPeer(t *testing.T, play func(n int, c net.Conn, r *bufio.Reader)) *peer {
+// newFakeEndpoint listens on a local port and serves each connection with serve. n counts the connections from 1.
+func newFakeEndpoint(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) *fakeEndpoint {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{l: l}
+	p := &fakeEndpoint{l: l}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -38,17 +38,17 @@
 			n := int(p.conns.Add(1))
 			go func() {
 				defer func() { _ = c.Close() }()
-				play(n, c, bufio.NewReader(c))
+				serve(n, c, bufio.NewReader(c))
 			}()
 		}
 	}()
 	return p
 }
 
-func (p *peer) addr() string { return p.l.Addr().String() }
+func (p *fakeEndpoint) addr() string { return p.l.Addr().String() }
 
-// take reads one request and answers with raw bytes.
-func take(c net.Conn, r *bufio.Reader, raw string) bool {
+// respond reads one request and responds with raw bytes.
+func respond(c net.Conn, r *bufio.Reader, raw string) bool {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return false
@@ -58,13 +58,13 @@
 	return err == nil
 }
 
-const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-func request() *Request {
+func newRequest() *Request {
 	return &Request{Method: http.MethodPost, Target: "/x", Host: "h", Header: http.Header{}, Body: []byte("b")}
 }
 
-// fetch does one exchange.
+// fetch sends a request and returns the body of the response.
 func fetch(c *Client, addr string, req *Request) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -78,80 +78,80 @@
 }
 
 func TestExchange(t *testing.T) {
-	Convey("A client of endpoints", t, func() {
+	Convey("A client", t, func() {
 		c := New()
 		defer func() { _ = c.Close() }()
 
-		Convey("keeps a connection after a whole answer", func() {
-			p := newPeer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-				for take(conn, r, whole) {
+		Convey("reuses a connection after a complete response", func() {
+			p := newFakeEndpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+				for respond(conn, r, okResponse) {
 				}
 			})
 			defer func() { _ = p.l.Close() }()
 			for range 3 {
-				body, err := fetch(c, p.addr(), request())
+				body, err := fetch(c, p.addr(), newRequest())
 				So(err, ShouldBeNil)
 				So(body, ShouldEqual, "ok")
 			}
 			So(p.conns.Load(), ShouldEqual, 1)
 		})
 
-		Convey("drops a connection on which more came than was asked for, at once or later", func() {
+		Convey("drops a connection on which surplus data arrives, at once or later", func() {
 			for _, later := range []bool{false, true} {
-				p := newPeer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-					surplus := whole
+				p := newFakeEndpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+					surplus := okResponse
 					if !later {
-						take(conn, r, whole+surplus)
-					} else if take(conn, r, whole) {
+						respond(conn, r, okResponse+surplus)
+					} else if respond(conn, r, okResponse) {
 						_, _ = io.WriteString(conn, surplus)
 					}
 					_, _ = r.ReadByte()
 				})
-				_, err := fetch(c, p.addr(), request())
+				_, err := fetch(c, p.addr(), newRequest())
 				So(err, ShouldBeNil)
 				time.Sleep(50 * time.Millisecond)
-				_, err = fetch(c, p.addr(), request())
+				_, err = fetch(c, p.addr(), newRequest())
 				So(err, ShouldBeNil)
 				So(p.conns.Load(), ShouldEqual, 2)
 				_ = p.l.Close()
 			}
 		})
 
-		Convey("sends nothing again by itself, whatever the method", func() {
+		Convey("never retries on its own, whatever the method", func() {
 			for _, method := range []string{http.MethodGet, http.MethodPost} {
-				var asked atomic.Int32
-				p := newPeer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-					take(conn, r, whole)
+				var received atomic.Int32
+				p := newFakeEndpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+					respond(conn, r, okResponse)
 					if _, err := http.ReadRequest(r); err == nil {
-						asked.Add(1)
+						received.Add(1)
 					}
 				})
-				req := request()
+				req := newRequest()
 				req.Method, req.Body = method, nil
 				_, err := fetch(c, p.addr(), req)
 				So(err, ShouldBeNil)
 				_, err = fetch(c, p.addr(), req)
 				So(err, ShouldNotBeNil)
 				So(errors.Is(err, ErrNotSent), ShouldBeFalse)
-				So(asked.Load(), ShouldEqual, 1)
+				So(received.Load(), ShouldEqual, 1)
 				So(p.conns.Load(), ShouldEqual, 1)
 				_ = p.l.Close()
 			}
 		})
 
-		Convey("says that nothing was sent where no connection came about", func() {
-			_, err := fetch(c, "127.0.0.1:1", request())
+		Convey("returns ErrNotSent if no connection can be established", func() {
+			_, err := fetch(c, "127.0.0.1:1", newRequest())
 			So(errors.Is(err, ErrNotSent), ShouldBeTrue)
 		})
 
-		Convey("takes an answer that comes before a long body is read, and does not use the connection again", func() {
-			p := newPeer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+		Convey("accepts a response that arrives before a long body is read, and does not reuse the connection", func() {
+			p := newFakeEndpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 				_, _ = r.ReadString('\n')
 				_, _ = io.WriteString(conn, "HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n")
 				time.Sleep(200 * time.Millisecond)
 			})
 			defer func() { _ = p.l.Close() }()
-			req := request()
+			req := newRequest()
 			req.Body = []byte(strings.Repeat("x", 8<<20))
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			defer cancel()
@@ -163,37 +163,37 @@
 			So(c.pop(p.addr()), ShouldBeNil)
 		})
 
-		Convey("takes nothing for whole that was cut off, and nothing that is no answer", func() {
+		Convey("rejects truncated, ambiguous and malformed responses", func() {
 			for _, raw := range []string{
 				"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
 				"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
 				"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok",
 				"\x00\x01garbage\r\n\r\n",
 			} {
-				p := newPeer(t, func(_ int, conn net.Conn, r *bufio.Reader) { take(conn, r, raw) })
-				_, err := fetch(c, p.addr(), request())
+				p := newFakeEndpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) { respond(conn, r, raw) })
+				_, err := fetch(c, p.addr(), newRequest())
 				So(err, ShouldNotBeNil)
 				_ = p.l.Close()
 			}
 		})
 
-		Convey("ends with its context, and gives the connection up", func() {
-			p := newPeer(t, func(_ int, _ net.Conn, r *bufio.Reader) { _, _ = io.Copy(io.Discard, r) })
+		Convey("ends an exchange with its context, and closes the connection", func() {
+			p := newFakeEndpoint(t, func(_ int, _ net.Conn, r *bufio.Reader) { _, _ = io.Copy(io.Discard, r) })
 			defer func() { _ = p.l.Close() }()
 			ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 			defer cancel()
-			_, err := c.Do(ctx, p.addr(), request())
+			_, err := c.Do(ctx, p.addr(), newRequest())
 			So(errors.Is(err, context.DeadlineExceeded), ShouldBeTrue)
 			So(c.pop(p.addr()), ShouldBeNil)
 		})
 
-		Convey("keeps a connection no longer than the endpoint says", func() {
+		Convey("keeps a connection no longer than the endpoint states", func() {
 			for header, kept := range map[string]bool{"timeout=5": true, "timeout=0": false} {
-				p := newPeer(t, func(_ int, conn net.Conn, r *bufio.Reader) {
-					take(conn, r, "HTTP/1.1 200 OK\r\nKeep-Alive: "+header+"\r\nContent-Length: 2\r\n\r\nok")
+				p := newFakeEndpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+					respond(conn, r, "HTTP/1.1 200 OK\r\nKeep-Alive: "+header+"\r\nContent-Length: 2\r\n\r\nok")
 					_, _ = r.ReadByte()
 				})
-				_, err := fetch(c, p.addr(), request())
+				_, err := fetch(c, p.addr(), newRequest())
 				So(err, ShouldBeNil)
 				So(c.pop(p.addr()) != nil, ShouldEqual, kept)
 				_ = p.l.Close()
@@ -202,16 +202,16 @@
 	})
 }
 
-func TestSilence(t *testing.T) {
-	Convey("A connection to an endpoint is given up by the kernel when it falls silent", t, func() {
-		p := newPeer(t, func(_ int, conn net.Conn, r *bufio.Reader) { take(conn, r, whole) })
+func TestSilenceTimeout(t *testing.T) {
+	Convey("The kernel closes a connection to an endpoint that no longer responds", t, func() {
+		p := newFakeEndpoint(t, func(_ int, conn net.Conn, r *bufio.Reader) { respond(conn, r, okResponse) })
 		defer func() { _ = p.l.Close() }()
-		var kept net.Conn
-		c := New(WithWrap(func(nc net.Conn) net.Conn { kept = nc; return nc }))
+		var tcpConn net.Conn
+		c := New(WithWrap(func(nc net.Conn) net.Conn { tcpConn = nc; return nc }))
 		defer func() { _ = c.Close() }()
-		_, err := fetch(c, p.addr(), request())
+		_, err := fetch(c, p.addr(), newRequest())
 		So(err, ShouldBeNil)
-		raw, err := kept.(*net.TCPConn).SyscallConn()
+		raw, err := tcpConn.(*net.TCPConn).SyscallConn()
 		So(err, ShouldBeNil)
 		option := func(level, name int) int {
 			n := 0
@@ -219,8 +219,8 @@
 			So(err, ShouldBeNil)
 			return n
 		}
-		So(option(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), ShouldEqual, silentFor.Milliseconds())
+		So(option(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), ShouldEqual, silenceTimeout.Milliseconds())
 		So(option(unix.SOL_SOCKET, unix.SO_KEEPALIVE), ShouldEqual, 1)
-		So(option(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), ShouldEqual, probeAfter.Seconds())
+		So(option(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), ShouldEqual, keepAliveInterval.Seconds())
 	})
 }
