--- a/internal/pool/bench_test.go
+++ b/internal/pool/bench_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// BenchmarkPick picks by affinity among endpoints of one service, while it is known what other instances have there. With 1,300 endpoints it took 52 us
-// when each was judged, 22 us since those of which nothing is noted are passed over, and 16 us with limits of endpoints.
+// BenchmarkPick measures picks by affinity among the endpoints of one service, while the loads of other instances are
+// known. With 1,300 endpoints a pick took 52 us when each was evaluated, 22 us since pristine ones are skipped, and
+// 16 us with limits of endpoints.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{12, 140, 1300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -28,8 +29,8 @@
 	}
 }
 
-// someCandidates are as many endpoints with random loads, a tenth of which keep a part of the prompt.
-func someCandidates(n int) []Candidate {
+// randomCandidates returns n endpoints with random loads, a tenth of which have cached a part of the prompt.
+func randomCandidates(n int) []Candidate {
 	rng := rand.New(rand.NewPCG(1, 1))
 	out := make([]Candidate, n)
 	for i := range out {
@@ -41,12 +42,12 @@
 	return out
 }
 
-// BenchmarkChoosers picks among candidates that are there already.
+// BenchmarkChoosers measures picks among given candidates.
 func BenchmarkChoosers(b *testing.B) {
 	for _, n := range []int{52, 1300} {
 		for _, p := range []Chooser[Candidate]{Random{}, PowerOfTwo{}, LeastExpected{}, DefaultChooser()} {
 			b.Run(fmt.Sprintf("%s/%d", p.Name(), n), func(b *testing.B) {
-				cs, rng := someCandidates(n), rand.New(rand.NewPCG(1, 1))
+				cs, rng := randomCandidates(n), rand.New(rand.NewPCG(1, 1))
 				b.ReportAllocs()
 				for b.Loop() {
 					_ = p.Pick(cs, rng)
--- a/internal/pool/cascade_test.go
+++ b/internal/pool/cascade_test.go
@@ -12,43 +12,44 @@
 	"github.com/ledgemount/ledgemount/internal/limit"
 )
 
-// cascade is some instances before a few endpoints that turn requests away, and ask for rest, when they are full. It plays in virtual time.
+// cascade simulates some instances before a few endpoints that reject requests, and ask for rest, when they are full.
+// It runs in virtual time.
 type cascade struct {
 	clock           *testClock
 	random          *rand.Rand
 	pools           []*Pool
-	running         []int // at each endpoint
+	running         []int // requests at each endpoint
 	events          eventQueue
 	at              time.Duration
 	served          int
-	rejected        int           // away by endpoints
-	refused         int           // by instances, with no endpoint that takes work
+	rejected        int           // by endpoints
+	refused         int           // by instances, since no endpoint accepts work
 	rest            time.Duration // that a full endpoint asks for
-	load            float64       // part of what all endpoints bear
-	forcedRest      int           // the endpoint that rests whatever it runs, until forcedTil
+	load            float64       // share of the capacity of all endpoints
+	forcedRest      int           // the endpoint that asks for rest regardless of its load, until forcedRestUntil; -1: none
 	forcedRestUntil time.Duration
-	degraded        int  // the endpoint that takes a quarter of what it did; -1: none
-	announceLimits  bool // endpoints name limits
+	degraded        int  // the endpoint whose capacity falls to a quarter; -1: none
+	announceLimits  bool // endpoints announce limits
 }
 
-// What the model's endpoints bear, and how they are loaded.
+// The capacity and the load of the simulated endpoints.
 const (
-	cascadeInstances = 6
-	cascadeEndpoints = 5
-	cascadeCapacity  = 20 // requests that an endpoint runs at once
-	cascadeDuration  = time.Second
-	cascadeHeadDelay = 50 * time.Millisecond // from a request to the head of its answer
-	cascadeRest      = 2 * time.Second
-	cascadeLoad      = 0.9
-	cascadeLength    = 30 * time.Second
-	cascadeSubjects  = 40
-	cascadeExchange  = 500 * time.Millisecond
+	cascadeInstances  = 6
+	cascadeEndpoints  = 5
+	cascadeCapacity   = 20 // requests that an endpoint runs at once
+	cascadeDuration   = time.Second
+	cascadeHeadDelay  = 50 * time.Millisecond // from a request to the head of its response
+	cascadeRest       = 2 * time.Second
+	cascadeLoad       = 0.9
+	cascadeLength     = 30 * time.Second
+	cascadeAffinities = 40
+	cascadeExchange   = 500 * time.Millisecond
 )
 
-// event is something that happens at a moment of the model.
+// event is an action at a moment of the simulation.
 type event struct {
 	at time.Duration
-	n  int // events of one moment happen in the order in which they were planned
+	n  int // orders events of the same moment by when they were scheduled
 	do func()
 }
 
@@ -83,7 +84,7 @@
 	heap.Push(&c.events, event{at: c.at + d, n: len(c.events), do: do})
 }
 
-// run lets requests come at random until the time is up. One endpoint asks for rest after a second.
+// run generates requests at random until the time is up. One endpoint asks for rest after two seconds.
 func (c *cascade) run() {
 	perSecond := c.load * cascadeEndpoints * cascadeCapacity / cascadeDuration.Seconds()
 	var arrive func()
@@ -91,8 +92,8 @@
 		c.send(c.pools[c.random.IntN(len(c.pools))])
 		c.after(time.Duration(c.random.ExpFloat64()/perSecond*float64(time.Second)), arrive)
 	}
-	var tell func()
-	tell = func() {
+	var exchange func()
+	exchange = func() {
 		for i, p := range c.pools {
 			others := make(Loads)
 			for j, o := range c.pools {
@@ -102,10 +103,10 @@
 			}
 			p.SetPeerLoads(others)
 		}
-		c.after(cascadeExchange, tell)
+		c.after(cascadeExchange, exchange)
 	}
 	c.after(0, arrive)
-	c.after(0, tell)
+	c.after(0, exchange)
 	c.after(2*time.Second, func() { c.forcedRest, c.forcedRestUntil = 0, c.at+100*time.Millisecond })
 	for len(c.events) > 0 && c.events[0].at < cascadeLength {
 		e := heap.Pop(&c.events).(event)
@@ -115,9 +116,9 @@
 	}
 }
 
-// send sends one request through an instance, and to a second endpoint if the first turns it away.
+// send sends one request through an instance, and to a second endpoint if the first one rejects it.
 func (c *cascade) send(p *Pool) {
-	q := Query{Service: "models", Affinity: fmt.Sprint(c.random.IntN(cascadeSubjects)), Tried: make(map[string]bool)}
+	q := Query{Service: "models", Affinity: fmt.Sprint(c.random.IntN(cascadeAffinities)), Tried: make(map[string]bool)}
 	for range 2 {
 		lease := p.Pick(q)
 		if lease == nil {
@@ -148,7 +149,8 @@
 	c.refused++
 }
 
-// capacity is how many requests an endpoint runs at once: the one in need a quarter of what it did.
+// capacity is how many requests an endpoint runs at once. That of the degraded one falls to a quarter after two
+// seconds.
 func (c *cascade) capacity(i int) int {
 	if i == c.degraded && c.at > 2*time.Second {
 		return cascadeCapacity / 4
@@ -156,7 +158,7 @@
 	return cascadeCapacity
 }
 
-// announcedLimit is what an endpoint names that is in need, or nearly full: what it bears.
+// announcedLimit is the limit that an endpoint announces if it is degraded or nearly full: its capacity.
 func (c *cascade) announcedLimit(i int) limit.Rate {
 	if !c.announceLimits || (i != c.degraded && c.running[i] < c.capacity(i)-2) || c.at < 2*time.Second {
 		return limit.Rate{}
@@ -164,12 +166,13 @@
 	return limit.PerSecond(float64(c.capacity(i)) / cascadeDuration.Seconds())
 }
 
-// An endpoint that takes a quarter of what it did leaves the rest to four others, which have 80 in 100 of what they bear already, and name limits in
-// turn. Callers for whom there is no place are refused at once, and not turned away by one endpoint after the other.
+// TestLimitCascade covers an endpoint whose capacity falls to a quarter. It leaves the rest of its work to four
+// others, which already run at 80% of their capacity and announce limits in turn. Requests for which no capacity is
+// left must be refused at once, not be rejected by one endpoint after the other.
 func TestLimitCascade(t *testing.T) {
-	Convey("Five endpoints at eight tenths of what they bear, one of which limits itself to a quarter, then the others", t, func() {
+	Convey("Five endpoints at 80% of their capacity, one of which limits itself to a quarter, then the others follow", t, func() {
 		const seeds = 8
-		play := func(names bool) (served, turned, refused int) {
+		simulate := func(names bool) (served, rejected, refused int) {
 			for seed := range uint64(seeds) {
 				c := newCascade(seed+1, DefaultPolicy())
 				c.announceLimits, c.degraded, c.rest, c.load = names, 0, 0, 0.8
@@ -177,38 +180,39 @@
 					p.owners = fleetOf(cascadeInstances)
 				}
 				c.run()
-				served, turned, refused = served+c.served, turned+c.rejected, refused+c.refused
+				served, rejected, refused = served+c.served, rejected+c.rejected, refused+c.refused
 			}
-			return served, turned, refused
+			return served, rejected, refused
 		}
-		without, turnedWithout, _ := play(false)
-		served, turned, refused := play(true)
-		t.Logf("no limits: %d served, %d turned away; limits: %d served, %d turned away, %d refused", without, turnedWithout, served, turned, refused)
-		So(turned, ShouldBeLessThan, turnedWithout)
-		So(float64(served), ShouldBeGreaterThan, 0.9*float64(without))
+		servedWithout, rejectedWithout, _ := simulate(false)
+		served, rejected, refused := simulate(true)
+		t.Logf("no limits: %d served, %d rejected; limits: %d served, %d rejected, %d refused", servedWithout, rejectedWithout, served, rejected, refused)
+		So(rejected, ShouldBeLessThan, rejectedWithout)
+		So(float64(served), ShouldBeGreaterThan, 0.9*float64(servedWithout))
 	})
 }
 
-// An endpoint that asks for rest leaves its work to four others, which have 90 in 100 of what they bear already: they ask for rest in turn. All
-// instances come back at the same moment, and send at once what its affinity names, so that it asks again.
+// TestRestCascade covers an endpoint that asks for rest. It leaves its work to four others, which already run at 90%
+// of their capacity and ask for rest in turn. Without a window, all instances return at the same moment and send at
+// once all requests whose affinity prefers the endpoint, so that it asks for rest again.
 func TestRestCascade(t *testing.T) {
-	Convey("Five endpoints at nine tenths of what they bear, one of which asks for rest", t, func() {
+	Convey("Five endpoints at 90% of their capacity, one of which asks for rest", t, func() {
 		const seeds = 8
-		play := func(edit func(*Policy)) (served, turned, refused int) {
+		simulate := func(edit func(*Policy)) (served, rejected, refused int) {
 			for seed := range uint64(seeds) {
 				policy := DefaultPolicy()
 				edit(&policy)
 				c := newCascade(seed+1, policy)
 				c.run()
-				served, turned, refused = served+c.served, turned+c.rejected, refused+c.refused
+				served, rejected, refused = served+c.served, rejected+c.rejected, refused+c.refused
 			}
-			return served, turned, refused
+			return served, rejected, refused
 		}
-		atOnce, turnedAtOnce, _ := play(func(p *Policy) { p.RestDecrease = 0 })
-		served, turned, refused := play(func(*Policy) {})
-		t.Logf("all at once: %d served, %d turned away; bounded: %d served, %d turned away, %d refused", atOnce, turnedAtOnce, served, turned, refused)
-		So(turned, ShouldBeLessThan, turnedAtOnce)
-		So(served, ShouldBeGreaterThan, atOnce)
+		unbounded, rejectedUnbounded, _ := simulate(func(p *Policy) { p.RestDecrease = 0 })
+		served, rejected, refused := simulate(func(*Policy) {})
+		t.Logf("unbounded: %d served, %d rejected; bounded: %d served, %d rejected, %d refused", unbounded, rejectedUnbounded, served, rejected, refused)
+		So(rejected, ShouldBeLessThan, rejectedUnbounded)
+		So(served, ShouldBeGreaterThan, unbounded)
 		So(served, ShouldBeGreaterThan, refused)
 	})
 }
--- a/internal/pool/connections_test.go
+++ b/internal/pool/connections_test.go
@@ -9,7 +9,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// fleetMember is the place of an instance in a fleet that all know; the order for a key is that of places, turned by the key.
+// fleetMember is the place of an instance in a fleet that all instances know. The order for a key is that of the
+// places, rotated by the key.
 type fleetMember struct{ place, size int }
 
 func (fleetMember) Known() bool         { return true }
@@ -19,17 +20,18 @@
 	return (o.place+int(key[len(key)-1]))%o.size < first
 }
 
-// An endpoint takes some connections from all callers together, and resets what is beyond. Each instance bounded what it has open there by the
-// endpoint's slots alone, as if it were by itself: 100 instances had 800 requests open at an endpoint that takes 100 connections.
+// TestConnections guards against opening more connections to an endpoint than it accepts from all callers together:
+// it resets those beyond that. When each instance bounded its open requests by the endpoint's slots alone, 100
+// instances had 800 requests open at an endpoint that accepts 100 connections.
 func TestConnections(t *testing.T) {
-	const most = 100
+	const accepted = 100
 	for _, instances := range []int{1, 6, 100, 300} {
-		Convey(fmt.Sprintf("%d instances in a burst open no more connections to an endpoint than it takes from all", instances), t, func() {
+		Convey(fmt.Sprintf("%d instances in a burst open no more connections to an endpoint than it accepts from all of them", instances), t, func() {
 			clock := &testClock{at: time.Unix(1000, 0)}
 			opened := make(map[string]int)
 			for i := range instances {
 				p := New("a", WithNow(clock.now), WithOwners(fleetMember{place: i, size: instances}))
-				p.SetConnections(map[string]int{"s": most})
+				p.SetConnections(map[string]int{"s": accepted})
 				for _, id := range []string{"e-1", "e-2"} {
 					p.Put(Endpoint{ID: id, Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 8})
 				}
@@ -39,18 +41,18 @@
 				So(p.Availability(Query{Service: "s"}).Open, ShouldBeFalse)
 			}
 			for id, n := range opened {
-				SoMsg(id, n, ShouldBeLessThanOrEqualTo, most)
+				SoMsg(id, n, ShouldBeLessThanOrEqualTo, accepted)
 			}
-			So(slices.Max([]int{opened["e-1"], opened["e-2"]}), ShouldBeGreaterThanOrEqualTo, min(8*instances, most/2))
+			So(slices.Max([]int{opened["e-1"], opened["e-2"]}), ShouldBeGreaterThanOrEqualTo, min(8*instances, accepted/2))
 		})
 	}
-	Convey("An instance that has no part opens a connection all the same while all together have few there, as far as others tell", t, func() {
+	Convey("An instance without a share still opens a connection while all instances together have few there, as far as reported", t, func() {
 		clock := &testClock{at: time.Unix(1000, 0)}
 		p := New("a", WithNow(clock.now), WithOwners(fleetMember{place: 299, size: 300}))
-		p.SetConnections(map[string]int{"s": most})
+		p.SetConnections(map[string]int{"s": accepted})
 		e := Endpoint{ID: "e-1", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 8}
 		for p.Put(e); p.Pick(Query{Service: "s"}) != nil; p.Put(e) {
-			p.Remove("e-1") // until one is found that others have their part of
+			p.Remove("e-1") // until an endpoint is found at which this instance has no share
 			e.ID += "1"
 		}
 		for _, c := range []struct {
@@ -63,7 +65,7 @@
 		clock.pass(2 * PeerLoadsTTL)
 		So(p.Availability(Query{Service: "s"}).Open, ShouldBeFalse)
 	})
-	Convey("A service that names no number bounds none", t, func() {
+	Convey("A service without a number bounds no connections", t, func() {
 		p := New("a", WithOwners(fleetMember{size: 300}))
 		p.SetConnections(map[string]int{"s": 0})
 		p.Put(Endpoint{ID: "e-1", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 8})
--- a/internal/pool/draw_test.go
+++ b/internal/pool/draw_test.go
@@ -9,13 +9,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// simulatePlainService plays 87 instances in three zones before four endpoints of a plain service, two of them in one zone, at 176 requests a second of
-// 60 ms. It returns how much more than the mean the busiest endpoint gets, and the part of requests that find all slots taken.
+// simulatePlainService simulates 87 instances in three zones before four endpoints of a plain service, two of them in
+// one zone, at 176 requests a second of 60 ms. It returns how many times the mean the busiest endpoint gets, and the
+// share of requests that find all slots in use.
 func simulatePlainService(pick func(p *Pool) *Lease) (imbalance, full float64) {
 	const (
 		instances, requests, slots = 87, 176, 6
-		work, lasts                = 60 * time.Millisecond, 20 * time.Second
-		tellEvery                  = 500 * time.Millisecond
+		work, duration             = 60 * time.Millisecond, 20 * time.Second
+		exchangeEvery              = 500 * time.Millisecond
 	)
 	zones := []string{"a", "b", "c"}
 	clock := &testClock{at: time.Unix(1000, 0)}
@@ -34,11 +35,11 @@
 	var running []open
 	busy, sent := make(map[string]int), make(map[string]int)
 	asked, waited := 0, 0
-	begun, told := clock.at, clock.at
-	for clock.at.Before(begun.Add(lasts)) {
+	begun, exchanged := clock.at, clock.at
+	for clock.at.Before(begun.Add(duration)) {
 		clock.pass(time.Duration(random.ExpFloat64() * float64(time.Second) / requests))
-		if clock.at.Sub(told) >= tellEvery {
-			told = clock.at
+		if clock.at.Sub(exchanged) >= exchangeEvery {
+			exchanged = clock.at
 			exchangeLoads(pools)
 		}
 		for len(running) > 0 && clock.at.After(running[0].until) {
@@ -63,7 +64,7 @@
 	return float64(most) * float64(len(sent)) / float64(asked), float64(waited) / float64(asked)
 }
 
-// exchangeLoads lets each instance know what all others have under way.
+// exchangeLoads gives each pool the loads of all others.
 func exchangeLoads(pools []*Pool) {
 	own := make([]Loads, len(pools))
 	for i, p := range pools {
@@ -82,7 +83,7 @@
 
 func TestPickOfTwo(t *testing.T) {
 	Convey("Many instances before a few endpoints of a plain service spread their requests", t, func() {
-		standing, full := simulatePlainService(func(p *Pool) *Lease {
+		fixed, full := simulatePlainService(func(p *Pool) *Lease {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			members := p.services["app"]
@@ -90,13 +91,13 @@
 			m.open++
 			return &Lease{pool: p, member: m, endpoint: m.Endpoint}
 		})
-		So(standing, ShouldBeGreaterThan, 1.25)
+		So(fixed, ShouldBeGreaterThan, 1.25)
 		drawn, fullDrawn := simulatePlainService(func(p *Pool) *Lease { return p.Pick(Query{Service: "app"}) })
 		So(drawn, ShouldBeLessThan, 1.15)
 		So(fullDrawn, ShouldBeLessThan, full*6/10)
 	})
 
-	Convey("Of two endpoints the one with less to do is picked, and one of another zone only if it has clearly less", t, func() {
+	Convey("The less busy one of two endpoints is picked, and one in another zone only if it is clearly less busy", t, func() {
 		clock := &testClock{at: time.Unix(1000, 0)}
 		p := New("a", WithNow(clock.now))
 		p.Put(Endpoint{ID: "near", Service: "app", Addr: "10.0.0.1:80", Zone: "a", Slots: 20})
--- a/internal/pool/notice_test.go
+++ b/internal/pool/notice_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// noticePool is a pool of one endpoint, and what the pool reports noticePool.
+// noticePool is a pool of one endpoint, with the notices that the pool reports.
 type noticePool struct {
 	*Pool
 	clock   *testClock
@@ -24,22 +24,22 @@
 	return w
 }
 
-// noticeTime is the time of day at which words are heard.
+// noticeTime is the wall-clock time at which notices are received.
 var noticeTime = time.UnixMilli(5000)
 
-// record is the endpoint's record.
-func (*noticePool) record(born int64, draining bool) Endpoint {
-	return Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 64, StartedAt: born, Draining: draining}
+// record returns a record of the endpoint.
+func (*noticePool) record(startedAt int64, draining bool) Endpoint {
+	return Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 64, StartedAt: startedAt, Draining: draining}
 }
 
-// lease picks the endpoint, which must take work.
+// lease picks the endpoint, which must accept work.
 func (w *noticePool) lease() *Lease {
 	lease := w.Pick(Query{Service: "s"})
 	So(lease, ShouldNotBeNil)
 	return lease
 }
 
-// takes reports whether the endpoint takes work; nothing stays open there.
+// takes reports whether the endpoint gets a request, and ends the request at once.
 func (w *noticePool) takes() bool {
 	lease := w.Pick(Query{Service: "s"})
 	if lease == nil {
@@ -51,7 +51,7 @@
 
 func TestLeavingNotice(t *testing.T) {
 	leaving := Notice{Leaving: true}
-	Convey("An endpoint that has said in an answer that it leaves gets nothing new, though it is the only one", t, func() {
+	Convey("An endpoint that has announced in a response that it leaves gets nothing new, even as the only one", t, func() {
 		w := newNoticePool()
 		lease := w.lease()
 		So(w.Len(), ShouldEqual, 1)
@@ -63,36 +63,36 @@
 		So(lease.ProcessState(), ShouldEqual, ProcessLeaving)
 		So(w.notices, ShouldResemble, []NoticeTaken{{Endpoint: w.record(0, false), Notice: leaving, Answer: Answer{Request: "r", Status: 200}, Age: time.Second}})
 
-		Convey("also when its record says again that it is ready: alone, among all, gone and back, or with a start that was not told before", func() {
-			for _, tell := range []func(){
+		Convey("also if its record reports it ready again: alone, in a list, removed and added again, or with a start not reported before", func() {
+			for _, update := range []func(){
 				func() { w.Put(w.record(0, false)) },
 				func() { w.Replace([]Endpoint{w.record(0, false)}) },
 				func() { w.Remove("e"); w.Put(w.record(0, false)) },
 				func() { w.Replace(nil); w.Replace([]Endpoint{w.record(0, false)}) },
 				func() { w.Put(w.record(500, false)) },
-				func() { w.Put(w.record(400, false)) }, // an earlier start, told late
+				func() { w.Put(w.record(400, false)) }, // a late record of an earlier start
 				func() { w.Put(w.record(0, true)) },
 			} {
-				tell()
+				update()
 				So(w.takes(), ShouldBeFalse)
 			}
 			So(len(w.notices), ShouldEqual, 1)
 			So(w.ended, ShouldBeEmpty)
 		})
 
-		Convey("says so again without another line", func() {
+		Convey("announces it again without another report", func() {
 			lease.ObserveNotice(leaving, Answer{})
 			So(len(w.notices), ShouldEqual, 1)
 		})
 
-		Convey("until its record, which had said so too, says that it is ready: the drain was called off", func() {
+		Convey("until its record, which reported draining too, reports it ready: the drain was canceled", func() {
 			w.Put(w.record(0, true))
 			So(w.takes(), ShouldBeFalse)
 			w.Put(w.record(0, false))
 			So(w.takes(), ShouldBeTrue)
 			So(w.ended, ShouldResemble, []NoticeEnd{NoticeCanceled})
 
-			Convey("which a word that others heard before does not undo, and one that they heard later does", func() {
+			Convey("which an earlier notice to other instances does not undo, and a later one does", func() {
 				key := w.byID["e"].key()
 				w.clock.pass(5 * time.Second)
 				w.ObserveLeaving(Leaving{key: 6 * time.Second})
@@ -102,9 +102,9 @@
 			})
 		})
 
-		Convey("until it starts again, and what the run before says late is not of this one", func() {
+		Convey("until it restarts; a late notice from the previous run does not apply to this one", func() {
 			w.Put(w.record(500, false))
-			So(w.takes(), ShouldBeFalse) // the same run, which tells its start now
+			So(w.takes(), ShouldBeFalse) // the same run, which reports its start now
 			w.Put(w.record(900, false))
 			So(w.takes(), ShouldBeTrue)
 			So(w.ended, ShouldResemble, []NoticeEnd{NoticeRestarted})
@@ -112,7 +112,7 @@
 			So(w.takes(), ShouldBeTrue)
 		})
 
-		Convey("until it tells of a start after that, where it told of none before", func() {
+		Convey("until it reports a start after the notice, where it reported none before", func() {
 			w.Put(w.record(noticeTime.UnixMilli()+1, false))
 			So(w.takes(), ShouldBeTrue)
 			So(w.ended, ShouldResemble, []NoticeEnd{NoticeRestarted})
@@ -125,7 +125,7 @@
 			So(w.takes(), ShouldBeTrue)
 		})
 
-		Convey("until it has not said so for long; then it gets one request at first", func() {
+		Convey("until the notice expires; then it gets one request at first", func() {
 			w.clock.pass(leavingTTL - time.Millisecond)
 			So(w.takes(), ShouldBeFalse)
 			w.clock.pass(time.Millisecond)
@@ -139,14 +139,14 @@
 		})
 	})
 
-	Convey("An endpoint whose address another one has gets nothing new either, whatever its record says", t, func() {
+	Convey("An endpoint whose address another one has gets nothing new either, whatever its record reports", t, func() {
 		w := newNoticePool()
 		w.lease().Done(EndMoved)
 		w.Put(w.record(0, false))
 		So(w.takes(), ShouldBeFalse)
 	})
 
-	Convey("A request that is not sent yet is not wanted any more once its endpoint leaves, drains, rests, is gone or has started again", t, func() {
+	Convey("A request that is not sent yet is invalid once its endpoint leaves, rests, drains, restarts, is removed or is evacuated", t, func() {
 		for _, end := range []func(*noticePool, *Lease){
 			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Leaving: true}, Answer{}) },
 			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Rest: time.Second}, Answer{}) },
@@ -166,27 +166,27 @@
 }
 
 func TestLeavingFromPeers(t *testing.T) {
-	Convey("An instance tells which endpoints have said to it that they leave", t, func() {
+	Convey("An instance reports which endpoints have announced to it that they leave", t, func() {
 		w, other := newNoticePool(), newNoticePool()
 		So(w.Leaving(), ShouldBeEmpty)
 		w.lease().ObserveNotice(Notice{Leaving: true}, Answer{})
 		w.clock.pass(2 * time.Second)
-		told := w.Leaving()
-		So(told, ShouldResemble, Leaving{w.byID["e"].key(): 2 * time.Second})
+		reported := w.Leaving()
+		So(reported, ShouldResemble, Leaving{w.byID["e"].key(): 2 * time.Second})
 
-		Convey("and not any more when the endpoint's record says so itself, or is gone", func() {
+		Convey("but no longer once the endpoint's record reports that itself, or is removed", func() {
 			w.Put(w.record(0, true))
 			So(w.Leaving(), ShouldBeEmpty)
 			w.Remove("e")
 			So(w.Leaving(), ShouldBeEmpty)
 		})
 
-		Convey("and others that hear it send nothing there, and do not tell it on as their own", func() {
-			other.ObserveLeaving(told)
+		Convey("and others that receive this send nothing there, and do not report it as their own", func() {
+			other.ObserveLeaving(reported)
 			So(other.takes(), ShouldBeFalse)
 			So(other.notices[0].FromPeer, ShouldBeTrue)
 			So(other.Leaving(), ShouldBeEmpty)
-			other.ObserveLeaving(told)
+			other.ObserveLeaving(reported)
 			other.ObserveLeaving(nil)
 			So(other.takes(), ShouldBeFalse)
 			So(len(other.notices), ShouldEqual, 1)
@@ -194,9 +194,9 @@
 			So(other.takes(), ShouldBeTrue)
 		})
 
-		Convey("also those that do not know the endpoint yet, or see its record go and come back", func() {
+		Convey("also those to which the endpoint is still unknown, or whose record of it is removed and added again", func() {
 			other.Remove("e")
-			other.ObserveLeaving(told)
+			other.ObserveLeaving(reported)
 			other.Put(other.record(0, false))
 			So(other.takes(), ShouldBeFalse)
 			other.Remove("e")
@@ -204,14 +204,14 @@
 			So(other.takes(), ShouldBeFalse)
 		})
 
-		Convey("and it is not of a later run", func() {
+		Convey("and it does not apply to a later run", func() {
 			other.Put(other.record(500, false))
-			other.ObserveLeaving(told)
+			other.ObserveLeaving(reported)
 			So(other.takes(), ShouldBeTrue)
 		})
 	})
 
-	Convey("Of what several tell of one endpoint the newest counts", t, func() {
+	Convey("Of several notices of one endpoint the newest counts", t, func() {
 		l := Leaving{1: 5 * time.Second, 2: time.Second}
 		l.Add(Leaving{1: time.Second, 2: 5 * time.Second, 3: 0})
 		So(l, ShouldResemble, Leaving{1: time.Second, 2: time.Second, 3: 0})
@@ -219,18 +219,18 @@
 }
 
 func TestRestNotice(t *testing.T) {
-	Convey("An endpoint that has asked for rest gets nothing meanwhile, though it is the only one", t, func() {
+	Convey("An endpoint that has asked for rest gets nothing meanwhile, even as the only one", t, func() {
 		w := newNoticePool()
 		first, second := w.lease(), w.lease()
 		first.ObserveNotice(Notice{Rest: 3 * time.Second}, Answer{Status: 503})
 		first.Done(EndBusy)
 		w.clock.pass(time.Second)
 		So(w.takes(), ShouldBeFalse)
-		So(w.Len(), ShouldEqual, 1) // it is there
+		So(w.Len(), ShouldEqual, 1) // it still counts as accepting work
 		So(w.Availability(Query{Service: "s"}), ShouldResemble, Availability{Rest: 2 * time.Second})
 		So(second.ProcessState(), ShouldEqual, ProcessRunning)
 
-		Convey("the longest of the times that it asks for counts, in one line", func() {
+		Convey("the longest of the times that it asks for counts, and is reported once", func() {
 			second.ObserveNotice(Notice{Rest: time.Second}, Answer{})
 			w.clock.pass(1900 * time.Millisecond)
 			So(w.takes(), ShouldBeFalse)
@@ -244,7 +244,7 @@
 			So(w.ended, ShouldResemble, []NoticeEnd{NoticeExpired})
 		})
 
-		Convey("also where its record goes and comes back; a later run knows nothing of it", func() {
+		Convey("also if its record is removed and added again; it does not apply to a later run", func() {
 			w.Remove("e")
 			w.Put(w.record(0, false))
 			So(w.takes(), ShouldBeFalse)
@@ -253,7 +253,7 @@
 			So(w.takes(), ShouldBeTrue)
 		})
 
-		Convey("then one request at a time, then with each answer one more, and in time as many as before", func() {
+		Convey("then it gets one request at a time, one more with each response, and in time as many as before", func() {
 			second.Done(EndGood)
 			w.clock.pass(2 * time.Second)
 			open := func() (out []*Lease) {
@@ -275,7 +275,7 @@
 		})
 	})
 
-	Convey("Instances that were told at the same time come back at different times", t, func() {
+	Convey("Instances that receive the notice at the same time return at different times", t, func() {
 		w := newNoticePool()
 		w.random = func(n int) int { return n - 1 }
 		w.lease().ObserveNotice(Notice{Rest: 10 * time.Second}, Answer{})
@@ -285,7 +285,7 @@
 		So(w.takes(), ShouldBeTrue)
 	})
 
-	Convey("A service opens when the first of its endpoints does", t, func() {
+	Convey("A service is available again when the first of its endpoints is", t, func() {
 		w := newNoticePool()
 		w.Put(Endpoint{ID: "f", Service: "s", Addr: "10.0.0.2:80", Zone: "a", Slots: 1})
 		for range 2 {
@@ -298,14 +298,15 @@
 	})
 }
 
-// A run that has said that it leaves gets nothing for as long as that holds, in whatever order records come, go, and are told again; nor does one
-// that rests.
+// TestNoticesHoldProperty checks that a run that has announced that it leaves, or has asked for rest, gets no request
+// while that applies, in whatever order records arrive, are removed and are repeated.
 func TestNoticesHoldProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := &testClock{at: time.Unix(1000, 0)}
 		p := New("a", WithNow(clock.now), WithRandom(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "random") }))
 		newest := 1
-		// record is that of the newest run, or of an earlier one, told late; not so once the newest run's record is gone: the store's order holds.
+		// record returns a record of the newest run, or a late one of an earlier run. After the newest run's record
+		// is removed, no earlier one follows: the store keeps their order.
 		record := func() Endpoint {
 			first := 1
 			if p.byID["e"] == nil {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -28,7 +28,7 @@
 		p := newPool(clock, 4)
 		pick := func(affinity string) *Lease { return p.Pick(Query{Service: "models", Affinity: affinity}) }
 
-		Convey("sends what shares a prompt to one endpoint until it is loaded", func() {
+		Convey("sends requests with the same prompt to one endpoint until it is loaded", func() {
 			first := pick("prompt")
 			So(first.Reason(), ShouldEqual, ReasonAffinity)
 			second := pick("prompt")
@@ -41,7 +41,7 @@
 			So(last.Reason(), ShouldEqual, ReasonSpill)
 		})
 
-		Convey("spreads what shares nothing, and never over the slots", func() {
+		Convey("spreads requests without affinity, and never exceeds the slots", func() {
 			seen := make(map[string]int)
 			for range 32 {
 				seen[pick("").Endpoint().ID]++
@@ -51,7 +51,7 @@
 			So(pick(""), ShouldBeNil)
 		})
 
-		Convey("sends nothing to what drains, is gone, or has had the request", func() {
+		Convey("sends nothing to endpoints that drain, are removed, or have been tried", func() {
 			p.Put(Endpoint{ID: "e-0", Service: "models", Addr: "10.0.0.0:80", Zone: "a", Draining: true})
 			So(p.Remove("e-1"), ShouldBeTrue)
 			lease := p.Pick(Query{Service: "models", Tried: map[string]bool{"e-2": true}})
@@ -67,7 +67,7 @@
 			So(pick("prompt").Endpoint().ID, ShouldEqual, lease.Endpoint().ID)
 		})
 
-		Convey("avoids an endpoint that owes an answer and is silent", func() {
+		Convey("avoids an endpoint that owes a response and is silent", func() {
 			lease := pick("prompt")
 			clock.pass(p.policy.MinResponseTimeout + time.Millisecond)
 			So(lease.Silent(), ShouldBeTrue)
@@ -76,7 +76,7 @@
 			So(lease.Silent(), ShouldBeFalse)
 		})
 
-		Convey("avoids an endpoint that fails much, and forgets it in time", func() {
+		Convey("avoids an endpoint that fails often, until its failures have decayed", func() {
 			var id string
 			for range 6 {
 				lease := pick("prompt")
@@ -90,7 +90,7 @@
 			So(pick("prompt").Endpoint().ID, ShouldEqual, id)
 		})
 
-		Convey("keeps off a zone whose endpoints cannot be reached, but for a try now and then", func() {
+		Convey("avoids a zone whose endpoints cannot be reached, except for an occasional probe", func() {
 			for i := range 3 {
 				p.Put(Endpoint{ID: fmt.Sprintf("far-%d", i), Service: "models", Addr: "10.1.0.1:80", Zone: "b", Slots: 8})
 			}
@@ -125,14 +125,14 @@
 			So(pick("prompt"), ShouldNotBeNil)
 		})
 
-		Convey("takes an endpoint out whose address another one has", func() {
+		Convey("excludes an endpoint whose address another one has", func() {
 			lease := pick("prompt")
 			lease.Done(EndMoved)
 			So(pick("prompt").Endpoint().ID, ShouldNotEqual, lease.Endpoint().ID)
 			So(p.Len(), ShouldEqual, 3)
 		})
 
-		Convey("keeps a lease as it was picked while records change", func() {
+		Convey("keeps the record of a lease as of the pick while records change", func() {
 			lease := pick("prompt")
 			picked := lease.Endpoint()
 			var g sync.WaitGroup
@@ -149,7 +149,7 @@
 			g.Wait()
 		})
 
-		Convey("counts a use that ends twice once", func() {
+		Convey("counts a lease that ends twice once", func() {
 			lease := pick("")
 			lease.Done(EndGood)
 			lease.Done(EndGood)
@@ -157,14 +157,14 @@
 		})
 	})
 
-	Convey("A list replaces what was known, and says whose connections to close", t, func() {
+	Convey("A list replaces all endpoints, and the addresses of removed ones are reported", t, func() {
 		clock := &testClock{at: time.Unix(1000, 0)}
 		var closed []string
 		p := New("a", WithNow(clock.now), OnRemoved(func(addr string) { closed = append(closed, addr) }))
 		p.Replace([]Endpoint{{ID: "x", Service: "s", Addr: "1:1"}, {ID: "y", Service: "s", Addr: "2:2"}})
-		came, went := p.Replace([]Endpoint{{ID: "y", Service: "s", Addr: "2:2"}, {ID: "z", Service: "s", Addr: "1:1"}})
-		So(came, ShouldEqual, 1)
-		So(went, ShouldEqual, 1)
+		added, removed := p.Replace([]Endpoint{{ID: "y", Service: "s", Addr: "2:2"}, {ID: "z", Service: "s", Addr: "1:1"}})
+		So(added, ShouldEqual, 1)
+		So(removed, ShouldEqual, 1)
 		So(closed, ShouldResemble, []string{"1:1"})
 	})
 }
@@ -183,7 +183,7 @@
 		}
 		lease := p.Pick(long)
 
-		Convey("may be silent for some times what such a prompt takes", func() {
+		Convey("may be silent for a multiple of the time that such a prompt takes", func() {
 			So(lease.ResponseTimeout(), ShouldEqual, 2*time.Second)
 			clock.pass(1900 * time.Millisecond)
 			So(lease.Silent(), ShouldBeFalse)
@@ -191,7 +191,7 @@
 			So(lease.Silent(), ShouldBeTrue)
 		})
 
-		Convey("may not be silent for longer than any other once that prompt is done with", func() {
+		Convey("may be silent for no longer than any other once that prompt is done", func() {
 			lease.Done(EndGood)
 			short := p.Pick(Query{Service: "models", Affinity: "prompt", Prompt: 500})
 			So(short.ResponseTimeout(), ShouldEqual, p.policy.MinResponseTimeout)
@@ -199,16 +199,17 @@
 			So(short.Silent(), ShouldBeTrue)
 		})
 
-		Convey("is given up at some point, however long its prompt", func() {
+		Convey("has a bounded response timeout, however long its prompt is", func() {
 			So(p.Pick(Query{Service: "models", Prompt: 1 << 30}).ResponseTimeout(), ShouldEqual, maxResponseTimeout)
 		})
 	})
 }
 
-// What was noted of an endpoint is forgotten when it does not count any more, so that picks need not look at it again.
+// TestExpireState checks that expired state of an endpoint is cleared, so that picks need not evaluate the endpoint
+// again.
 func TestExpireState(t *testing.T) {
-	Convey("An endpoint of which something was noted is unmarked again in time", t, func() {
-		for _, note := range []func(*Pool, *Lease){
+	Convey("An endpoint for which state is tracked is pristine again in time", t, func() {
+		for _, affect := range []func(*Pool, *Lease){
 			func(_ *Pool, l *Lease) { l.Done(EndBroken) },
 			func(_ *Pool, l *Lease) { l.Done(EndBusy) },
 			func(_ *Pool, l *Lease) { l.Done(EndFailed) },
@@ -220,7 +221,7 @@
 			p := newPool(clock, 1)
 			m := p.byID["e-0"]
 			So(m.pristine(), ShouldBeTrue)
-			note(p, p.Pick(Query{Service: "models"}))
+			affect(p, p.Pick(Query{Service: "models"}))
 			So(m.pristine(), ShouldBeFalse)
 			clock.pass(3 * time.Minute)
 			p.Pick(Query{Service: "models"}).Done(EndNeutral)
--- a/internal/pool/restart_test.go
+++ b/internal/pool/restart_test.go
@@ -7,25 +7,26 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// An endpoint came back under its ID and address. Its record was taken for that of the process before: its pause, its share of failures, the
-// requests counted as open there and what others had under way all went on, and an older record that came late put the dead process back.
+// TestEndpointRestart guards against taking the record of a restarted endpoint, with the same ID and address, for
+// that of the previous process. Its pause, its share of failures, its open requests and the loads of other instances
+// would carry over, and a late record would bring the previous process back.
 func TestEndpointRestart(t *testing.T) {
-	Convey("An endpoint that has seen requests", t, func() {
+	Convey("An endpoint that has run requests", t, func() {
 		now := time.Unix(1000, 0)
-		gone := 0
-		l := New("a", WithNow(func() time.Time { return now }), OnRemoved(func(string) { gone++ }))
-		at := func(born int64) Endpoint {
-			return Endpoint{ID: "e", Service: "s", Addr: "1:1", Zone: "a", Slots: 1, StartedAt: born}
+		removals := 0
+		l := New("a", WithNow(func() time.Time { return now }), OnRemoved(func(string) { removals++ }))
+		at := func(startedAt int64) Endpoint {
+			return Endpoint{ID: "e", Service: "s", Addr: "1:1", Zone: "a", Slots: 1, StartedAt: startedAt}
 		}
 		l.Put(at(100))
 		lease := l.Pick(Query{Service: "s"})
 		So(lease, ShouldNotBeNil)
-		So(l.Pick(Query{Service: "s"}), ShouldBeNil) // its only slot is taken
+		So(l.Pick(Query{Service: "s"}), ShouldBeNil) // its only slot is in use
 		l.SetPeerLoads(Loads{l.byID["e"].key(): {Open: 7, Failed: 5, Ended: 5}})
 
-		Convey("is another one once it tells of a later start: nothing of before counts there", func() {
+		Convey("counts as a new one once it reports a later start: no earlier state applies", func() {
 			So(l.Put(at(200)), ShouldBeTrue)
-			So(gone, ShouldEqual, 1)
+			So(removals, ShouldEqual, 1)
 			So(lease.ProcessState(), ShouldEqual, ProcessEnded)
 			m := l.byID["e"]
 			So(m.open, ShouldEqual, 0)
@@ -33,34 +34,34 @@
 			again := l.Pick(Query{Service: "s"})
 			So(again, ShouldNotBeNil)
 
-			Convey("a use of the process before ends without a trace", func() {
+			Convey("a lease of the previous process ends without effect", func() {
 				lease.Done(EndBroken)
 				So(m.open, ShouldEqual, 1)
 				So(m.pause, ShouldEqual, 0)
 			})
 
-			Convey("an earlier start that is told late changes nothing, alone or among all", func() {
+			Convey("a late record of an earlier start changes nothing, alone or in a list", func() {
 				So(l.Put(at(100)), ShouldBeFalse)
-				came, went := l.Replace([]Endpoint{at(100)})
-				So(came+went, ShouldEqual, 0)
+				added, removed := l.Replace([]Endpoint{at(100)})
+				So(added+removed, ShouldEqual, 0)
 				So(l.byID["e"], ShouldEqual, m)
 				So(m.StartedAt, ShouldEqual, 200)
 			})
 
-			Convey("a word without a start tells nothing of it", func() {
+			Convey("a record without a start time keeps the known one", func() {
 				So(l.Put(at(0)), ShouldBeFalse)
 				So(l.byID["e"], ShouldEqual, m)
 				So(m.StartedAt, ShouldEqual, 200)
 			})
 		})
 
-		Convey("stays what it is while it tells of the same start, or tells of its start for the first time", func() {
+		Convey("keeps its state while it reports the same start", func() {
 			l.Put(at(100))
 			So(lease.ProcessState(), ShouldEqual, ProcessRunning)
 			So(l.byID["e"].open, ShouldEqual, 1)
 		})
 
-		Convey("is leaving once it drains or its record is gone", func() {
+		Convey("is leaving once it drains or its record is removed", func() {
 			e := at(100)
 			e.Draining = true
 			l.Put(e)
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -10,22 +10,23 @@
 	"github.com/ledgemount/ledgemount/internal/slowstart"
 )
 
-// A machine that was suspended for eight seconds took all that it had heard of endpoints for eight seconds fresher than it was, by a clock that stands
-// still meanwhile: loads of others that were long gone, pauses and rests that were long over.
+// TestEndpointsAcrossSuspension guards against a clock that stands still while the machine is suspended. After a
+// suspension of eight seconds, all that was received about endpoints seemed eight seconds fresher than it was: loads
+// of other instances that were outdated, and pauses and rests that were long over.
 func TestEndpointsAcrossSuspension(t *testing.T) {
 	const suspended = 8 * time.Second
-	type known struct {
+	type suspendable struct {
 		*Pool
 		sleep func()
 	}
-	begin := func(counts bool) known {
+	newPool := func(countsSuspension bool) suspendable {
 		boot := time.Hour
 		clock := boottime.New(boottime.WithRead(func() (time.Duration, error) { return boot, nil }))
 		p := New("a", WithNow(clock.Now), WithRandom(func(int) int { return 0 }))
 		p.SetWarmups(map[string]slowstart.Warmup{"s": {Time: 5 * time.Second, PerSecond: 1}})
 		p.Put(Endpoint{ID: "e", Service: "s", Addr: "1:1", Zone: "a", Slots: 4})
-		return known{p, func() {
-			if counts {
+		return suspendable{p, func() {
+			if countsSuspension {
 				boot += suspended
 				clock.Check()
 			}
@@ -41,9 +42,9 @@
 	}
 	for name, c := range map[string]struct {
 		before func(p *Pool)
-		awake  func(p *Pool) bool // as it has to be after the suspension
+		awake  func(p *Pool) bool // what must be true after the suspension
 	}{
-		"what others have under way is old": {
+		"the loads of other instances have expired": {
 			func(p *Pool) { p.SetPeerLoads(Loads{p.byID["e"].key(): {Open: 9}}) },
 			func(p *Pool) bool { return p.PeerLoads() == nil },
 		},
@@ -67,20 +68,20 @@
 			},
 			takes,
 		},
-		"an answer that was owed is overdue": {
+		"a response is overdue": {
 			func(p *Pool) { p.Pick(Query{Service: "s"}) },
 			func(p *Pool) bool { return !takes(p) },
 		},
 	} {
 		Convey("After a suspension "+name, t, func() {
-			k := begin(true)
+			k := newPool(true)
 			c.before(k.Pool)
 			So(c.awake(k.Pool), ShouldBeFalse)
 			k.sleep()
 			So(c.awake(k.Pool), ShouldBeTrue)
 
-			Convey("which a clock that leaves it out does not tell", func() {
-				k := begin(false)
+			Convey("but not with a clock that does not count the suspension", func() {
+				k := newPool(false)
 				c.before(k.Pool)
 				k.sleep()
 				So(c.awake(k.Pool), ShouldBeFalse)
--- a/internal/pool/warm_test.go
+++ b/internal/pool/warm_test.go
@@ -29,7 +29,7 @@
 			}
 		})
 
-		Convey("get none as a last resort either: not where all others are unsound, nor where all have had the request", func() {
+		Convey("get none as a last resort either: not if all others are unhealthy, nor if all others have been tried", func() {
 			for range 6 {
 				p.Pick(Query{Service: "models"}).Done(EndBroken)
 			}
@@ -37,7 +37,7 @@
 			So(p.Pick(Query{Service: "models", Tried: map[string]bool{"far": true}}), ShouldBeNil)
 		})
 
-		Convey("are the reason that a pick tells where affinity names one of them first", func() {
+		Convey("are reported as excluded by a pick whose affinity prefers one of them", func() {
 			kept := make(map[Exclusion]int)
 			for i := range 32 {
 				lease := p.Pick(Query{Service: "models", Affinity: fmt.Sprint("topic-", i)})
@@ -48,7 +48,7 @@
 			So(kept[NotExcluded], ShouldBeGreaterThan, 2)
 		})
 
-		Convey("get work again once that is taken back", func() {
+		Convey("get work again once the evacuation ends", func() {
 			p.SetEvacuated(nil)
 			seen := make(map[string]int)
 			for i := range 32 {
@@ -62,7 +62,7 @@
 }
 
 func TestRegions(t *testing.T) {
-	Convey("A request that may run in some regions only is sent to no endpoint of another", t, func() {
+	Convey("A request that may run in some regions only is sent to no endpoint of another region", t, func() {
 		clock := &testClock{at: time.Unix(1000, 0)}
 		p := New("a", WithNow(clock.now), WithRegions(map[string]string{"a": "north", "b": "south"}))
 		for _, zone := range []string{"a", "b", "c"} {
@@ -78,7 +78,7 @@
 	})
 }
 
-// rankedOwners tells owners by the same order at each instance, as peers.Directory does.
+// rankedOwners determines owners by the same order at each instance, as peers.Directory does.
 type rankedOwners struct {
 	self string
 	list []mesh.Peer
@@ -99,8 +99,9 @@
 	return false
 }
 
-// simulateColdZone plays a zone of a large fleet that is given back cold, at 420 requests a second of 360 topics, and returns the most that a
-// cold endpoint gets in one second, and the part of all requests that found no endpoint.
+// simulateColdZone simulates a large fleet in which a zone returns cold, at 420 requests a second of 360 topics. It
+// returns the most requests that a cold endpoint gets in one second, and the share of all requests that found no
+// endpoint.
 func simulateColdZone(policy Policy, bounds slowstart.Bounds, perSecond float64) (worst int, refused float64) {
 	const (
 		instances, endpoints = 87, 90
@@ -161,17 +162,17 @@
 }
 
 func TestColdZone(t *testing.T) {
-	Convey("When a zone is given back cold, no cold endpoint gets more in a second than all instances together may send", t, func() {
-		const perSecond = 5 // low enough that affinity alone exceeds the bound in every play
+	Convey("When a zone returns cold, no cold endpoint gets more in a second than all instances together may send", t, func() {
+		const perSecond = 5 // low enough that affinity alone exceeds the bound in every run
 		bounds := slowstart.Bounds{Overage: 1.5, Slack: 1}
-		const most = 8 // PerSecond * Overage + Slack, rounded down
+		const maxPerSecond = 8 // PerSecond * Overage + Slack, rounded down
 		unbounded, _ := simulateColdZone(DefaultPolicy(), bounds, 0)
-		So(unbounded, ShouldBeGreaterThan, most)
+		So(unbounded, ShouldBeGreaterThan, maxPerSecond)
 
 		owned := DefaultPolicy()
 		owned.ColdLast = false
 		worst, refused := simulateColdZone(owned, bounds, perSecond)
-		So(worst, ShouldBeBetweenOrEqual, 1, most)
+		So(worst, ShouldBeBetweenOrEqual, 1, maxPerSecond)
 		So(refused, ShouldEqual, 0)
 
 		last := DefaultPolicy()
@@ -181,7 +182,7 @@
 		So(refused, ShouldEqual, 0)
 	})
 
-	Convey("Where all endpoints that are left are cold", t, func() {
+	Convey("If all remaining endpoints are cold", t, func() {
 		clock := &testClock{at: time.Unix(1000, 0)}
 		p := New("a", WithNow(clock.now), WithColdBounds(slowstart.Bounds{Overage: 1.5, Slack: 5}))
 		p.SetWarmups(map[string]slowstart.Warmup{"models": {Time: 3 * time.Second, PerSecond: 9.9}})
@@ -197,7 +198,7 @@
 			So(p.Pick(Query{Service: "models"}), ShouldNotBeNil)
 		})
 
-		Convey("they get all once they are warm, which a later record does not put off", func() {
+		Convey("they get all requests once they are warm, which a later record does not delay", func() {
 			put(time.Second)
 			clock.pass(3 * time.Second)
 			for range 10 {
@@ -205,7 +206,7 @@
 			}
 		})
 
-		Convey("they are cold again when they say so", func() {
+		Convey("they are cold again when they report it", func() {
 			clock.pass(3 * time.Second)
 			put(3 * time.Second)
 			So(p.Pick(Query{Service: "models"}), ShouldNotBeNil)
