--- a/internal/pool/chooser.go
+++ b/internal/pool/chooser.go
@@ -158,7 +158,7 @@
 // DefaultChooser returns the chooser in use; docs/design/balancing.md has the measurements.
 func DefaultChooser() Chooser[Candidate] { return PrefixAffinity{Bound: 1.05, Sample: 6} }
 
-// pickByChooser lets the pool's Chooser pick among the healthy endpoints. The caller holds mu.
+// pickByChooser returns the healthy endpoint that the pool's Chooser picks. The caller holds mu.
 func (l *Pool) pickByChooser(members []*member, q Query) *member {
 	l.candidates, l.candidateMembers = l.candidates[:0], l.candidateMembers[:0]
 	for _, m := range members {
@@ -190,7 +190,7 @@
 	l.prefixes.Remove(endpoint, block)
 }
 
-// ForgetPrompts drops all that is recorded of an endpoint's cache.
+// ForgetPrompts removes all records of an endpoint's cached prompts.
 func (l *Pool) ForgetPrompts(endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/pool/connections.go
+++ b/internal/pool/connections.go
@@ -4,9 +4,9 @@
 
 // connections bounds the connections that this instance opens to each endpoint of a service, so that all instances
 // together open no more than an endpoint accepts: it resets connections beyond that, and the requests on them. Each
-// instance has an even share, whatever it knows of the others. It opens more while all instances together have opened
-// less than half of what the endpoint accepts, as far as reported: requests with the same affinity belong together,
-// and a few endpoints would otherwise be closed to most of hundreds of instances.
+// instance may always open an even share. It opens more while all instances together have opened less than half of
+// the accepted number, according to the reported loads: requests with the same affinity belong together, and with
+// even shares alone a few endpoints would be closed to most of hundreds of instances.
 type connections struct {
 	limit   int // to an endpoint from all instances together
 	share   int // of this instance; 0: there are more instances than connections
--- a/internal/pool/draw.go
+++ b/internal/pool/draw.go
@@ -11,14 +11,14 @@
 // again.
 const busierFactor = 1.2
 
-// pickOfTwo draws two healthy endpoints at random and picks the one that is clearly less busy, or else either of
-// them. It serves requests without affinity.
+// pickOfTwo draws two healthy endpoints at random and picks the less busy one, or either of them if they differ
+// little. It serves requests without affinity.
 //
 // It is meant for a large fleet before a few small endpoints, such as those of plain services. Each instance has
-// almost no requests open there itself, so that all endpoints are equal by its own count, and any fixed order sends
-// the requests of all instances to the same endpoint. The loads of other instances arrive half a second late, when
-// work of some 60 ms has long changed: by open requests, all instances would move to one endpoint after the other. So
-// it compares how many requests have ended in the last seconds. TestPickOfTwo reproduces it.
+// almost no requests open there itself, so all endpoints are equal by its own count, and any fixed order sends the
+// requests of all instances to the same endpoint. The loads of other instances arrive half a second late, when work
+// of some 60 ms has long changed: by open requests, all instances would move to one endpoint after the other. So it
+// compares how many requests have ended in the last seconds. TestPickOfTwo reproduces it.
 func (l *Pool) pickOfTwo(members []*member, now time.Time) *member {
 	var a, b *member
 	n := 0
--- a/internal/pool/health.go
+++ b/internal/pool/health.go
@@ -65,7 +65,7 @@
 	return s.pool.silent(s.member, s.pool.now())
 }
 
-// ProcessState is what is known of the process of the picked endpoint.
+// ProcessState is the last known state of the picked endpoint's process.
 type ProcessState int
 
 // The states of a process.
@@ -75,7 +75,7 @@
 	ProcessEnded                       // another process has started under its ID
 )
 
-// ProcessState returns what is known of the process of the picked endpoint.
+// ProcessState returns the last known state of the picked endpoint's process.
 func (s *Lease) ProcessState() ProcessState {
 	s.pool.mu.RLock()
 	defer s.pool.mu.RUnlock()
@@ -100,11 +100,11 @@
 	EndUnreachable            // no connection was established
 	EndBusy                   // the endpoint rejected it for lack of capacity
 	EndMoved                  // another endpoint has the address
-	EndNeutral                // says nothing about the endpoint: the caller left, or the deadline passed
+	EndNeutral                // no conclusion about the endpoint: the caller left, or the deadline passed
 	EndUnsent                 // nothing was sent: the endpoint no longer accepted it
 )
 
-// Accepted records that the endpoint runs the request, which lets the endpoint's window grow.
+// Accepted records that the endpoint runs the request. This enlarges the endpoint's window, if it has one.
 func (s *Lease) Accepted() {
 	if s.window == nil {
 		return
--- a/internal/pool/limits.go
+++ b/internal/pool/limits.go
@@ -49,7 +49,7 @@
 }
 
 // limitChanged reports that a limit takes effect, changes or ends. The caller holds mu.
-func (l *Pool) limitChanged(m *member, x *announced, before limit.Rate, h NoticeTaken) {
+func (l *Pool) limitChanged(m *member, x *announced, before limit.Rate, n NoticeTaken) {
 	now := l.now()
 	r := x.limits.known.Rate(now)
 	if x.limits.active = r.Named(); x.limits.active && !before.Named() {
@@ -59,8 +59,8 @@
 	switch {
 	case r == before:
 	case r.Named():
-		h.Notice = Notice{Limit: r}
-		l.onNotice(h)
+		n.Notice = Notice{Limit: r}
+		l.onNotice(n)
 	default:
 		l.onNoticeEnded(NoticeEnded{Endpoint: m.Endpoint, Why: NoticeLifted})
 	}
@@ -133,8 +133,8 @@
 	return true
 }
 
-// underusedLimited finds an endpoint that is to get the next request of the service, whatever its affinity: the
-// endpoint's limit admits a request that no affinity sends there. The caller holds mu.
+// underusedLimited finds an endpoint that is to get the next request of the service regardless of affinity: the
+// endpoint's limit admits more requests than affinity sends there. The caller holds mu.
 func (l *Pool) underusedLimited(members []*member, now time.Time) *member {
 	if l.limited == 0 {
 		return nil
--- a/internal/pool/load.go
+++ b/internal/pool/load.go
@@ -158,7 +158,7 @@
 }
 
 // failsForAll reports whether requests of all instances fail at an endpoint, or wait there in vain. It runs for every
-// endpoint on every request, so it first checks what is nearly always zero. The caller holds mu.
+// endpoint on every request, so it first checks values that are almost always zero. The caller holds mu.
 func (l *Pool) failsForAll(m *member, now time.Time) bool {
 	if (m.peerLoad.Failed == 0 && m.peerLoad.Silent == 0 && m.failed.perSecond == 0) || !l.peerLoadsFresh(now) {
 		return false
--- a/internal/pool/notice.go
+++ b/internal/pool/notice.go
@@ -39,39 +39,39 @@
 )
 
 // Name returns the notice's name in logs and metrics.
-func (w Notice) Name() string {
+func (n Notice) Name() string {
 	switch {
-	case w.Moved:
+	case n.Moved:
 		return "moved"
-	case w.Leaving:
+	case n.Leaving:
 		return "leaving"
-	case w.Rest > 0:
+	case n.Rest > 0:
 		return "resting"
 	}
 	return "limited"
 }
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
-func (h NoticeTaken) MarshalZerologObject(e *zerolog.Event) {
-	e.Str("word", h.Notice.Name()).Str("endpoint", h.Endpoint.Run()).Str("service", h.Endpoint.Service).Bool("told", h.FromPeer).
-		Str("request", h.Answer.Request).Int("status", h.Answer.Status).Int64("rest_ms", h.Notice.Rest.Milliseconds()).
-		Float64("limit", h.Notice.Limit.PerSecond()).Bool("record_draining", h.Endpoint.Draining).Int64("record_age_ms", h.Age.Milliseconds())
+func (n NoticeTaken) MarshalZerologObject(e *zerolog.Event) {
+	e.Str("word", n.Notice.Name()).Str("endpoint", n.Endpoint.Run()).Str("service", n.Endpoint.Service).Bool("told", n.FromPeer).
+		Str("request", n.Answer.Request).Int("status", n.Answer.Status).Int64("rest_ms", n.Notice.Rest.Milliseconds()).
+		Float64("limit", n.Notice.Limit.PerSecond()).Bool("record_draining", n.Endpoint.Draining).Int64("record_age_ms", n.Age.Milliseconds())
 }
 
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
-func (s NoticeEnded) MarshalZerologObject(e *zerolog.Event) {
-	e.Str("endpoint", s.Endpoint.Run()).Str("service", s.Endpoint.Service).Str("why", string(s.Why))
+func (n NoticeEnded) MarshalZerologObject(e *zerolog.Event) {
+	e.Str("endpoint", n.Endpoint.Run()).Str("service", n.Endpoint.Service).Str("why", string(n.Why))
 }
 
 // LogNotices returns functions that log notices: 20 lines a second at most, since endpoints that ask for short rests
 // do so again and again.
 func LogNotices(log zerolog.Logger) (taken func(NoticeTaken), ended func(NoticeEnded)) {
 	lines := log.Sample(&zerolog.BurstSampler{Burst: maxNoticeLines, Period: time.Second})
-	taken = func(h NoticeTaken) {
-		lines.Info().Str("event", EventNotice).EmbedObject(h).Msg("endpoint announced in a response that it accepts less work or none")
+	taken = func(n NoticeTaken) {
+		lines.Info().Str("event", EventNotice).EmbedObject(n).Msg("endpoint announced in a response that it accepts less work or none")
 	}
-	ended = func(s NoticeEnded) {
-		lines.Info().Str("event", EventNoticeEnded).EmbedObject(s).Msg("endpoint gets work again")
+	ended = func(n NoticeEnded) {
+		lines.Info().Str("event", EventNoticeEnded).EmbedObject(n).Msg("endpoint gets work again")
 	}
 	return taken, ended
 }
@@ -101,7 +101,7 @@
 	// many of them if the store is unreachable. An endpoint that stays after all without reporting so in its record
 	// gets work again after this time.
 	leavingTTL = 10 * time.Minute
-	// maxAnnounced bounds the number of stored announcements, which include those of endpoints without a record.
+	// maxAnnounced is the number of stored announcements from which on those of endpoints without a record are evicted.
 	maxAnnounced = 4096
 )
 
@@ -122,17 +122,17 @@
 
 // ObserveNotice applies what the endpoint announces in a response. The absence of a limit counts too: it may lift an
 // earlier one.
-func (s *Lease) ObserveNotice(w Notice, a Answer) {
+func (s *Lease) ObserveNotice(n Notice, a Answer) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	if w.Leaving || w.Moved || w.Rest > 0 {
-		s.pool.observe(s.member, w, a)
+	if n.Leaving || n.Moved || n.Rest > 0 {
+		s.pool.observe(s.member, n, a)
 	}
-	s.pool.observeLimit(s, w.Limit, a)
+	s.pool.observeLimit(s, n.Limit, a)
 }
 
 // observe applies a notice that this instance has received itself. The caller holds mu.
-func (l *Pool) observe(m *member, w Notice, a Answer) {
+func (l *Pool) observe(m *member, n Notice, a Answer) {
 	x := l.announcedBy(m.Endpoint)
 	if x == nil {
 		return
@@ -140,16 +140,16 @@
 	now := l.now()
 	x.receivedUnixMilli = l.wall().UnixMilli()
 	changed := false
-	if w.Leaving || w.Moved {
+	if n.Leaving || n.Moved {
 		changed = !x.leaves(now)
 		x.leavingAt, x.direct = now, true
 	}
-	if w.Rest > 0 {
-		changed = x.extendRest(now, now.Add(w.Rest+l.restJitter(w.Rest)+l.returnDelay(m))) || changed
+	if n.Rest > 0 {
+		changed = x.extendRest(now, now.Add(n.Rest+l.restJitter(n.Rest)+l.returnDelay(m))) || changed
 		m.window = m.window.shrunk(now, m.open, l.policy.RestDecrease)
 	}
 	if changed {
-		l.onNotice(NoticeTaken{Endpoint: m.Endpoint, Notice: w, Answer: a, Age: now.Sub(m.recordAt)})
+		l.onNotice(NoticeTaken{Endpoint: m.Endpoint, Notice: n, Answer: a, Age: now.Sub(m.recordAt)})
 	}
 }
 
@@ -164,7 +164,7 @@
 	return started
 }
 
-// restJitter is how much later than asked, at random, this instance returns.
+// restJitter is a random delay that this instance adds to a rest.
 func (l *Pool) restJitter(rest time.Duration) time.Duration {
 	const steps = 1 << 16
 	return time.Duration(l.policy.RestJitter * float64(rest) * float64(l.random(steps)) / steps)
@@ -217,7 +217,7 @@
 	return a.ID == b.ID && a.Service == b.Service && a.Addr == b.Addr && !a.Outdated(b) && !b.Outdated(a)
 }
 
-// evictAnnounced makes room for another run: it drops announcements that no longer apply, and those of endpoints
+// evictAnnounced frees space for another run: it drops announcements that no longer apply, and those of endpoints
 // without a record.
 func (l *Pool) evictAnnounced() {
 	if len(l.announced) < maxAnnounced {
@@ -363,8 +363,8 @@
 	}
 }
 
-// applyPeersLeaving applies what an endpoint has announced to other instances, unless that is older than what is
-// known. The caller holds mu.
+// applyPeersLeaving applies the notice that an endpoint leaves which other instances have received, unless it is
+// older than the known state. The caller holds mu.
 func (l *Pool) applyPeersLeaving(m *member) {
 	age, ok := l.peersLeaving[m.key()]
 	if !ok || age >= leavingTTL {
--- a/internal/pool/notice_test.go
+++ b/internal/pool/notice_test.go
@@ -17,11 +17,11 @@
 }
 
 func newNoticePool() *noticePool {
-	w := &noticePool{clock: &testClock{at: time.Unix(1000, 0)}}
-	w.Pool = New("a", WithNow(w.clock.now), WithWall(func() time.Time { return noticeTime }), WithRandom(func(int) int { return 0 }),
-		OnNotice(func(h NoticeTaken) { w.notices = append(w.notices, h) }), OnNoticeEnded(func(s NoticeEnded) { w.ended = append(w.ended, s.Why) }))
-	w.Put(w.record(0, false))
-	return w
+	p := &noticePool{clock: &testClock{at: time.Unix(1000, 0)}}
+	p.Pool = New("a", WithNow(p.clock.now), WithWall(func() time.Time { return noticeTime }), WithRandom(func(int) int { return 0 }),
+		OnNotice(func(n NoticeTaken) { p.notices = append(p.notices, n) }), OnNoticeEnded(func(n NoticeEnded) { p.ended = append(p.ended, n.Why) }))
+	p.Put(p.record(0, false))
+	return p
 }
 
 // noticeTime is the wall-clock time at which notices are received.
@@ -33,15 +33,15 @@
 }
 
 // lease picks the endpoint, which must accept work.
-func (w *noticePool) lease() *Lease {
-	lease := w.Pick(Query{Service: "s"})
+func (p *noticePool) lease() *Lease {
+	lease := p.Pick(Query{Service: "s"})
 	So(lease, ShouldNotBeNil)
 	return lease
 }
 
 // takes reports whether the endpoint gets a request, and ends the request at once.
-func (w *noticePool) takes() bool {
-	lease := w.Pick(Query{Service: "s"})
+func (p *noticePool) takes() bool {
+	lease := p.Pick(Query{Service: "s"})
 	if lease == nil {
 		return false
 	}
@@ -52,114 +52,114 @@
 func TestLeavingNotice(t *testing.T) {
 	leaving := Notice{Leaving: true}
 	Convey("An endpoint that has announced in a response that it leaves gets nothing new, even as the only one", t, func() {
-		w := newNoticePool()
-		lease := w.lease()
-		So(w.Len(), ShouldEqual, 1)
-		w.clock.pass(time.Second)
+		p := newNoticePool()
+		lease := p.lease()
+		So(p.Len(), ShouldEqual, 1)
+		p.clock.pass(time.Second)
 		lease.ObserveNotice(leaving, Answer{Request: "r", Status: 200})
 		lease.Done(EndGood)
-		So(w.takes(), ShouldBeFalse)
-		So(w.Len(), ShouldEqual, 0)
+		So(p.takes(), ShouldBeFalse)
+		So(p.Len(), ShouldEqual, 0)
 		So(lease.ProcessState(), ShouldEqual, ProcessLeaving)
-		So(w.notices, ShouldResemble, []NoticeTaken{{Endpoint: w.record(0, false), Notice: leaving, Answer: Answer{Request: "r", Status: 200}, Age: time.Second}})
+		So(p.notices, ShouldResemble, []NoticeTaken{{Endpoint: p.record(0, false), Notice: leaving, Answer: Answer{Request: "r", Status: 200}, Age: time.Second}})
 
 		Convey("also if its record reports it ready again: alone, in a list, removed and added again, or with a start not reported before", func() {
 			for _, update := range []func(){
-				func() { w.Put(w.record(0, false)) },
-				func() { w.Replace([]Endpoint{w.record(0, false)}) },
-				func() { w.Remove("e"); w.Put(w.record(0, false)) },
-				func() { w.Replace(nil); w.Replace([]Endpoint{w.record(0, false)}) },
-				func() { w.Put(w.record(500, false)) },
-				func() { w.Put(w.record(400, false)) }, // a late record of an earlier start
-				func() { w.Put(w.record(0, true)) },
+				func() { p.Put(p.record(0, false)) },
+				func() { p.Replace([]Endpoint{p.record(0, false)}) },
+				func() { p.Remove("e"); p.Put(p.record(0, false)) },
+				func() { p.Replace(nil); p.Replace([]Endpoint{p.record(0, false)}) },
+				func() { p.Put(p.record(500, false)) },
+				func() { p.Put(p.record(400, false)) }, // a late record of an earlier start
+				func() { p.Put(p.record(0, true)) },
 			} {
 				update()
-				So(w.takes(), ShouldBeFalse)
+				So(p.takes(), ShouldBeFalse)
 			}
-			So(len(w.notices), ShouldEqual, 1)
-			So(w.ended, ShouldBeEmpty)
+			So(len(p.notices), ShouldEqual, 1)
+			So(p.ended, ShouldBeEmpty)
 		})
 
 		Convey("announces it again without another report", func() {
 			lease.ObserveNotice(leaving, Answer{})
-			So(len(w.notices), ShouldEqual, 1)
+			So(len(p.notices), ShouldEqual, 1)
 		})
 
 		Convey("until its record, which reported draining too, reports it ready: the drain was canceled", func() {
-			w.Put(w.record(0, true))
-			So(w.takes(), ShouldBeFalse)
-			w.Put(w.record(0, false))
-			So(w.takes(), ShouldBeTrue)
-			So(w.ended, ShouldResemble, []NoticeEnd{NoticeCanceled})
+			p.Put(p.record(0, true))
+			So(p.takes(), ShouldBeFalse)
+			p.Put(p.record(0, false))
+			So(p.takes(), ShouldBeTrue)
+			So(p.ended, ShouldResemble, []NoticeEnd{NoticeCanceled})
 
 			Convey("which an earlier notice to other instances does not undo, and a later one does", func() {
-				key := w.byID["e"].key()
-				w.clock.pass(5 * time.Second)
-				w.ObserveLeaving(Leaving{key: 6 * time.Second})
-				So(w.takes(), ShouldBeTrue)
-				w.ObserveLeaving(Leaving{key: time.Second})
-				So(w.takes(), ShouldBeFalse)
+				key := p.byID["e"].key()
+				p.clock.pass(5 * time.Second)
+				p.ObserveLeaving(Leaving{key: 6 * time.Second})
+				So(p.takes(), ShouldBeTrue)
+				p.ObserveLeaving(Leaving{key: time.Second})
+				So(p.takes(), ShouldBeFalse)
 			})
 		})
 
 		Convey("until it restarts; a late notice from the previous run does not apply to this one", func() {
-			w.Put(w.record(500, false))
-			So(w.takes(), ShouldBeFalse) // the same run, which reports its start now
-			w.Put(w.record(900, false))
-			So(w.takes(), ShouldBeTrue)
-			So(w.ended, ShouldResemble, []NoticeEnd{NoticeRestarted})
+			p.Put(p.record(500, false))
+			So(p.takes(), ShouldBeFalse) // the same run, which reports its start now
+			p.Put(p.record(900, false))
+			So(p.takes(), ShouldBeTrue)
+			So(p.ended, ShouldResemble, []NoticeEnd{NoticeRestarted})
 			lease.ObserveNotice(leaving, Answer{})
-			So(w.takes(), ShouldBeTrue)
+			So(p.takes(), ShouldBeTrue)
 		})
 
 		Convey("until it reports a start after the notice, where it reported none before", func() {
-			w.Put(w.record(noticeTime.UnixMilli()+1, false))
-			So(w.takes(), ShouldBeTrue)
-			So(w.ended, ShouldResemble, []NoticeEnd{NoticeRestarted})
+			p.Put(p.record(noticeTime.UnixMilli()+1, false))
+			So(p.takes(), ShouldBeTrue)
+			So(p.ended, ShouldResemble, []NoticeEnd{NoticeRestarted})
 		})
 
 		Convey("until it is at another address", func() {
-			e := w.record(0, false)
+			e := p.record(0, false)
 			e.Addr = "10.0.0.2:80"
-			w.Put(e)
-			So(w.takes(), ShouldBeTrue)
+			p.Put(e)
+			So(p.takes(), ShouldBeTrue)
 		})
 
 		Convey("until the notice expires; then it gets one request at first", func() {
-			w.clock.pass(leavingTTL - time.Millisecond)
-			So(w.takes(), ShouldBeFalse)
-			w.clock.pass(time.Millisecond)
-			again := w.lease()
-			So(w.ended, ShouldResemble, []NoticeEnd{NoticeExpired})
-			So(w.takes(), ShouldBeFalse)
+			p.clock.pass(leavingTTL - time.Millisecond)
+			So(p.takes(), ShouldBeFalse)
+			p.clock.pass(time.Millisecond)
+			again := p.lease()
+			So(p.ended, ShouldResemble, []NoticeEnd{NoticeExpired})
+			So(p.takes(), ShouldBeFalse)
 			again.ObserveNotice(leaving, Answer{})
 			again.Done(EndGood)
-			So(w.takes(), ShouldBeFalse)
-			So(len(w.notices), ShouldEqual, 2)
+			So(p.takes(), ShouldBeFalse)
+			So(len(p.notices), ShouldEqual, 2)
 		})
 	})
 
 	Convey("An endpoint whose address another one has gets nothing new either, whatever its record reports", t, func() {
-		w := newNoticePool()
-		w.lease().Done(EndMoved)
-		w.Put(w.record(0, false))
-		So(w.takes(), ShouldBeFalse)
+		p := newNoticePool()
+		p.lease().Done(EndMoved)
+		p.Put(p.record(0, false))
+		So(p.takes(), ShouldBeFalse)
 	})
 
 	Convey("A request that is not sent yet is invalid once its endpoint leaves, rests, drains, restarts, is removed or is evacuated", t, func() {
 		for _, end := range []func(*noticePool, *Lease){
 			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Leaving: true}, Answer{}) },
 			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Rest: time.Second}, Answer{}) },
-			func(w *noticePool, _ *Lease) { w.Put(w.record(7, true)) },
-			func(w *noticePool, _ *Lease) { w.Put(w.record(8, false)) },
-			func(w *noticePool, _ *Lease) { w.Remove("e") },
-			func(w *noticePool, _ *Lease) { w.SetEvacuated([]string{"a"}) },
+			func(p *noticePool, _ *Lease) { p.Put(p.record(7, true)) },
+			func(p *noticePool, _ *Lease) { p.Put(p.record(8, false)) },
+			func(p *noticePool, _ *Lease) { p.Remove("e") },
+			func(p *noticePool, _ *Lease) { p.SetEvacuated([]string{"a"}) },
 		} {
-			w := newNoticePool()
-			w.Put(w.record(7, false))
-			other, lease := w.lease(), w.lease()
+			p := newNoticePool()
+			p.Put(p.record(7, false))
+			other, lease := p.lease(), p.lease()
 			So(lease.StillValid(), ShouldBeTrue)
-			end(w, other)
+			end(p, other)
 			So(lease.StillValid(), ShouldBeFalse)
 		}
 	})
@@ -167,18 +167,18 @@
 
 func TestLeavingFromPeers(t *testing.T) {
 	Convey("An instance reports which endpoints have announced to it that they leave", t, func() {
-		w, other := newNoticePool(), newNoticePool()
-		So(w.Leaving(), ShouldBeEmpty)
-		w.lease().ObserveNotice(Notice{Leaving: true}, Answer{})
-		w.clock.pass(2 * time.Second)
-		reported := w.Leaving()
-		So(reported, ShouldResemble, Leaving{w.byID["e"].key(): 2 * time.Second})
+		p, other := newNoticePool(), newNoticePool()
+		So(p.Leaving(), ShouldBeEmpty)
+		p.lease().ObserveNotice(Notice{Leaving: true}, Answer{})
+		p.clock.pass(2 * time.Second)
+		reported := p.Leaving()
+		So(reported, ShouldResemble, Leaving{p.byID["e"].key(): 2 * time.Second})
 
 		Convey("but no longer once the endpoint's record reports that itself, or is removed", func() {
-			w.Put(w.record(0, true))
-			So(w.Leaving(), ShouldBeEmpty)
-			w.Remove("e")
-			So(w.Leaving(), ShouldBeEmpty)
+			p.Put(p.record(0, true))
+			So(p.Leaving(), ShouldBeEmpty)
+			p.Remove("e")
+			So(p.Leaving(), ShouldBeEmpty)
 		})
 
 		Convey("and others that receive this send nothing there, and do not report it as their own", func() {
@@ -220,45 +220,45 @@
 
 func TestRestNotice(t *testing.T) {
 	Convey("An endpoint that has asked for rest gets nothing meanwhile, even as the only one", t, func() {
-		w := newNoticePool()
-		first, second := w.lease(), w.lease()
+		p := newNoticePool()
+		first, second := p.lease(), p.lease()
 		first.ObserveNotice(Notice{Rest: 3 * time.Second}, Answer{Status: 503})
 		first.Done(EndBusy)
-		w.clock.pass(time.Second)
-		So(w.takes(), ShouldBeFalse)
-		So(w.Len(), ShouldEqual, 1) // it still counts as accepting work
-		So(w.Availability(Query{Service: "s"}), ShouldResemble, Availability{Rest: 2 * time.Second})
+		p.clock.pass(time.Second)
+		So(p.takes(), ShouldBeFalse)
+		So(p.Len(), ShouldEqual, 1) // it still counts as accepting work
+		So(p.Availability(Query{Service: "s"}), ShouldResemble, Availability{Rest: 2 * time.Second})
 		So(second.ProcessState(), ShouldEqual, ProcessRunning)
 
 		Convey("the longest of the times that it asks for counts, and is reported once", func() {
 			second.ObserveNotice(Notice{Rest: time.Second}, Answer{})
-			w.clock.pass(1900 * time.Millisecond)
-			So(w.takes(), ShouldBeFalse)
+			p.clock.pass(1900 * time.Millisecond)
+			So(p.takes(), ShouldBeFalse)
 			second.ObserveNotice(Notice{Rest: time.Second}, Answer{})
-			w.clock.pass(900 * time.Millisecond)
-			So(w.takes(), ShouldBeFalse)
-			So(len(w.notices), ShouldEqual, 1)
-			w.clock.pass(100 * time.Millisecond)
+			p.clock.pass(900 * time.Millisecond)
+			So(p.takes(), ShouldBeFalse)
+			So(len(p.notices), ShouldEqual, 1)
+			p.clock.pass(100 * time.Millisecond)
 			second.Done(EndBusy)
-			So(w.takes(), ShouldBeTrue)
-			So(w.ended, ShouldResemble, []NoticeEnd{NoticeExpired})
+			So(p.takes(), ShouldBeTrue)
+			So(p.ended, ShouldResemble, []NoticeEnd{NoticeExpired})
 		})
 
 		Convey("also if its record is removed and added again; it does not apply to a later run", func() {
-			w.Remove("e")
-			w.Put(w.record(0, false))
-			So(w.takes(), ShouldBeFalse)
-			w.Put(w.record(500, false))
-			w.Put(w.record(900, false))
-			So(w.takes(), ShouldBeTrue)
+			p.Remove("e")
+			p.Put(p.record(0, false))
+			So(p.takes(), ShouldBeFalse)
+			p.Put(p.record(500, false))
+			p.Put(p.record(900, false))
+			So(p.takes(), ShouldBeTrue)
 		})
 
 		Convey("then it gets one request at a time, one more with each response, and in time as many as before", func() {
 			second.Done(EndGood)
-			w.clock.pass(2 * time.Second)
+			p.clock.pass(2 * time.Second)
 			open := func() (out []*Lease) {
 				for {
-					lease := w.Pick(Query{Service: "s"})
+					lease := p.Pick(Query{Service: "s"})
 					if lease == nil {
 						return out
 					}
@@ -267,34 +267,34 @@
 			}
 			all := open()
 			So(len(all), ShouldEqual, 1)
-			So(w.Availability(Query{Service: "s"}), ShouldResemble, Availability{Full: true})
+			So(p.Availability(Query{Service: "s"}), ShouldResemble, Availability{Full: true})
 			all[0].Accepted()
 			So(len(open()), ShouldEqual, 1)
-			w.clock.pass(expiryDoublings * doublingTime)
+			p.clock.pass(expiryDoublings * doublingTime)
 			So(len(open()), ShouldEqual, 62)
 		})
 	})
 
 	Convey("Instances that receive the notice at the same time return at different times", t, func() {
-		w := newNoticePool()
-		w.random = func(n int) int { return n - 1 }
-		w.lease().ObserveNotice(Notice{Rest: 10 * time.Second}, Answer{})
-		w.clock.pass(10*time.Second + 900*time.Millisecond)
-		So(w.takes(), ShouldBeFalse)
-		w.clock.pass(100 * time.Millisecond)
-		So(w.takes(), ShouldBeTrue)
+		p := newNoticePool()
+		p.random = func(n int) int { return n - 1 }
+		p.lease().ObserveNotice(Notice{Rest: 10 * time.Second}, Answer{})
+		p.clock.pass(10*time.Second + 900*time.Millisecond)
+		So(p.takes(), ShouldBeFalse)
+		p.clock.pass(100 * time.Millisecond)
+		So(p.takes(), ShouldBeTrue)
 	})
 
 	Convey("A service is available again when the first of its endpoints is", t, func() {
-		w := newNoticePool()
-		w.Put(Endpoint{ID: "f", Service: "s", Addr: "10.0.0.2:80", Zone: "a", Slots: 1})
+		p := newNoticePool()
+		p.Put(Endpoint{ID: "f", Service: "s", Addr: "10.0.0.2:80", Zone: "a", Slots: 1})
 		for range 2 {
-			lease := w.lease()
+			lease := p.lease()
 			rest := map[string]time.Duration{"e": 4 * time.Second, "f": time.Second}[lease.Endpoint().ID]
 			lease.ObserveNotice(Notice{Rest: rest}, Answer{})
 		}
-		So(w.Availability(Query{Service: "s"}), ShouldResemble, Availability{Rest: time.Second})
-		So(w.Availability(Query{Service: "none"}), ShouldResemble, Availability{})
+		So(p.Availability(Query{Service: "s"}), ShouldResemble, Availability{Rest: time.Second})
+		So(p.Availability(Query{Service: "none"}), ShouldResemble, Availability{})
 	})
 }
 
--- a/internal/pool/place.go
+++ b/internal/pool/place.go
@@ -31,9 +31,9 @@
 	return q.Prompt > 0 && l.peerLoadsFresh(now) && l.rereadShare(q) < weakAffinity
 }
 
-// pickLeastCost compares the first few endpoints in the request's affinity order by the load of all instances. To
-// compare all endpoints would be wrong: each has cached what it has read, and loads are reported late, so all
-// instances would move to the same endpoint.
+// pickLeastCost compares the first few endpoints in the request's affinity order by the load of all instances. It
+// does not compare all endpoints: each has different prompts cached, and loads are reported late, so all instances
+// would move to the same endpoint.
 func (l *Pool) pickLeastCost(members []*member, q Query, now time.Time) (*member, Reason) {
 	choices := l.choices(members, xxhash.Sum64String(q.Affinity))
 	best, bestCost := choices[0], l.cost(choices[0], now)
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -24,7 +24,7 @@
 	Draining bool   `cbor:"6,keyasint,omitempty"` // takes no new work
 	// Cold is for how much longer the endpoint is slow, as of its report: it has just started or has lost its cache
 	Cold time.Duration `cbor:"7,keyasint,omitempty"`
-	// StartedAt is when its process started, in Unix milliseconds of its own clock; 0 if it does not report that
+	// StartedAt is when its process started, in Unix milliseconds of its own clock; 0: not reported
 	StartedAt int64 `cbor:"8,keyasint,omitempty"`
 }
 
@@ -41,8 +41,7 @@
 	return e.StartedAt > 0 && other.StartedAt > e.StartedAt
 }
 
-// ChangedBy reports whether an update changes what the record says. A cold period that has merely become shorter is
-// not a change.
+// ChangedBy reports whether an update changes the record. A cold period that is merely shorter is not a change.
 func (e Endpoint) ChangedBy(update Endpoint) bool {
 	if (e.Cold > 0) != (update.Cold > 0) || update.Cold > e.Cold {
 		return true
@@ -99,7 +98,7 @@
 	errorShareAt    time.Time
 	busyUntil       time.Time
 	recordAt        time.Time  // when its record last arrived
-	announced       *announced // what it has announced in responses; nil: nothing
+	announced       *announced // its announcements in responses; nil: none
 	hash            uint64     // of the ID
 	runKey          uint32     // see Loads
 	warming         warming
@@ -148,7 +147,7 @@
 
 	limited     int             // approximate number of endpoints whose limits are in force
 	demand      map[string]flow // rate of this instance's requests by service, counted while any endpoint has a limit
-	leased      bool            // this instance sends under limits what it is granted; otherwise its even share
+	leased      bool            // this instance is granted parts of limits; otherwise it has an even share of each
 	peersLimits Limits          // as reported by other instances in the last exchange
 }
 
@@ -181,8 +180,8 @@
 // either.
 func OnNoticeEnded(f func(NoticeEnded)) Option { return func(l *Pool) { l.onNoticeEnded = f } }
 
-// WithChooser lets a Chooser pick among healthy endpoints, and makes the pool track which endpoint recently saw which
-// blocks of prompts.
+// WithChooser sets the Chooser that picks among healthy endpoints, and makes the pool track which endpoint recently
+// saw which blocks of prompts.
 func WithChooser(c Chooser[Candidate], r Rand) Option {
 	return func(l *Pool) { l.chooser, l.chooserRand, l.prefixes = c, r, NewPrefixTable(prefixEntries) }
 }
--- a/internal/pool/speed.go
+++ b/internal/pool/speed.go
@@ -8,7 +8,7 @@
 const (
 	defaultSpeed       = 20000           // tokens a second, until responses are measured; a few times below known endpoints
 	speedMemory        = 200 * 1000      // tokens of prompts after which a measurement weighs a third
-	minPrompt          = 1000            // tokens: shorter prompts say nothing about the speed
+	minPrompt          = 1000            // tokens: shorter prompts give no usable measurement
 	maxResponseTimeout = 5 * time.Second // upper bound, for slow services and huge prompts
 )
 
--- a/internal/pool/warm.go
+++ b/internal/pool/warm.go
@@ -57,7 +57,7 @@
 	checked time.Time // when share and owns were determined
 }
 
-// SetWarmups sets what services say about their cold endpoints.
+// SetWarmups sets the warm-up settings of each service.
 func (l *Pool) SetWarmups(byService map[string]slowstart.Warmup) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/pool/window.go
+++ b/internal/pool/window.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// window bounds the requests that this instance has open at an endpoint after that has asked for rest, like a
-// congestion window: one request at first, one more with each response up to a share of what was open at the time,
-// then slowly more.
+// window bounds this instance's open requests at an endpoint that has asked for rest, like a congestion window: one
+// request at first, one more with each response up to a share of those that were open at the time, then slowly more.
 //
 // It prevents a cascade: one endpoint rests, the others get more than they can sustain and rest in turn, and each is
 // overloaded again as it returns. TestRestCascade reproduces it.
@@ -18,7 +17,7 @@
 }
 
 const (
-	minThreshold    = 2               // requests: fewer say nothing about an endpoint's capacity
+	minThreshold    = 2               // requests: fewer do not indicate an endpoint's capacity
 	linearIncrease  = 0.1             // requests by which it grows beyond that, for as many responses as its size
 	doublingTime    = 8 * time.Second // time in which it doubles by itself, since an endpoint's capacity changes
 	expiryDoublings = 5               // doublings after which it expires
