--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -12,7 +12,7 @@
 	until       time.Time
 	holders     int     // number of instances among which it may be divided
 	fleetDemand float64 // requests per second of all instances for the service of the endpoint
-	partial     bool    // other instances that have requests were lent nothing
+	partial     bool    // other instances with requests were granted nothing
 }
 
 // NewLease returns a lease of a part of a limit.
--- a/internal/limit/division.go
+++ b/internal/limit/division.go
@@ -22,23 +22,23 @@
 	hysteresis = 1.5
 )
 
-// SettleTime is how long a restarted instance has no share of its own: the previous process may have offered it.
+// SettleTime is how long a restarted instance has no share: the previous process may have offered it.
 const SettleTime = offerDuration
 
 // Claim is what an instance, or a group of instances, reports about one endpoint.
 type Claim struct {
 	Demand float64 // requests per second that it would send there
-	Offer  float64 // requests per second of its own share, which it offers for some seconds
+	Offer  float64 // requests per second of its share, which it offers for some seconds
 }
 
-// Grant is what is lent for a Claim.
+// Grant is the rate that is granted for a Claim.
 type Grant struct {
-	Limit       float64 // under which it is lent, in requests per second
+	Limit       float64 // under which it is granted, in requests per second
 	PerSecond   float64
 	For         time.Duration // since the claim was sent
 	Holders     int           // number of instances among which it may be divided
 	FleetDemand float64       // requests per second of all instances for the service of the endpoint
-	Partial     bool          // other instances that have requests were lent nothing
+	Partial     bool          // other instances with requests were granted nothing
 }
 
 // Claims maps endpoints, by their key in the load exchange, to claims.
@@ -50,14 +50,14 @@
 // local is the name of the instance itself as a claimant.
 const local = ""
 
-// Allocator lends the limits of endpoints to the instances that have requests for them, as far as instances have
-// offered their shares to this one. If there is an upstream instance, it passes claims and offers on to it. It is not
-// safe for concurrent use.
+// Allocator grants shares of the limits of endpoints to the instances that have requests for them, as far as
+// instances have offered their shares to this one. If there is an upstream instance, it passes claims and offers on
+// to it. It is not safe for concurrent use.
 type Allocator struct {
 	upstream      string    // the instance to which shares were last offered
 	offeredUntil  time.Time // until when they are offered
 	lastAggregate time.Time // when claims were last aggregated for another instance
-	lentUntil     time.Time // end of the leases granted from shares that were not offered upstream
+	grantedUntil  time.Time // end of the leases granted from shares that were not offered upstream
 	endpoints     map[uint32]*allocation
 }
 
@@ -123,10 +123,10 @@
 }
 
 // Aggregate returns the claims to send to another instance on behalf of all claimants. It offers all their shares,
-// unless these are lent, or are still offered to a different instance for some seconds.
+// unless these are leased, or are still offered to a different instance for some seconds.
 func (a *Allocator) Aggregate(to string, now time.Time) Claims {
 	a.lastAggregate = now
-	if now.Before(a.lentUntil) || (to != a.upstream && now.Before(a.offeredUntil)) {
+	if now.Before(a.grantedUntil) || (to != a.upstream && now.Before(a.offeredUntil)) {
 		return a.totals(now, false)
 	}
 	out := a.totals(now, true)
@@ -154,7 +154,7 @@
 	return out
 }
 
-// AcceptGrants stores what the upstream instance has lent for the claims sent at requestedAt.
+// AcceptGrants stores the grants of the upstream instance for the claims sent at requestedAt.
 func (a *Allocator) AcceptGrants(grants Grants, requestedAt time.Time) {
 	for key, g := range grants {
 		if s := a.endpoints[key]; s != nil {
@@ -190,29 +190,29 @@
 		if s == nil || s.claimants[to] == nil || !s.claimants[to].fresh(now) {
 			continue
 		}
-		available := a.lendable(s, r, now)
+		available := a.grantable(s, r, now)
 		g := s.grant(s.claimants[to], available, now)
 		if g.PerSecond <= 0 || !available.until.After(now) {
 			continue
 		}
 		s.claimants[to].leases = append(s.claimants[to].leases, Lease{perSecond: g.PerSecond, until: available.until})
 		out[key] = g
-		if !a.subordinate(now) && available.until.After(a.lentUntil) {
-			a.lentUntil = available.until
+		if !a.subordinate(now) && available.until.After(a.grantedUntil) {
+			a.grantedUntil = available.until
 		}
 	}
 	return out
 }
 
-// subordinate reports whether this instance lends only what is lent to it: it has offered its shares upstream, or is
-// about to.
+// subordinate reports whether this instance grants only what the upstream instance grants to it: it has offered its
+// shares upstream, or is about to.
 func (a *Allocator) subordinate(now time.Time) bool {
 	return now.Before(a.offeredUntil) || now.Sub(a.lastAggregate) < claimLifetime
 }
 
-// lendable returns what this instance may lend, and until when: what is lent to it if it is subordinate, otherwise
-// the shares that were offered to it.
-func (a *Allocator) lendable(s *allocation, r Rate, now time.Time) Lease {
+// grantable returns what this instance may grant, and until when: its lease from upstream if it is subordinate,
+// otherwise the shares that were offered to it.
+func (a *Allocator) grantable(s *allocation, r Rate, now time.Time) Lease {
 	until := now.Add(LeaseDuration)
 	if a.subordinate(now) {
 		out := s.lease
--- a/internal/limit/division_test.go
+++ b/internal/limit/division_test.go
@@ -30,8 +30,8 @@
 	lossRate float64         // fraction of requests, and of responses, that is lost
 	rng      *rand.Rand
 
-	sent     []time.Time
-	peakLent float64 // highest total lent at a time, as a fraction of the limit
+	sent        []time.Time
+	peakGranted float64 // highest total granted at a time, as a fraction of the limit
 }
 
 type simNode struct {
@@ -43,7 +43,7 @@
 	startedAt      time.Time
 	restarted      bool
 	dead           bool
-	knownInstances int // that it knows of, itself included
+	knownInstances int // including itself
 	next           time.Time
 }
 
@@ -132,7 +132,7 @@
 func (s *sim) run(d time.Duration, beforeStep func()) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(simStep) {
 		beforeStep()
-		lent := 0.0
+		granted := 0.0
 		for _, n := range s.nodes {
 			if n.dead {
 				continue
@@ -145,9 +145,9 @@
 				n.bucket.Take(s.now)
 				s.sent = append(s.sent, s.now)
 			}
-			lent += n.bucket.Rate(s.limit, s.now)
+			granted += n.bucket.Rate(s.limit, s.now)
 		}
-		s.peakLent = max(s.peakLent, lent/s.limit.Bound())
+		s.peakGranted = max(s.peakGranted, granted/s.limit.Bound())
 	}
 }
 
@@ -194,12 +194,12 @@
 	s.run(settle, noFaults)
 	s.sent = nil
 	s.run(length, noFaults)
-	So(s.peakLent, ShouldBeLessThanOrEqualTo, 1+simTolerance)
+	So(s.peakGranted, ShouldBeLessThanOrEqualTo, 1+simTolerance)
 	So(s.peak(), ShouldBeLessThanOrEqualTo, allowedRequests(r))
 	SoMsg(name, float64(len(s.sent)), ShouldBeGreaterThanOrEqualTo, math.Floor(0.8*rate*length.Seconds()))
 }
 
-// Under partitions, lost messages, crashes and restarts in any order, the rates that are lent at a time never exceed
+// Under partitions, lost messages, crashes and restarts in any order, the rates that are granted at a time never exceed
 // the limit.
 func TestAllocatorUnderFaults(t *testing.T) {
 	t.Parallel()
@@ -210,8 +210,8 @@
 		s.rng = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 2))
 		s.run(4*time.Second, func() { s.injectFault() })
 		s.run(16*time.Second, func() { s.injectFault() })
-		if s.peakLent > 1+simTolerance {
-			t.Fatalf("%v times the limit was lent at once", s.peakLent)
+		if s.peakGranted > 1+simTolerance {
+			t.Fatalf("%v times the limit was granted at once", s.peakGranted)
 		}
 		if s.peak() > allowedRequests(r) {
 			t.Fatalf("%d requests in %v, %d are allowed", s.peak(), simWindow, allowedRequests(r))
@@ -245,7 +245,7 @@
 }
 
 // Instances that join are known to the others some seconds later. Until then the sum of all shares exceeds the limit,
-// which the tolerance allows for. Connected instances still lend no more than the limit.
+// which the tolerance allows for. Connected instances still grant no more than the limit.
 func TestAllocatorJoiningInstances(t *testing.T) {
 	Convey("A fleet that grows from 6 to 30 instances at once stays within the limit", t, func() {
 		r := PerSecond(4)
@@ -259,7 +259,7 @@
 			n.knownInstances = len(s.nodes)
 		}
 		s.run(5*time.Second, func() {})
-		So(s.peakLent, ShouldBeLessThanOrEqualTo, 1+simTolerance)
+		So(s.peakGranted, ShouldBeLessThanOrEqualTo, 1+simTolerance)
 		So(s.peak(), ShouldBeLessThanOrEqualTo, allowedRequests(r))
 	})
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -3,8 +3,8 @@
 //
 // An overloaded endpoint announces a few requests per second for all instances. Each of six or three hundred
 // instances sends it a part of its requests, so their sum may exceed a limit that no single instance exceeds. The
-// rate is therefore divided like a budget. Each instance has an even share of its own. An Allocator offers it to
-// another instance for some seconds, and that instance lends the offered shares to the instances that have requests.
+// rate is therefore divided like a budget. Each instance has an even share. An Allocator offers it to
+// another instance for some seconds, and that instance leases the offered shares to the instances that have requests.
 // A share is in use at one instance at any time, also during network partitions, across restarts, and while two
 // instances both believe that they divide the limit. Tests: TestAllocator here, TestEndpointLimit in
 // platform/endtoend.
@@ -65,8 +65,8 @@
 	return PerSecond(x), true
 }
 
-// State is what is known about the limit of one run of an endpoint's process. Responses arrive in any order, and
-// other instances report older ones.
+// State is the observed limit of one run of an endpoint's process. Responses arrive in any order, and other instances
+// report older ones.
 type State struct {
 	rate        Rate
 	announcedAt time.Time // when a response header last announced it
--- a/internal/load/digest.go
+++ b/internal/load/digest.go
@@ -9,7 +9,7 @@
 )
 
 // A leader sends a digest to each instance of its availability zone twice a second, possibly over a slow link, so a
-// digest is short. Flows are encoded in whole thousandths per second.
+// digest is short. Flows are encoded in integer thousandths per second.
 const (
 	flowScale = 1000 // units of a flow of one per second
 	maxLines  = 300  // endpoints in a digest; those with the least load are left out
--- a/internal/load/fuzz_test.go
+++ b/internal/load/fuzz_test.go
@@ -43,7 +43,7 @@
 	})
 }
 
-// checkLending fails if more than the limit is lent for the claims of a digest.
+// checkLending fails if more than the limit is granted for the claims of a digest.
 func checkLending(t *testing.T, d digest) {
 	now := time.Now()
 	rates := map[uint32]limit.Rate{7: limit.PerSecond(1.5)}
@@ -52,7 +52,7 @@
 	allocator.AcceptGrants(unpackGrants(d.Grants), now)
 	for _, g := range allocator.Lend("x", rates, now) {
 		if !(g.PerSecond <= rates[7].Bound()) {
-			t.Fatalf("lent %v requests per second of %v", g.PerSecond, rates[7].Bound())
+			t.Fatalf("granted %v requests per second of %v", g.PerSecond, rates[7].Bound())
 		}
 	}
 }
--- a/internal/load/limits.go
+++ b/internal/load/limits.go
@@ -120,16 +120,16 @@
 	return list
 }
 
-// floorThousandths rounds down: a lent rate must not grow when it is encoded.
+// floorThousandths rounds down: a granted rate must not grow when it is encoded.
 func floorThousandths(perSecond float64) int64 { return int64(math.Floor(perSecond * flowScale)) }
 
 func fromThousandths(thousandths int64) float64 { return float64(thousandths) / flowScale }
 
-// maxExchangeAge is how old the last exchange of this instance may be while it lends rates. After a longer stall, the
+// maxExchangeAge is how old the last exchange of this instance may be while it grants rates. After a longer stall, the
 // claims that it receives may have been sent long before.
 const maxExchangeAge = 3 * exchangeInterval
 
-// updateClaims refreshes this instance's own claims, and the rates that it may lend.
+// updateClaims refreshes the claims of this instance, and the limits that it may grant shares of.
 func (x *Exchange) updateClaims() {
 	now := x.now()
 	limited := x.pool.Limited()
@@ -142,7 +142,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.dir.Part(limit.LeaseDuration) == 0 {
-		clear(rates) // what the previous process of this instance has lent may still be in use
+		clear(rates) // leases granted by the previous process of this instance may still be in use
 	}
 	x.rates, x.lastExchange = rates, now
 	x.allocator.Prune(rates, now)
@@ -157,14 +157,14 @@
 	return packClaims(x.allocator.Aggregate(to, x.now()))
 }
 
-// acceptGrants stores the rates that were lent for the claims sent at requestedAt.
+// acceptGrants stores the rates that were granted for the claims sent at requestedAt.
 func (x *Exchange) acceptGrants(list []grant, requestedAt time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.allocator.AcceptGrants(unpackGrants(list), requestedAt)
 }
 
-// grantsFor lends rates to an instance for its claims.
+// grantsFor grants rates to an instance for its claims.
 func (x *Exchange) grantsFor(to string, claims []claim) []grant {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -176,7 +176,7 @@
 	return packGrants(x.allocator.Lend(to, x.rates, now))
 }
 
-// applyLeases passes the rates that are lent to this instance itself to the pool.
+// applyLeases passes the leases of this instance to the pool.
 func (x *Exchange) applyLeases() {
 	x.mu.Lock()
 	leases, endpoints := x.allocator.LocalLeases(x.rates, x.now()), len(x.rates)
--- a/internal/load/limits_test.go
+++ b/internal/load/limits_test.go
@@ -120,7 +120,7 @@
 	return out
 }
 
-// The instances' requests together stay within an endpoint's limit, whose shares are lent with the load exchange.
+// The instances' requests together stay within an endpoint's limit, whose shares are granted with the load exchange.
 func TestLimits(t *testing.T) {
 	for _, instances := range []int{3, 6, 30, 300} {
 		for _, c := range []struct {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -32,7 +32,7 @@
 	summaryLifetime  = exchangeInterval / 2   // a summary is recomputed after this
 )
 
-// report is what one or more instances know about endpoints.
+// report is the state of endpoints as observed by one or more instances.
 type report struct {
 	loads   pool.Loads
 	leaving pool.Leaving // endpoints that have announced to them that they are leaving
@@ -43,7 +43,7 @@
 	return report{loads: make(pool.Loads), leaving: make(pool.Leaving), limits: make(pool.Limits)}
 }
 
-// add merges what other instances know.
+// add merges the report of other instances.
 func (r report) add(other report) {
 	r.loads.Add(other.loads)
 	r.leaving.Add(other.leaving)
@@ -162,12 +162,12 @@
 	}
 }
 
-// localReport returns what this instance itself knows.
+// localReport returns the report of this instance alone.
 func (x *Exchange) localReport() report {
 	return report{loads: x.pool.Loads(), leaving: x.pool.Leaving(), limits: x.pool.Limits()}
 }
 
-// applyOthers passes what all other instances know to the pool.
+// applyOthers passes the report of all other instances to the pool.
 func (x *Exchange) applyOthers(r report) {
 	x.pool.SetOthers(r.loads)
 	x.pool.ObserveLeaving(r.leaving)
@@ -260,7 +260,7 @@
 }
 
 // reply handles the piggybacked data of a received digest, and completes the response with the data for its sender
-// and with the rates that are lent to it.
+// and with the rates that are granted to it.
 func (x *Exchange) reply(from mesh.Peer, d, out digest) digest {
 	x.piggyback.Receive(from.ID, d.Piggyback)
 	out.Piggyback, out.Grants = x.piggyback.Payload(from.ID), x.grantsFor(from.ID, d.Claims)
@@ -273,7 +273,7 @@
 	list[key] = received{digest: d, report: d.unpack(x.now()), at: x.now()}
 }
 
-// zoneReport sums what this instance and those that report to it know.
+// zoneReport sums the reports of this instance and of those that report to it.
 func (x *Exchange) zoneReport() report {
 	out := newReport()
 	out.add(x.localReport())
@@ -283,7 +283,7 @@
 	return out
 }
 
-// reportExcept sums what all other instances except one know.
+// reportExcept sums the reports of all other instances except one.
 func (x *Exchange) reportExcept(except string) report {
 	out := newReport()
 	x.mu.Lock()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -45,7 +45,7 @@
 	return b
 }
 
-// exchange lets all instances exchange loads three times, one summaryLifetime apart.
+// exchange runs three load exchanges of every instance, one summaryLifetime apart.
 func (b *testFleet) exchange(ctx context.Context) {
 	for range 3 {
 		b.now = b.now.Add(summaryLifetime)
