--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -19,7 +19,7 @@
 func (m fixedMembers) Zone() []mesh.Peer             { return m.zone }
 func (m fixedMembers) Fleet() []mesh.Peer            { return m.zone }
 func (m fixedMembers) Alive(string) bool             { return true }
-func (m fixedMembers) Gone(string) bool              { return false }
+func (m fixedMembers) Lost(string) bool              { return false }
 func (m fixedMembers) Find(string) (mesh.Peer, bool) { return mesh.Peer{}, false }
 
 // noStopper stops nothing.
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -72,8 +72,8 @@
 	return c.base + c.steady() + time.Duration(c.suspended.Load())
 }
 
-// OnWake adds what is told when the machine was suspended, and for how long, before anything else is done with the new time.
-func (c *Clock) OnWake(f func(suspended time.Duration)) {
+// OnResume adds what is told when the machine was suspended, and for how long, before anything else is done with the new time.
+func (c *Clock) OnResume(f func(suspended time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.wake = append(c.wake, f)
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -16,7 +16,7 @@
 		c := New(func(c *Clock) { c.steady = func() time.Duration { return steady } },
 			WithRead(func() (time.Duration, error) { return boot + steady + suspended, failed }))
 		var told []time.Duration
-		c.OnWake(func(d time.Duration) { told = append(told, d) })
+		c.OnResume(func(d time.Duration) { told = append(told, d) })
 		begun := c.Now()
 
 		Convey("goes on with the steady clock and tells nothing", func() {
--- a/internal/budget/home.go
+++ b/internal/budget/home.go
@@ -27,7 +27,7 @@
 	Fleet() []mesh.Peer
 	Find(who string) (mesh.Peer, bool)
 	Alive(who string) bool
-	Gone(who string) bool
+	Lost(who string) bool
 }
 
 // Stopper stops a run at its endpoint and keeps it from ever starting there.
--- a/internal/budget/home_test.go
+++ b/internal/budget/home_test.go
@@ -21,7 +21,7 @@
 func (p pair) Fleet() []mesh.Peer            { return p.Zone() }
 func (p pair) Find(string) (mesh.Peer, bool) { return mesh.Peer{}, false }
 func (p pair) Alive(string) bool             { return true }
-func (p pair) Gone(string) bool              { return false }
+func (p pair) Lost(string) bool              { return false }
 
 type stopNothing struct{}
 
--- a/internal/budget/orphan.go
+++ b/internal/budget/orphan.go
@@ -25,7 +25,7 @@
 // cannot promise that, the tokens stay held.
 func (h *Home) resolveOrphans(ctx context.Context) {
 	for _, o := range h.orphans() {
-		if !h.members.Gone(o.owner) {
+		if !h.members.Lost(o.owner) {
 			continue
 		}
 		c, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyOther), stopTimeout)
--- a/internal/escrow/leave.go
+++ b/internal/escrow/leave.go
@@ -12,7 +12,7 @@
 
 // Leave gives back all that is unspent and takes the holder out of every page. It tries until ctx ends.
 func (h *Holder) Leave(ctx context.Context) error {
-	ctx = external.WithLast(ctx)
+	ctx = external.WithFinalCall(ctx)
 	for _, p := range h.pages {
 		for {
 			err := h.leaveOnce(ctx, p)
--- a/internal/escrow/property_test.go
+++ b/internal/escrow/property_test.go
@@ -373,10 +373,10 @@
 		n.timed = n.timed && rapid.Bool().Draw(t, "timed")
 		w.powerLoss(n)
 	case 13:
-		w.store.SetLose(rapid.Bool().Draw(t, "lose"))
+		w.store.SetLoseResponses(rapid.Bool().Draw(t, "lose"))
 	case 14:
-		w.store.SetLate(rapid.Bool().Draw(t, "late"))
-		w.store.Release()
+		w.store.SetDelayWrites(rapid.Bool().Draw(t, "late"))
+		w.store.ReleaseWrites()
 	case 15:
 		w.leave(n)
 	case 16, 17:
@@ -449,8 +449,8 @@
 	if len(reach) == 0 {
 		return
 	}
-	w.store.SetLose(false)
-	w.store.SetLate(false)
+	w.store.SetLoseResponses(false)
+	w.store.SetDelayWrites(false)
 	number := w.store.Number()
 	w.store.RestoreTo(rapid.Int64Range(max(0, number-mostBack), number).Draw(t, "restored to"))
 	first := reach[rapid.IntRange(0, len(reach)-1).Draw(t, "first")]
@@ -471,8 +471,8 @@
 // restoreUnknown restores the store from a copy while no instance knows its pages as they were, but each its own rows. All holders that have written
 // since the copy live, hear of the restoration, and state their rows within the time that they have for it, some of them several times.
 func (w *world) restoreUnknown(t *rapid.T) {
-	w.store.SetLose(false)
-	w.store.SetLate(false)
+	w.store.SetLoseResponses(false)
+	w.store.SetDelayWrites(false)
 	for _, n := range w.nodes {
 		n.gate.cut, n.link, n.heads = false, linkNone, false
 		for range 3 {
@@ -576,7 +576,7 @@
 				n.link = rapid.IntRange(linkNone, linkModes-1).Draw(t, "link")
 				lost = lost || n.link == linkLate // rows may be written once their holder has stopped
 			case 12:
-				w.store.SetLate(rapid.Bool().Draw(t, "late"))
+				w.store.SetDelayWrites(rapid.Bool().Draw(t, "late"))
 			case 13:
 				w.burn(n, customer)
 			}
@@ -597,8 +597,8 @@
 				move()
 			}
 		}
-		w.store.SetLate(false)
-		w.store.Release()
+		w.store.SetDelayWrites(false)
+		w.store.ReleaseWrites()
 		w.takeTurns(4)
 		w.check(t)
 		for c, spent := range w.spent {
--- a/internal/escrow/remote/remote.go
+++ b/internal/escrow/remote/remote.go
@@ -57,7 +57,7 @@
 func (f *Fleet) Leads() bool { return f.dir.Leads() }
 
 // Stranded implements escrow.Fleet.
-func (f *Fleet) Stranded() bool { return f.dir.Stranded() }
+func (f *Fleet) Stranded() bool { return f.dir.LeadersUnreachable() }
 
 // Relays implements escrow.Fleet.
 func (f *Fleet) Relays() bool { return f.dir.Leads() && len(f.dir.FleetLeaders()) > 0 }
@@ -100,7 +100,7 @@
 	}
 	large := f.dir.Large()
 	for _, p := range f.dir.Lenders(loan.Customer) {
-		loan.AtHand = !large || !f.dir.Near(p)
+		loan.AtHand = !large || !f.dir.SameZone(p)
 		_, err := peers.Call[escrow.Loan, mesh.Empty](ctx, f.dir, p, KindBorrow, loan)
 		switch {
 		case err == nil:
--- a/internal/escrow/restore_test.go
+++ b/internal/escrow/restore_test.go
@@ -86,10 +86,10 @@
 			left := a.holder.View(north).Left
 			So(left, ShouldBeLessThan, 20_000)
 			So(w.grab(b, north, 30_000), ShouldBeTrue)
-			w.store.SetLose(true)
+			w.store.SetLoseResponses(true)
 			w.use(a, north, 1)
 			w.draw(a)
-			w.store.SetLose(false)
+			w.store.SetLoseResponses(false)
 			a.forget()
 			w.restoredTo(copied)
 			w.observe(a)
--- a/internal/external/epoch.go
+++ b/internal/external/epoch.go
@@ -34,8 +34,8 @@
 // NumberOf is a revision's number within its epoch.
 func NumberOf(revision int64) int64 { return revision & (1<<numberBits - 1) }
 
-// CopyAge is more than the age of any copy that a store is restored from: what was written longer ago is in it.
-const CopyAge = 30 * time.Second
+// MaxCopyAge is more than the age of any copy that a store is restored from: what was written longer ago is in it.
+const MaxCopyAge = 30 * time.Second
 
 // ErrEarlierEpoch reports that an answer is of an epoch before the one that is known. It matches ErrUnavailable.
 var ErrEarlierEpoch = fmt.Errorf("%w: its answer is of an earlier epoch", ErrUnavailable)
@@ -59,8 +59,8 @@
 	Age           time.Duration // of the copy when this instance learnt of it, at least; 0: not known
 }
 
-// Back is how many revisions the store is known to have lost; 0 where no number of the new epoch was named.
-func (r Restoration) Back() int64 {
+// LostRevisions is how many revisions the store is known to have lost; 0 where no number of the new epoch was named.
+func (r Restoration) LostRevisions() int64 {
 	if r.Number == 0 {
 		return 0
 	}
--- a/internal/external/epoch_test.go
+++ b/internal/external/epoch_test.go
@@ -48,8 +48,8 @@
 			So(e.Current(), ShouldEqual, 5)
 			So(e.Restored(), ShouldBeTrue)
 			So(restored, ShouldResemble, []external.Restoration{{Before: 3, Epoch: 5, Known: 105, Number: 102, Age: 2 * time.Second}})
-			So(restored[0].Back(), ShouldEqual, 3)
-			So(external.Restoration{Known: 105}.Back(), ShouldEqual, 0)
+			So(restored[0].LostRevisions(), ShouldEqual, 3)
+			So(external.Restoration{Known: 105}.LostRevisions(), ShouldEqual, 0)
 		})
 
 		Convey("never falls: what names an earlier one, or none any more, is not believed, and told once", func() {
@@ -126,10 +126,10 @@
 			}
 			second, err := put(kv, "page", first, "b")
 			So(err, ShouldBeNil)
-			s.SetLate(true)
+			s.SetDelayWrites(true)
 			_, err = put(other, "page", second, "late")
 			So(errors.Is(err, external.ErrAmbiguous), ShouldBeTrue)
-			s.SetLate(false)
+			s.SetDelayWrites(false)
 			s.RestoreTo(external.NumberOf(first))
 			e, _, err := kv.Read(ctx, "page")
 			So(err, ShouldBeNil)
@@ -141,7 +141,7 @@
 			again, err := put(kv, "page", e.Revision, "new")
 			So(err, ShouldBeNil)
 			So(external.NumberOf(again), ShouldEqual, external.NumberOf(second))
-			So(s.Release(), ShouldEqual, 0)
+			So(s.ReleaseWrites(), ShouldEqual, 0)
 			e, _, err = kv.Read(ctx, "page")
 			So(err, ShouldBeNil)
 			So(string(e.Data), ShouldEqual, "new")
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -13,8 +13,8 @@
 	ErrUnavailable = errors.New("the store did not take the call")
 	ErrAmbiguous   = errors.New("the store's answer was lost")
 	ErrTooLarge    = errors.New("the value is over the store's limit")
-	// ErrSlowAnswer reports that an answer began to arrive but was not whole in time: there is much to read, or the link is full.
-	ErrSlowAnswer = errors.New("the store's answer did not arrive whole in time")
+	// ErrSlowResponse reports that an answer began to arrive but was not whole in time: there is much to read, or the link is full.
+	ErrSlowResponse = errors.New("the store's answer did not arrive whole in time")
 )
 
 // MaxValue is the largest value that the store takes, in bytes.
--- a/internal/external/kv.go
+++ b/internal/external/kv.go
@@ -12,7 +12,7 @@
 // Change is one change that the store reports. Gone means that the key was removed.
 type Change struct {
 	Entry
-	Gone bool
+	Removed bool
 }
 
 // Condition holds while a key is at a revision (0: while it does not exist).
@@ -52,8 +52,10 @@
 
 type lastKey struct{}
 
-// WithLast marks calls under ctx as the last ones of an instance that stops: they are made though the store rests, for nobody can make them later.
-func WithLast(ctx context.Context) context.Context { return context.WithValue(ctx, lastKey{}, true) }
+// WithFinalCall marks calls under ctx as the last ones of an instance that stops: they are made though the store rests, for nobody can make them later.
+func WithFinalCall(ctx context.Context) context.Context {
+	return context.WithValue(ctx, lastKey{}, true)
+}
 
 func last(ctx context.Context) bool {
 	on, _ := ctx.Value(lastKey{}).(bool)
--- a/internal/external/memkv/memkv.go
+++ b/internal/external/memkv/memkv.go
@@ -42,14 +42,14 @@
 // SetDown makes every call fail with nothing done.
 func (s *Store) SetDown(on bool) { s.set(func() { s.down = on }) }
 
-// SetSilent makes every call wait for the end of its context, with nothing done.
-func (s *Store) SetSilent(on bool) { s.set(func() { s.silent = on }) }
+// SetHang makes every call wait for the end of its context, with nothing done.
+func (s *Store) SetHang(on bool) { s.set(func() { s.silent = on }) }
 
-// SetLose makes writes happen without an answer.
-func (s *Store) SetLose(on bool) { s.set(func() { s.lose = on }) }
+// SetLoseResponses makes writes happen without an answer.
+func (s *Store) SetLoseResponses(on bool) { s.set(func() { s.lose = on }) }
 
-// SetLate keeps writes back without an answer until Release.
-func (s *Store) SetLate(on bool) { s.set(func() { s.late = on }) }
+// SetDelayWrites keeps writes back without an answer until Release.
+func (s *Store) SetDelayWrites(on bool) { s.set(func() { s.late = on }) }
 
 // SetEpoch makes the store name its epoch, which rises with each restoration.
 func (s *Store) SetEpoch(n int64) { s.set(func() { s.epoch = n }) }
@@ -103,7 +103,7 @@
 	s.written = s.written[:kept]
 	s.entries, s.history = make(map[string]external.Entry), nil
 	for _, w := range s.written {
-		if w.Gone {
+		if w.Removed {
 			delete(s.entries, w.Key)
 		} else {
 			s.entries[w.Key] = w.Entry
@@ -123,15 +123,15 @@
 	return lost
 }
 
-// WriteAgain makes lost changes once more under some prefixes, but for keys that have been written since the restoration.
-func (s *Store) WriteAgain(lost []external.Change, restored int64, prefixes ...string) {
+// Rewrite makes lost changes once more under some prefixes, but for keys that have been written since the restoration.
+func (s *Store) Rewrite(lost []external.Change, restored int64, prefixes ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range lost {
 		if s.entries[c.Key].Revision > restored || !slices.ContainsFunc(prefixes, func(p string) bool { return strings.HasPrefix(c.Key, p) }) {
 			continue
 		}
-		if c.Gone {
+		if c.Removed {
 			s.revision++
 			s.drop(c.Key)
 			continue
@@ -146,8 +146,8 @@
 	f()
 }
 
-// Release does the writes that were kept back, as far as their conditions still hold. It returns how many were done.
-func (s *Store) Release() int {
+// ReleaseWrites does the writes that were kept back, as far as their conditions still hold. It returns how many were done.
+func (s *Store) ReleaseWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	done := 0
@@ -161,8 +161,8 @@
 	return done
 }
 
-// Forget drops the history.
-func (s *Store) Forget() { s.set(func() { s.history, s.floor = nil, s.revision }) }
+// DropHistory drops the history.
+func (s *Store) DropHistory() { s.set(func() { s.history, s.floor = nil, s.revision }) }
 
 // Calls is the number of calls so far.
 func (s *Store) Calls() int {
@@ -189,7 +189,7 @@
 // drop removes a key at the present revision. The caller holds mu.
 func (s *Store) drop(key string) {
 	delete(s.entries, key)
-	s.note(external.Change{Entry: external.Entry{Key: key, Revision: s.revision}, Gone: true})
+	s.note(external.Change{Entry: external.Entry{Key: key, Revision: s.revision}, Removed: true})
 }
 
 // note keeps a change. The caller holds mu.
--- a/internal/external/observed.go
+++ b/internal/external/observed.go
@@ -33,8 +33,8 @@
 // OnCall sets what is notified of each call.
 func (o *Observed) OnCall(f func(Call)) { o.told.Store(&f) }
 
-// OnRest sets what is told when the store asks for rest.
-func (o *Observed) OnRest(f func(time.Duration)) { o.rest.Store(&f) }
+// OnBackoff sets what is told when the store asks for rest.
+func (o *Observed) OnBackoff(f func(time.Duration)) { o.rest.Store(&f) }
 
 // call makes a call, unless the store rests, and reports it.
 func (o *Observed) call(ctx context.Context, name string, f func() error) error {
@@ -43,7 +43,7 @@
 	}
 	begun := time.Now()
 	err := f()
-	var rest *RestError
+	var rest *RetryAfterError
 	if errors.As(err, &rest) && o.rests.note(rest) {
 		if told := o.rest.Load(); told != nil {
 			(*told)(rest.After)
--- a/internal/external/rest.go
+++ b/internal/external/rest.go
@@ -8,19 +8,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// RestError reports that the store did not take a call and wants none for a while. It matches ErrUnavailable.
-type RestError struct {
+// RetryAfterError reports that the store did not take a call and wants none for a while. It matches ErrUnavailable.
+type RetryAfterError struct {
 	After  time.Duration
 	Detail string
 }
 
 // Error implements error.
-func (e *RestError) Error() string {
+func (e *RetryAfterError) Error() string {
 	return ErrUnavailable.Error() + ": " + e.Detail + "; it wants no calls for " + e.After.String()
 }
 
 // Is makes the error match ErrUnavailable.
-func (e *RestError) Is(target error) bool { return target == ErrUnavailable }
+func (e *RetryAfterError) Is(target error) bool { return target == ErrUnavailable }
 
 const (
 	// mostRest bounds what the store may ask for: an accepted configuration is to be in force within seconds.
@@ -46,7 +46,7 @@
 }
 
 // note takes a rest; true if it is news.
-func (r *rests) note(e *RestError) bool {
+func (r *rests) note(e *RetryAfterError) bool {
 	d := min(e.After, mostRest)
 	d += time.Duration(rand.Float64() * restSpread * float64(d)) //nolint:gosec // spread
 	now := time.Now()
--- a/internal/external/rest_test.go
+++ b/internal/external/rest_test.go
@@ -23,7 +23,7 @@
 func (r *resting) Read(ctx context.Context, key string) (external.Entry, int64, error) {
 	r.calls++
 	if r.after > 0 {
-		return external.Entry{}, 0, &external.RestError{After: r.after, Detail: "busy"}
+		return external.Entry{}, 0, &external.RetryAfterError{After: r.after, Detail: "busy"}
 	}
 	return r.Store.Read(ctx, key)
 }
@@ -37,7 +37,7 @@
 			o := external.Observe(store)
 			calls, rests := 0, 0
 			o.OnCall(func(external.Call) { calls++ })
-			o.OnRest(func(time.Duration) { rests++ })
+			o.OnBackoff(func(time.Duration) { rests++ })
 			read := func(ctx context.Context) error {
 				_, _, err := o.Read(ctx, "a")
 				return err
@@ -55,7 +55,7 @@
 			So(rests, ShouldEqual, 1)
 
 			Convey("but for the last call of an instance that stops", func() {
-				So(read(external.WithLast(ctx)), ShouldBeNil)
+				So(read(external.WithFinalCall(ctx)), ShouldBeNil)
 			})
 
 			Convey("and is called then, a quarter later at most", func() {
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -24,8 +24,8 @@
 	"github.com/ledgemount/ledgemount/internal/route"
 )
 
-// KindNews asks for what has changed.
-const KindNews mesh.Kind = "feed.news"
+// KindUpdate asks for what has changed.
+const KindUpdate mesh.Kind = "feed.news"
 
 const (
 	askLimit   = 450 * time.Millisecond  // of one question
@@ -98,13 +98,13 @@
 
 // Follower is what tells news: follow.Follower.
 type Follower interface {
-	News(since follow.Cursor) (follow.Update, bool)
+	UpdateSince(since follow.Cursor) (follow.Update, bool)
 }
 
 // Serve answers the questions of other instances from what a follower knows.
 func Serve(router *mesh.Router, f Follower, epochs *external.Epochs) {
 	s := &server{follower: f, epochs: epochs}
-	mesh.Handle(router, KindNews, s.tell)
+	mesh.Handle(router, KindUpdate, s.tell)
 }
 
 type server struct {
@@ -129,7 +129,7 @@
 	}
 	present := s.epochs.Current()
 	since := q.cursor(present)
-	u, ok := s.follower.News(since)
+	u, ok := s.follower.UpdateSince(since)
 	if !ok || external.EpochOf(u.At) < present {
 		return news{}, nil
 	}
@@ -138,11 +138,11 @@
 	}
 	epoch := external.EpochOf(u.At)
 	n := news{
-		Known: true, At: external.NumberOf(u.At), ConfigAt: within(epoch, u.ConfigAt), Whole: u.Whole, Endpoints: u.Endpoints, Gone: u.Gone,
+		Known: true, At: external.NumberOf(u.At), ConfigAt: within(epoch, u.ConfigAt), Whole: u.Complete, Endpoints: u.Endpoints, Gone: u.Removed,
 		AgeMs: u.Age.Milliseconds(), OperatorAt: within(epoch, u.OperatorAt), Evacuated: u.Evacuated.Zones, Epoch: epoch,
 	}
 	var err error
-	if u.Whole {
+	if u.Complete {
 		n.Endpoints = nil
 		var at int64
 		if n.All, at, err = s.packAll(u, since.At); err != nil {
@@ -270,7 +270,7 @@
 	t := time.NewTimer(meetWait)
 	defer t.Stop()
 	select {
-	case <-s.dir.Met():
+	case <-s.dir.Discovered():
 	case <-t.C:
 	case <-ctx.Done():
 	}
@@ -308,7 +308,7 @@
 	defer cancel()
 	u, err = s.store.Changes(ctx, since, own)
 	s.rest.note(s.now(), err)
-	s.slow.Store(errors.Is(err, external.ErrSlowAnswer))
+	s.slow.Store(errors.Is(err, external.ErrSlowResponse))
 	return u, err
 }
 
@@ -343,7 +343,7 @@
 func (s *Source) askOne(ctx context.Context, p mesh.Peer, since follow.Cursor, most time.Duration) (follow.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, askLimit)
 	defer cancel()
-	n, err := peers.Call[question, news](ctx, s.dir, p, KindNews, ask(since, s.epochs.Current()))
+	n, err := peers.Call[question, news](ctx, s.dir, p, KindUpdate, ask(since, s.epochs.Current()))
 	age := time.Duration(n.AgeMs) * time.Millisecond
 	switch {
 	case err != nil:
@@ -360,8 +360,8 @@
 	}
 	operator := external.Revision(n.Epoch, n.OperatorAt)
 	u := follow.Update{
-		At: external.Revision(n.Epoch, n.At), ConfigAt: external.Revision(n.Epoch, n.ConfigAt), Whole: n.Whole, Endpoints: n.Endpoints, Gone: n.Gone,
-		Events: 1, Peer: true, Age: age, OperatorAt: operator, Evacuated: &evacuation.Set{At: operator, Zones: n.Evacuated},
+		At: external.Revision(n.Epoch, n.At), ConfigAt: external.Revision(n.Epoch, n.ConfigAt), Complete: n.Whole, Endpoints: n.Endpoints, Removed: n.Gone,
+		Events: 1, FromPeer: true, Age: age, OperatorAt: operator, Evacuated: &evacuation.Set{At: operator, Zones: n.Evacuated},
 	}
 	if len(n.All) > 0 {
 		if u.Endpoints, err = unpack[[]pool.Endpoint](n.All); err != nil {
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -73,7 +73,7 @@
 	for _, x := range fleet {
 		e := &end{dir: x.Dir, store: &script{}, pool: pool.New("a"), epochs: external.NewEpochs()}
 		e.source = NewSource(e.dir, e.store, WithNow(now), WithEpochs(e.epochs))
-		e.follower = follow.New(e.source, e.pool, follow.WithNow(now), follow.WithOwn(func() bool { return false }))
+		e.follower = follow.New(e.source, e.pool, follow.WithNow(now), follow.WithFleetRecords(func() bool { return false }))
 		Serve(x.Router, e.follower, e.epochs)
 		ends = append(ends, e)
 	}
@@ -113,11 +113,11 @@
 			Convey("and then what changes: an endpoint that drains, one that goes and one that comes back", func() {
 				draining := endpoint("e-1")
 				draining.Draining = true
-				b.lead.store.update = follow.Update{At: 12, ConfigAt: 7, Events: 2, Endpoints: []pool.Endpoint{draining}, Gone: []string{"e-2"}}
+				b.lead.store.update = follow.Update{At: 12, ConfigAt: 7, Events: 2, Endpoints: []pool.Endpoint{draining}, Removed: []string{"e-2"}}
 				So(b.lead.follower.Step(ctx), ShouldBeNil)
 				So(b.member.follower.Step(ctx), ShouldBeNil)
 				So(b.member.pool.Len(), ShouldEqual, 0)
-				b.lead.store.update = follow.Update{At: 14, ConfigAt: 7, Events: 1, Gone: []string{"e-1"}}
+				b.lead.store.update = follow.Update{At: 14, ConfigAt: 7, Events: 1, Removed: []string{"e-1"}}
 				So(b.lead.follower.Step(ctx), ShouldBeNil)
 				b.lead.store.update = follow.Update{At: 15, ConfigAt: 7, Events: 1, Endpoints: []pool.Endpoint{endpoint("e-2")}}
 				So(b.lead.follower.Step(ctx), ShouldBeNil)
@@ -193,7 +193,7 @@
 		Convey("asks the store where the leader cannot be reached, and goes on from there at the leader", func() {
 			So(b.member.follower.Step(ctx), ShouldBeNil)
 			b.net.SetDown("lead:1", true)
-			b.member.store.update = follow.Update{At: 30, ConfigAt: 7, Events: 1, Gone: []string{"e-1"}}
+			b.member.store.update = follow.Update{At: 30, ConfigAt: 7, Events: 1, Removed: []string{"e-1"}}
 			So(b.member.follower.Step(ctx), ShouldBeNil)
 			So(b.member.pool.Len(), ShouldEqual, 1)
 			b.net.SetDown("lead:1", false)
@@ -210,7 +210,7 @@
 			b.net.SetDown("lead:1", true)
 			draining := endpoint("e-1")
 			draining.Draining = true
-			b.member.store.update = follow.Update{At: 30, ConfigAt: 7, Events: 2, Endpoints: []pool.Endpoint{draining}, Gone: []string{"e-2"}}
+			b.member.store.update = follow.Update{At: 30, ConfigAt: 7, Events: 2, Endpoints: []pool.Endpoint{draining}, Removed: []string{"e-2"}}
 			So(b.member.follower.Step(ctx), ShouldBeNil)
 			So(b.member.pool.Len(), ShouldEqual, 0)
 			b.member.store.err = errDown
@@ -224,7 +224,7 @@
 			So(b.member.pool.Len(), ShouldEqual, 0)
 
 			Convey("until the store tells, or the leader knows as much", func() {
-				b.lead.store.update = follow.Update{At: 31, ConfigAt: 7, Events: 3, Endpoints: []pool.Endpoint{draining, endpoint("e-3")}, Gone: []string{"e-2"}}
+				b.lead.store.update = follow.Update{At: 31, ConfigAt: 7, Events: 3, Endpoints: []pool.Endpoint{draining, endpoint("e-3")}, Removed: []string{"e-2"}}
 				So(b.lead.follower.Step(ctx), ShouldBeNil)
 				So(b.member.follower.Step(ctx), ShouldBeNil)
 				So(b.member.pool.Len(), ShouldEqual, 1)
@@ -234,7 +234,7 @@
 		Convey("reads everything from the store, in the same step, where what has changed there does not arrive whole in time", func() {
 			So(b.member.follower.Step(ctx), ShouldBeNil)
 			b.net.SetDown("lead:1", true)
-			b.member.store.changesErr = external.ErrSlowAnswer
+			b.member.store.changesErr = external.ErrSlowResponse
 			b.member.store.update = follow.Update{Config: config(9), ConfigAt: 40, At: 40, Events: 1}
 			So(b.member.follower.Step(ctx), ShouldBeNil)
 			So(b.member.store.calls, ShouldEqual, 2)
--- a/internal/fleettime/fleettime.go
+++ b/internal/fleettime/fleettime.go
@@ -123,7 +123,7 @@
 
 // Sync brings the bounds up to date, by the first keeper that answers; an instance that has none before it keeps them itself.
 func (c *Clock) Sync(ctx context.Context) {
-	keepers := c.dir.Keepers()
+	keepers := c.dir.Coordinators()
 	if len(keepers) == 0 {
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/internal/fleettime/fleettime_test.go
+++ b/internal/fleettime/fleettime_test.go
@@ -29,7 +29,7 @@
 	for i := range n {
 		list = append(list, mesh.Peer{ID: fmt.Sprintf("i-%d", i), Zone: "a", Addr: fmt.Sprintf("i-%d:1", i)})
 	}
-	fleet, err := peerstest.Fleet(ctx, b.net, func() time.Time { return b.now }, peers.DefaultLarge, list)
+	fleet, err := peerstest.Fleet(ctx, b.net, func() time.Time { return b.now }, peers.DefaultLargeFleet, list)
 	So(err, ShouldBeNil)
 	for _, x := range fleet {
 		b.clocks = append(b.clocks, New(x.Dir, x.Self.ID, x.Router,
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -27,7 +27,7 @@
 type Update struct {
 	Config    *route.Config    // nil: not changed, or not there
 	Endpoints []pool.Endpoint  // all of them in a snapshot, else those that have written
-	Gone      []string         // endpoints whose records were removed
+	Removed   []string         // endpoints whose records were removed
 	Entries   []external.Entry // other values
 	Bad       []BadRecord      // records that could not be read; the others hold
 	At        int64            // the revision to go on from
@@ -37,8 +37,8 @@
 	Evacuations []evacuation.Order // those that have changed
 	Evacuated   *evacuation.Set    // all that hold; nil: not told
 	Events      int                // changes that the store told, of whatever kind
-	Whole       bool               // Endpoints is all of them, though changes were asked for
-	Peer        bool               // it comes from another instance, which follows the store
+	Complete    bool               // Endpoints is all of them, though changes were asked for
+	FromPeer    bool               // it comes from another instance, which follows the store
 	Age         time.Duration      // since that instance heard the store
 }
 
@@ -60,18 +60,18 @@
 
 // Times are a follower's intervals.
 type Times struct {
-	Poll    time.Duration // between calls
-	Ask     time.Duration // between calls that another instance answers
-	Call    time.Duration // limit of one call
-	Near    time.Duration // beside it, for asking other instances first
-	Retry   time.Duration // after a call that failed
-	Silence time.Duration // without any change for this long, everything is read again
+	Poll     time.Duration // between calls
+	PeerPoll time.Duration // between calls that another instance answers
+	Call     time.Duration // limit of one call
+	PeerCall time.Duration // beside it, for asking other instances first
+	Retry    time.Duration // after a call that failed
+	Silence  time.Duration // without any change for this long, everything is read again
 }
 
 // DefaultTimes put a change in force well within two seconds of its acknowledgement.
 func DefaultTimes() Times {
 	return Times{
-		Poll: 500 * time.Millisecond, Ask: 300 * time.Millisecond, Call: 800 * time.Millisecond, Near: 500 * time.Millisecond, Retry: 150 * time.Millisecond,
+		Poll: 500 * time.Millisecond, PeerPoll: 300 * time.Millisecond, Call: 800 * time.Millisecond, PeerCall: 500 * time.Millisecond, Retry: 150 * time.Millisecond,
 		Silence: 1200 * time.Millisecond,
 	}
 }
@@ -133,9 +133,9 @@
 // OnRejected sets what is called for each record that cannot be read, once for each revision of it.
 func OnRejected(g func()) Option { return func(f *Follower) { f.onRejected = g } }
 
-// WithOwn sets whether to ask for what the fleet writes itself. A small fleet gets it in the same call; in a large one each
+// WithFleetRecords sets whether to ask for what the fleet writes itself. A small fleet gets it in the same call; in a large one each
 // instance would read what all others write.
-func WithOwn(g func() bool) Option { return func(f *Follower) { f.own = g } }
+func WithFleetRecords(g func() bool) Option { return func(f *Follower) { f.own = g } }
 
 // New makes a follower that fills a pool.
 func New(source Source, p *pool.Pool, opts ...Option) *Follower {
@@ -179,8 +179,8 @@
 	}
 }
 
-// Kick lets the next call be made at once.
-func (f *Follower) Kick() {
+// PollNow lets the next call be made at once.
+func (f *Follower) PollNow() {
 	select {
 	case f.kicks <- struct{}{}:
 	default:
@@ -211,7 +211,7 @@
 	case err != nil:
 		return largeFleetRetries*f.times.Retry + rand.N(f.times.Retry)
 	case f.near:
-		return f.times.Ask
+		return f.times.PeerPoll
 	}
 	return f.times.Poll
 }
@@ -225,7 +225,7 @@
 	reread := f.restored.due(f.now())
 	if f.since.At > 0 && !f.deaf && f.failed < mostFailed && !reread {
 		err := f.follow(ctx)
-		if !errors.Is(err, external.ErrHistoryGone) && !errors.Is(err, external.ErrSlowAnswer) {
+		if !errors.Is(err, external.ErrHistoryGone) && !errors.Is(err, external.ErrSlowResponse) {
 			return err
 		}
 	}
@@ -243,7 +243,7 @@
 
 // follow reads what has changed. Answers that tell nothing for too long are suspect; calls that fail say nothing of that.
 func (f *Follower) follow(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyConfig), f.times.Call+f.times.Near)
+	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyConfig), f.times.Call+f.times.PeerCall)
 	defer cancel()
 	own, asked := f.own(), f.now()
 	u, err := f.source.Changes(ctx, f.since, own)
@@ -252,28 +252,28 @@
 		return eris.Wrap(err, "reading what has changed")
 	}
 	f.failed = 0
-	f.near = u.Peer
+	f.near = u.FromPeer
 	now := f.now()
 	if u.Events > 0 || f.changedAt.IsZero() {
 		f.changedAt = now
 	}
 	f.deaf = now.Sub(f.changedAt) >= f.times.Silence
-	f.apply(u, u.Whole)
+	f.apply(u, u.Complete)
 	f.contacted(asked, u)
-	f.polled(own && !u.Peer)
+	f.polled(own && !u.FromPeer)
 	return nil
 }
 
 // snapshot reads everything. It may take longer than a call for changes, as it is larger.
 func (f *Follower) snapshot(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyConfig), snapshotCalls*f.times.Call+f.times.Near)
+	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyConfig), snapshotCalls*f.times.Call+f.times.PeerCall)
 	defer cancel()
 	asked := f.now()
 	u, err := f.source.Snapshot(ctx, f.since)
 	if err != nil {
 		return eris.Wrap(err, "reading the configuration and the endpoints")
 	}
-	f.changedAt, f.deaf, f.near = f.now(), false, u.Peer
+	f.changedAt, f.deaf, f.near = f.now(), false, u.FromPeer
 	f.apply(u, true)
 	f.contacted(asked, u)
 	return nil
@@ -358,7 +358,7 @@
 		if o.On {
 			event, msg = "zone_evacuated", "an availability zone's endpoints get no new work"
 		}
-		f.log.Info().Str("event", event).Str("zone", o.Zone).Int64("revision", o.Revision).Bool("told", u.Peer).Msg(msg)
+		f.log.Info().Str("event", event).Str("zone", o.Zone).Int64("revision", o.Revision).Bool("told", u.FromPeer).Msg(msg)
 	}
 }
 
@@ -369,7 +369,7 @@
 				Bool("draining", e.Draining).Int64("revision", u.At).Msg("an endpoint is new or has changed its state")
 		}
 	}
-	for _, id := range u.Gone {
+	for _, id := range u.Removed {
 		if f.pool.Remove(id) {
 			f.log.Info().Str("event", "endpoint_gone").Str("endpoint", id).Int64("revision", u.At).Msg("an endpoint's record is gone")
 		}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -48,7 +48,7 @@
 		So(f.Table().Version(), ShouldEqual, 5)
 
 		Convey("asks for what has changed, and never takes an older configuration", func() {
-			src.change = Update{At: 12, Events: 2, Config: &route.Config{Version: 4}, Gone: []string{"a"}}
+			src.change = Update{At: 12, Events: 2, Config: &route.Config{Version: 4}, Removed: []string{"a"}}
 			So(step(), ShouldBeNil)
 			So(src.snapshots, ShouldEqual, 1)
 			So(f.Table().Version(), ShouldEqual, 5)
@@ -72,7 +72,7 @@
 
 		Convey("has not heard lately what another instance heard long ago", func() {
 			now = now.Add(10 * time.Second)
-			src.change = Update{At: 12, Events: 1, Peer: true, Age: 5 * time.Second}
+			src.change = Update{At: 12, Events: 1, FromPeer: true, Age: 5 * time.Second}
 			So(step(), ShouldBeNil)
 			So(now.Sub(f.LastContact()), ShouldEqual, 5*time.Second)
 		})
@@ -99,7 +99,7 @@
 			src.change = evacuated
 			So(step(), ShouldBeNil)
 			So(takes(), ShouldBeFalse)
-			u, ok := f.News(Cursor{})
+			u, ok := f.UpdateSince(Cursor{})
 			So(ok, ShouldBeTrue)
 			So(*u.Evacuated, ShouldResemble, evacuation.Set{At: 14, Zones: []string{"far"}})
 
@@ -136,7 +136,7 @@
 				src.change.Endpoints = []pool.Endpoint{{ID: "a", Service: "s", Addr: "1:1", Cold: d}}
 			}
 			told := func(since int64) int {
-				u, _ := f.News(Cursor{At: since})
+				u, _ := f.UpdateSince(Cursor{At: since})
 				return len(u.Endpoints)
 			}
 			src.change = Update{At: 12, Events: 1}
@@ -213,7 +213,7 @@
 		}
 		step()
 		src.change = Update{
-			At: at(1, 120), Events: 4, Endpoints: []pool.Endpoint{endpoint("leaves", true), endpoint("new", false)}, Gone: []string{"ends"},
+			At: at(1, 120), Events: 4, Endpoints: []pool.Endpoint{endpoint("leaves", true), endpoint("new", false)}, Removed: []string{"ends"},
 			OperatorAt: at(1, 120), Evacuations: []evacuation.Order{{Zone: "new", On: true, Revision: at(1, 119)}},
 		}
 		step()
@@ -268,11 +268,11 @@
 		})
 
 		Convey("tells an instance that follows the epoch before everything, and nothing to one that follows a later epoch", func() {
-			u, ok := f.News(Cursor{At: at(1, 120), ConfigAt: at(1, 100)})
+			u, ok := f.UpdateSince(Cursor{At: at(1, 120), ConfigAt: at(1, 100)})
 			So(ok, ShouldBeTrue)
-			So(u.Whole, ShouldBeTrue)
+			So(u.Complete, ShouldBeTrue)
 			So(u.At, ShouldEqual, at(2, 90))
-			_, ok = f.News(Cursor{At: at(3, 1)})
+			_, ok = f.UpdateSince(Cursor{At: at(3, 1)})
 			So(ok, ShouldBeFalse)
 		})
 	})
--- a/internal/follow/history.go
+++ b/internal/follow/history.go
@@ -53,7 +53,7 @@
 		h.replace(u.Endpoints, at, asOf)
 		return
 	}
-	b := batch{at: at.At, gone: u.Gone}
+	b := batch{at: at.At, gone: u.Removed}
 	for _, e := range u.Endpoints {
 		delete(h.removed, e.ID)
 		if e.Outdated(h.endpoints[e.ID]) {
@@ -64,7 +64,7 @@
 		}
 		h.endpoints[e.ID] = e
 	}
-	for _, id := range u.Gone {
+	for _, id := range u.Removed {
 		delete(h.endpoints, id)
 		h.removed.add(id, asOf)
 	}
@@ -119,7 +119,7 @@
 
 // News tells an instance that follows the store through this one what has changed since a cursor: all of it, if that is not
 // remembered from there on. ok is false while there is nothing to tell.
-func (f *Follower) News(since Cursor) (u Update, ok bool) {
+func (f *Follower) UpdateSince(since Cursor) (u Update, ok bool) {
 	h := f.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -127,14 +127,14 @@
 		return Update{}, false
 	}
 	u = Update{
-		At: max(since.At, h.at.At), ConfigAt: max(since.ConfigAt, h.at.ConfigAt), OperatorAt: h.at.OperatorAt, Peer: true,
+		At: max(since.At, h.at.At), ConfigAt: max(since.ConfigAt, h.at.ConfigAt), OperatorAt: h.at.OperatorAt, FromPeer: true,
 		Evacuated: &evacuation.Set{At: h.at.OperatorAt, Zones: h.evacuated.Zones()}, Age: f.now().Sub(h.asOf),
 	}
 	if since.ConfigAt < h.at.ConfigAt {
 		u.Config = h.config
 	}
 	if since.At < h.from {
-		u.Whole = true
+		u.Complete = true
 		u.Endpoints = slices.Collect(maps.Values(h.endpoints))
 		return u, true
 	}
@@ -160,7 +160,7 @@
 		if e, there := h.endpoints[id]; there {
 			u.Endpoints = append(u.Endpoints, e)
 		} else {
-			u.Gone = append(u.Gone, id)
+			u.Removed = append(u.Removed, id)
 		}
 	}
 }
--- a/internal/follow/restoration.go
+++ b/internal/follow/restoration.go
@@ -25,7 +25,7 @@
 const mostRemovals = 512
 
 // removalLife is how long an endpoint that has gone may come back with a copy, and until that copy's records are reliable.
-const removalLife = external.CopyAge + lapseWait
+const removalLife = external.MaxCopyAge + lapseWait
 
 func (r removals) add(id string, at time.Time) {
 	if len(r) >= mostRemovals {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -224,7 +224,7 @@
 		member.WithInFlight(func() map[string]int { return in.targets.InFlight() }),
 		member.WithLogger(in.log))
 	in.feed = rollout.NewFeed(in.store, in.view, in.transport, in.router, rollout.WithPoll(in.opts.poll), rollout.WithFeedLogger(in.log))
-	in.view.OnBeat(in.feed.Heard)
+	in.view.OnBeat(in.feed.HandleBeat)
 	heard, silenced := pool.LogWords(in.log)
 	in.targets = targets.New(in.set.Instance.Zone, targets.WithZoneView(in.view.InFlight, func() int { return len(in.view.Zone()) }),
 		targets.OnNotice(heard), targets.OnNoticeEnded(silenced))
--- a/internal/load/limits.go
+++ b/internal/load/limits.go
@@ -132,7 +132,7 @@
 func (x *Exchange) asking() {
 	now := x.now()
 	limited := x.pool.Limited()
-	part := x.dir.Part(limit.Settle)
+	part := x.dir.EvenShare(limit.Settle)
 	rates, asks := make(map[uint32]limit.Rate, len(limited)), make(limit.Asks, len(limited))
 	for key, l := range limited {
 		rates[key] = l.Rate
@@ -140,7 +140,7 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.dir.Part(limit.LeaseTime) == 0 {
+	if x.dir.EvenShare(limit.LeaseTime) == 0 {
 		clear(rates) // what the process before this one has lent may still be in use
 	}
 	x.rates, x.synced = rates, now
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -139,7 +139,7 @@
 	defer cancel()
 	x.asking()
 	defer x.lease()
-	keepers := x.dir.Keepers()
+	keepers := x.dir.Coordinators()
 	if len(keepers) == 0 {
 		x.askZones(ctx)
 		x.observe(x.sum(""))
@@ -179,7 +179,7 @@
 	mine := pack(x.zoneSum(), x.now())
 	top, led := x.top()
 	var wg sync.WaitGroup
-	for _, p := range x.dir.Heads() {
+	for _, p := range x.dir.OtherZoneLeaders() {
 		wg.Go(func() {
 			asked := x.now()
 			mine := digest{Lines: mine.Lines, Leaving: mine.Leaving, Limits: mine.Limits, Rider: x.rider.Tell(p.ID)}
--- a/internal/matrix/node_test.go
+++ b/internal/matrix/node_test.go
@@ -200,7 +200,7 @@
 	return false
 }
 
-func (m members) Gone(who string) bool { return !m.Alive(who) }
+func (m members) Lost(who string) bool { return !m.Alive(who) }
 
 func (n *node) isLeaving() bool {
 	n.mu.Lock()
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -368,7 +368,7 @@
 }
 
 // Gone reports whether a process is neither listed nor heard lately, or has been replaced by another of its instance.
-func (v *View) Gone(who string) bool {
+func (v *View) Lost(who string) bool {
 	id, inc := mesh.SplitWho(who)
 	if id == v.self.ID {
 		return inc != v.self.Inc
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -47,10 +47,10 @@
 			net.SetDown("b", true)
 			c.Advance(10 * time.Second)
 			So(a.Alive(b.self.Who()), ShouldBeFalse)
-			So(a.Gone(b.self.Who()), ShouldBeFalse)
+			So(a.Lost(b.self.Who()), ShouldBeFalse)
 			l.insts = l.insts[:1]
 			a.refresh(ctx)
-			So(a.Gone(b.self.Who()), ShouldBeTrue)
+			So(a.Lost(b.self.Who()), ShouldBeTrue)
 		})
 		Convey("a list that cannot be read changes nothing", func() {
 			a.beatAll(ctx)
@@ -62,7 +62,7 @@
 			a.beatAll(ctx)
 			join("b", "2")
 			a.beatAll(ctx)
-			So(a.Gone("b~1"), ShouldBeTrue)
+			So(a.Lost("b~1"), ShouldBeTrue)
 			So(a.Alive("b~2"), ShouldBeTrue)
 		})
 		Convey("a leaving instance is alive, but no home", func() {
--- a/internal/peers/directory.go
+++ b/internal/peers/directory.go
@@ -29,24 +29,24 @@
 
 // Times are a directory's intervals.
 type Times struct {
-	Soon   time.Duration // the least time between reads after the start; it doubles until it is Read
-	Read   time.Duration // between reads later on
-	Call   time.Duration // limit of one call to the store
-	Settle time.Duration // after the start others may not have told of themselves yet, or their links are not open
-	First  time.Duration // an instance that could not be reached is left alone for this long
-	Longer time.Duration // the most that this grows to
+	InitialRead time.Duration // the least time between reads after the start; it doubles until it is Read
+	Read        time.Duration // between reads later on
+	Call        time.Duration // limit of one call to the store
+	Settle      time.Duration // after the start others may not have told of themselves yet, or their links are not open
+	FirstPause  time.Duration // an instance that could not be reached is left alone for this long
+	MaxPause    time.Duration // the most that this grows to
 }
 
 // DefaultTimes suit a store that answers in milliseconds and zones a millisecond wide.
 func DefaultTimes() Times {
 	return Times{
-		Soon: 700 * time.Millisecond, Read: 5 * time.Second, Call: 900 * time.Millisecond,
-		Settle: 500 * time.Millisecond, First: 700 * time.Millisecond, Longer: 3 * time.Second,
+		InitialRead: 700 * time.Millisecond, Read: 5 * time.Second, Call: 900 * time.Millisecond,
+		Settle: 500 * time.Millisecond, FirstPause: 700 * time.Millisecond, MaxPause: 3 * time.Second,
 	}
 }
 
-// DefaultLarge is the number of instances from which a fleet is large.
-const DefaultLarge = 17
+// DefaultLargeFleet is the number of instances from which a fleet is large.
+const DefaultLargeFleet = 17
 
 // mostLeaders is the number of instances that one tries to reach before it does the work itself.
 const mostLeaders = 3
@@ -109,8 +109,8 @@
 // WithLogger sets the logger.
 func WithLogger(log zerolog.Logger) Option { return func(d *Directory) { d.log = log } }
 
-// WithLarge sets the number of instances from which a fleet is large.
-func WithLarge(n int) Option { return func(d *Directory) { d.large = n } }
+// WithLargeFleet sets the number of instances from which a fleet is large.
+func WithLargeFleet(n int) Option { return func(d *Directory) { d.large = n } }
 
 // WithoutPools makes a directory in which no zone pools its customers' tokens.
 func WithoutPools() Option { return func(d *Directory) { d.pools = false } }
@@ -130,7 +130,7 @@
 func New(store external.KV, prefix string, self Record, router *mesh.Router, opts ...Option) *Directory {
 	d := &Directory{
 		store: store, prefix: prefix, self: self, router: router, times: DefaultTimes(), now: time.Now, log: zerolog.Nop(),
-		large: DefaultLarge, pools: true, records: make(map[string]Record), suspects: make(map[string]*suspicion),
+		large: DefaultLargeFleet, pools: true, records: make(map[string]Record), suspects: make(map[string]*suspicion),
 		met: make(chan struct{}), wakes: make(chan struct{}, 1), traffic: func(mesh.Kind, int) {}, epochs: external.NewEpochs(),
 	}
 	for _, opt := range opts {
@@ -169,9 +169,9 @@
 	return d.disconnect()
 }
 
-// Met is closed once the fleet is known as well as it soon will be: a large one is linked, and a small one was there before, or has
+// Discovered is closed once the fleet is known as well as it soon will be: a large one is linked, and a small one was there before, or has
 // had time to start.
-func (d *Directory) Met() <-chan struct{} { return d.met }
+func (d *Directory) Discovered() <-chan struct{} { return d.met }
 
 // meet closes Met if the fleet is known by now.
 func (d *Directory) meet() {
@@ -200,7 +200,7 @@
 	case age < d.times.Settle:
 		wait = d.times.Settle - age
 	case age < d.times.Read:
-		wait = max(d.times.Soon, age)
+		wait = max(d.times.InitialRead, age)
 	}
 	t := time.NewTimer(wait)
 	defer t.Stop()
@@ -350,7 +350,7 @@
 	case known < d.large:
 		return known > soleRecords || age > d.times.Settle
 	}
-	return d.linked() && !d.Stranded()
+	return d.linked() && !d.LeadersUnreachable()
 }
 
 const (
--- a/internal/peers/leaders.go
+++ b/internal/peers/leaders.go
@@ -10,8 +10,8 @@
 // Leads reports whether this instance leads its zone, as far as it knows.
 func (d *Directory) Leads() bool { return len(d.Leaders()) == 0 }
 
-// Stranded reports whether this instance does the work itself only because those that lead cannot be reached.
-func (d *Directory) Stranded() bool {
+// LeadersUnreachable reports whether this instance does the work itself only because those that lead cannot be reached.
+func (d *Directory) LeadersUnreachable() bool {
 	d.mu.Lock()
 	ahead := len(d.ahead)
 	d.mu.Unlock()
@@ -53,9 +53,9 @@
 // mostFleetLeaders is the number of instances that a zone's leader tries before it does the work itself.
 const mostFleetLeaders = 2
 
-// Keepers are the instances that keep what all agree on, best first; none means that this instance does. In a large fleet these are
+// Coordinators are the instances that keep what all agree on, best first; none means that this instance does. In a large fleet these are
 // the zone's leaders.
-func (d *Directory) Keepers() []mesh.Peer {
+func (d *Directory) Coordinators() []mesh.Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
@@ -67,8 +67,8 @@
 	return d.reachable(d.all)
 }
 
-// Heads are the instances that lead the other zones, as far as they can be reached.
-func (d *Directory) Heads() []mesh.Peer {
+// OtherZoneLeaders are the instances that lead the other zones, as far as they can be reached.
+func (d *Directory) OtherZoneLeaders() []mesh.Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.linked() {
@@ -91,9 +91,9 @@
 	return out
 }
 
-// Spread are the instances to tell at once what all are to know: all others of a small fleet; in a large one the first leader of the zone that
+// NotifyTargets are the instances to tell at once what all are to know: all others of a small fleet; in a large one the first leader of the zone that
 // can be reached, and for a leader those of the other zones.
-func (d *Directory) Spread() []mesh.Peer {
+func (d *Directory) NotifyTargets() []mesh.Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
@@ -114,9 +114,9 @@
 	return d.heads()
 }
 
-// Cut reports whether the last call to an instance that this one tells has failed: in a large fleet one that leads another zone, in a small one
+// NotifyTargetUnreachable reports whether the last call to an instance that this one tells has failed: in a large fleet one that leads another zone, in a small one
 // any other.
-func (d *Directory) Cut() bool {
+func (d *Directory) NotifyTargetUnreachable() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.isLarge() {
--- a/internal/peers/lenders.go
+++ b/internal/peers/lenders.go
@@ -69,5 +69,5 @@
 	return out
 }
 
-// Near reports whether an instance is of the own zone.
-func (d *Directory) Near(p mesh.Peer) bool { return p.Zone == d.self.Peer.Zone }
+// SameZone reports whether an instance is of the own zone.
+func (d *Directory) SameZone(p mesh.Peer) bool { return p.Zone == d.self.Peer.Zone }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -35,7 +35,7 @@
 		r := mesh.NewRouter()
 		peer := mesh.Peer{ID: fmt.Sprintf("i-%d", i), Zone: zones[i%len(zones)], Addr: fmt.Sprintf("10.0.0.%d:1", i)}
 		mesh.Handle(r, kindEcho, func(context.Context, mesh.Peer, string) (string, error) { return peer.ID, nil })
-		d := New(f.store, "p/", Record{Peer: peer, Capacity: float64(n - i)}, r, WithLarge(large),
+		d := New(f.store, "p/", Record{Peer: peer, Capacity: float64(n - i)}, r, WithLargeFleet(large),
 			WithNow(func() time.Time { return f.at }), WithCaller(f.net.Join(peer, r)))
 		f.dirs = append(f.dirs, d)
 	}
@@ -70,7 +70,7 @@
 		for _, d := range f.dirs {
 			So(d.Large(), ShouldBeFalse)
 			So(d.Leads(), ShouldBeTrue)
-			So(d.Stranded(), ShouldBeFalse)
+			So(d.LeadersUnreachable(), ShouldBeFalse)
 			So(d.Size(), ShouldEqual, 3)
 		}
 	})
@@ -83,7 +83,7 @@
 		Convey("the largest machines lead, and at most three are asked", func() {
 			So(ids(last.Leaders()), ShouldResemble, []string{"i-0", "i-1", "i-2"})
 			So(f.dirs[0].Leads(), ShouldBeTrue)
-			So(f.dirs[0].Stranded(), ShouldBeFalse)
+			So(f.dirs[0].LeadersUnreachable(), ShouldBeFalse)
 			So(ids(f.dirs[1].Leaders()), ShouldResemble, []string{"i-0"})
 			So(last.ZoneSize(), ShouldEqual, 6)
 		})
@@ -94,13 +94,13 @@
 			_, err := Call[string, string](ctx, last, first, kindEcho, "")
 			So(errors.Is(err, mesh.ErrUnreachable), ShouldBeTrue)
 			So(ids(last.Leaders()), ShouldResemble, []string{"i-1", "i-2"})
-			f.at = f.at.Add(last.times.First)
+			f.at = f.at.Add(last.times.FirstPause)
 			So(ids(last.Leaders())[0], ShouldEqual, "i-0")
 			_, _ = Call[string, string](ctx, last, first, kindEcho, "")
-			f.at = f.at.Add(last.times.First)
+			f.at = f.at.Add(last.times.FirstPause)
 			So(ids(last.Leaders())[0], ShouldEqual, "i-1")
 			f.net.SetDown("10.0.0.0:1", false)
-			f.at = f.at.Add(last.times.Longer)
+			f.at = f.at.Add(last.times.MaxPause)
 			got, err := Call[string, string](ctx, last, first, kindEcho, "")
 			So(err, ShouldBeNil)
 			So(got, ShouldEqual, "i-0")
@@ -113,7 +113,7 @@
 				_, _ = Call[string, string](ctx, last, p, kindEcho, "")
 			}
 			So(last.Leads(), ShouldBeTrue)
-			So(last.Stranded(), ShouldBeTrue)
+			So(last.LeadersUnreachable(), ShouldBeTrue)
 		})
 
 		Convey("one that has left is asked no more", func() {
@@ -221,7 +221,7 @@
 	met := func(d *Directory) bool {
 		d.meet()
 		select {
-		case <-d.Met():
+		case <-d.Discovered():
 			return true
 		default:
 			return false
@@ -327,7 +327,7 @@
 			So(last.read(ctx), ShouldBeNil)
 			got := last.Lenders("north")
 			So(got, ShouldHaveLength, 4)
-			So(last.Near(got[0]) && last.Near(got[1]), ShouldBeTrue)
+			So(last.SameZone(got[0]) && last.SameZone(got[1]), ShouldBeTrue)
 			So(got[2].Zone, ShouldNotEqual, got[3].Zone)
 		})
 	})
@@ -384,8 +384,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() { ended <- d.Run(ctx) }()
-		<-d.Met()
-		So(d.Known(), ShouldBeTrue)
+		<-d.Discovered()
+		So(d.IsDiscovered(), ShouldBeTrue)
 		So(d.Owns("endpoint", 1), ShouldBeTrue)
 		cancel()
 		So(<-ended, ShouldBeNil)
--- a/internal/peers/peerstest/peerstest.go
+++ b/internal/peers/peerstest/peerstest.go
@@ -33,7 +33,7 @@
 	for i, self := range list {
 		r := mesh.NewRouter()
 		d := peers.New(store, "p/", peers.Record{Peer: self, Capacity: float64(len(list) - i)}, r,
-			peers.WithLarge(large), peers.WithNow(now), peers.WithCaller(net.Join(self, r)))
+			peers.WithLargeFleet(large), peers.WithNow(now), peers.WithCaller(net.Join(self, r)))
 		out = append(out, Instance{Self: self, Router: r, Dir: d})
 	}
 	for range mostRounds {
--- a/internal/peers/rank.go
+++ b/internal/peers/rank.go
@@ -24,9 +24,9 @@
 		d.suspects[id] = s
 	}
 	if s.pause == 0 {
-		s.pause = d.times.First
+		s.pause = d.times.FirstPause
 	} else {
-		s.pause = min(2*s.pause, d.times.Longer)
+		s.pause = min(2*s.pause, d.times.MaxPause)
 	}
 	s.until = d.now().Add(s.pause)
 }
@@ -60,7 +60,7 @@
 }
 
 // Known reports whether the other instances are known as well as they soon will be.
-func (d *Directory) Known() bool {
+func (d *Directory) IsDiscovered() bool {
 	select {
 	case <-d.met:
 		return true
@@ -70,7 +70,7 @@
 }
 
 // Place is this instance's place among all, by their IDs, and their number.
-func (d *Directory) Place() (place, size int) {
+func (d *Directory) Position() (place, size int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.place, max(1, len(d.records))
@@ -92,13 +92,13 @@
 	return slices.ContainsFunc(ranked[:min(first, len(ranked))], func(p mesh.Peer) bool { return p.ID == d.self.Peer.ID })
 }
 
-// Part is this instance's even part of what all instances share, from 0 to 1. It is 0 while the others are not known, and for a time settle after the
+// EvenShare is this instance's even part of what all instances share, from 0 to 1. It is 0 while the others are not known, and for a time settle after the
 // start of an instance that has started again: what the process before it had may still be in use.
-func (d *Directory) Part(settle time.Duration) float64 {
+func (d *Directory) EvenShare(settle time.Duration) float64 {
 	if d.self.Peer.Addr == "" {
 		return 1
 	}
-	if !d.Known() {
+	if !d.IsDiscovered() {
 		return 0
 	}
 	d.mu.Lock()
--- a/internal/peers/restore.go
+++ b/internal/peers/restore.go
@@ -45,7 +45,7 @@
 // write brings this instance's record to the store: at the start, and when a restoration may have lost its last write.
 func (d *Directory) write(ctx context.Context) error {
 	epoch, now := d.epochs.Current(), d.now()
-	if !d.wrote.IsZero() && (epoch == d.wroteIn || now.Sub(d.wrote) > external.CopyAge) {
+	if !d.wrote.IsZero() && (epoch == d.wroteIn || now.Sub(d.wrote) > external.MaxCopyAge) {
 		return nil
 	}
 	var err error
@@ -78,7 +78,7 @@
 // links are opened anew. An authority that is older than any copy cannot be lost.
 func (d *Directory) keepAuthority(ctx context.Context) error {
 	at := d.restored.Load()
-	if d.authority == nil || at == nil || at.Sub(d.linkedAt) > external.CopyAge || !at.After(d.checked) {
+	if d.authority == nil || at == nil || at.Sub(d.linkedAt) > external.MaxCopyAge || !at.After(d.checked) {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyMembers), 2*d.times.Call)
--- a/internal/peers/restore_test.go
+++ b/internal/peers/restore_test.go
@@ -76,7 +76,7 @@
 		})
 
 		Convey("one that has written nothing for longer than a copy is old writes nothing", func() {
-			f.at = f.at.Add(external.CopyAge + time.Second)
+			f.at = f.at.Add(external.MaxCopyAge + time.Second)
 			So(f.dirs[0].read(ctx), ShouldBeNil)
 			before := f.store.Number()
 			So(f.dirs[0].write(ctx), ShouldBeNil)
@@ -135,7 +135,7 @@
 		})
 
 		Convey("does not ask for one that is older than any copy", func() {
-			f.at = f.at.Add(external.CopyAge + time.Second)
+			f.at = f.at.Add(external.MaxCopyAge + time.Second)
 			So(f.dirs[0].read(ctx), ShouldBeNil)
 			calls := f.store.Calls()
 			So(f.dirs[0].keepAuthority(ctx), ShouldBeNil)
--- a/internal/pool/connections.go
+++ b/internal/pool/connections.go
@@ -40,7 +40,7 @@
 	if c == nil || (!c.checked.IsZero() && now.Sub(c.checked) < ownersFor) {
 		return c
 	}
-	place, size := l.owners.Place()
+	place, size := l.owners.Position()
 	c.place, c.size = uint64(max(0, place)), uint64(max(1, size)) //nolint:gosec // neither is below 0
 	c.part = c.most / max(1, size)
 	c.checked = now
--- a/internal/pool/connections_test.go
+++ b/internal/pool/connections_test.go
@@ -12,9 +12,9 @@
 // oneOf is the place of an instance in a fleet that all know; the order for a key is that of places, turned by the key.
 type oneOf struct{ place, size int }
 
-func (oneOf) Known() bool         { return true }
-func (o oneOf) Place() (int, int) { return o.place, o.size }
-func (o oneOf) Size() int         { return o.size }
+func (oneOf) IsDiscovered() bool     { return true }
+func (o oneOf) Position() (int, int) { return o.place, o.size }
+func (o oneOf) Size() int            { return o.size }
 func (o oneOf) Owns(key string, first int) bool {
 	return (o.place+int(key[len(key)-1]))%o.size < first
 }
--- a/internal/pool/limits_test.go
+++ b/internal/pool/limits_test.go
@@ -12,10 +12,10 @@
 // fleetOf is a fleet of some instances.
 type fleetOf int
 
-func (fleetOf) Known() bool           { return true }
-func (n fleetOf) Size() int           { return int(n) }
-func (fleetOf) Owns(string, int) bool { return true }
-func (n fleetOf) Place() (int, int)   { return 0, int(n) }
+func (fleetOf) IsDiscovered() bool     { return true }
+func (n fleetOf) Size() int            { return int(n) }
+func (fleetOf) Owns(string, int) bool  { return true }
+func (n fleetOf) Position() (int, int) { return 0, int(n) }
 
 // taken counts the requests that the endpoint gets in some time.
 func (w *words) taken(d time.Duration) int {
--- a/internal/pool/warm.go
+++ b/internal/pool/warm.go
@@ -24,12 +24,12 @@
 
 // Owners tells which instances own what, in an order that all instances come to alone.
 type Owners interface {
-	// Known reports whether the other instances are known at all.
-	Known() bool
+	// IsDiscovered reports whether the other instances are known at all.
+	IsDiscovered() bool
 	// Size is their number, this one among them.
 	Size() int
-	// Place is this instance's place among them, from 0, and their number. All come to the same order.
-	Place() (place, size int)
+	// Position is this instance's place among them, from 0, and their number. All come to the same order.
+	Position() (place, size int)
 	// Owns reports whether this instance is one of the first of them in the order for a key.
 	Owns(key string, first int) bool
 }
@@ -43,10 +43,10 @@
 // alone is a fleet of one instance.
 type alone struct{}
 
-func (alone) Known() bool           { return true }
+func (alone) IsDiscovered() bool    { return true }
 func (alone) Size() int             { return 1 }
 func (alone) Owns(string, int) bool { return true }
-func (alone) Place() (int, int)     { return 0, 1 }
+func (alone) Position() (int, int)  { return 0, 1 }
 
 // warming is what an instance knows of one endpoint that is cold.
 type warming struct {
@@ -116,7 +116,7 @@
 	w := &m.warming
 	if now.Sub(w.checked) > ownersFor {
 		w.share = slowstart.Plan(l.warmups[m.Service], l.coldBounds, l.owners.Size())
-		w.owns = l.owners.Known() && l.owners.Owns(m.ID, w.share.Owners)
+		w.owns = l.owners.IsDiscovered() && l.owners.Owns(m.ID, w.share.Owners)
 		w.checked = now
 	}
 	return w.owns && w.bucket.Has(now, w.share)
--- a/internal/pool/warm_test.go
+++ b/internal/pool/warm_test.go
@@ -84,9 +84,9 @@
 	list []mesh.Peer
 }
 
-func (r ranked) Known() bool { return true }
-func (r ranked) Size() int   { return len(r.list) }
-func (r ranked) Place() (int, int) {
+func (r ranked) IsDiscovered() bool { return true }
+func (r ranked) Size() int          { return len(r.list) }
+func (r ranked) Position() (int, int) {
 	return slices.IndexFunc(r.list, func(p mesh.Peer) bool { return p.ID == r.self }), len(r.list)
 }
 
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -164,7 +164,7 @@
 // begin reads the store once, unless there are others that tell.
 func (s *Share) begin(ctx context.Context) {
 	select {
-	case <-s.dir.Met():
+	case <-s.dir.Discovered():
 	case <-time.After(lookEvery):
 	case <-ctx.Done():
 		return
@@ -176,7 +176,7 @@
 
 // isolated reports whether the store is the only one that can tell of other instances. A small fleet hears it from the store in any case.
 func (s *Share) isolated() bool {
-	return s.dir.Large() && (s.dir.Stranded() || (s.dir.Leads() && s.dir.Cut()))
+	return s.dir.Large() && (s.dir.LeadersUnreachable() || (s.dir.Leads() && s.dir.NotifyTargetUnreachable()))
 }
 
 // Tell is what is to be told to another instance now; nil: nothing.
@@ -256,7 +256,7 @@
 	var g sync.WaitGroup
 	var mu sync.Mutex
 	missed := false
-	for _, p := range s.dir.Spread() {
+	for _, p := range s.dir.NotifyTargets() {
 		g.Go(func() {
 			if err := s.pushTo(ctx, p); err != nil {
 				mu.Lock()
@@ -266,7 +266,7 @@
 		})
 	}
 	g.Wait()
-	if missed || s.dir.Cut() || !s.dir.Linked() {
+	if missed || s.dir.NotifyTargetUnreachable() || !s.dir.Linked() {
 		s.mu.Lock()
 		s.unsaved = true
 		s.mu.Unlock()
--- a/internal/quarantine/share_test.go
+++ b/internal/quarantine/share_test.go
@@ -74,9 +74,9 @@
 // exchange does what the exchange of loads does every so often: members with leaders, and leaders with each other.
 func (s *sharing) exchange() {
 	for i, x := range s.nodes {
-		to := s.fleet[i].Dir.Keepers()
+		to := s.fleet[i].Dir.Coordinators()
 		if len(to) == 0 {
-			to = s.fleet[i].Dir.Heads()
+			to = s.fleet[i].Dir.OtherZoneLeaders()
 		}
 		for _, p := range to {
 			for j, q := range s.peers {
@@ -243,7 +243,7 @@
 		s.exchange()
 		for i, x := range s.nodes {
 			for j, p := range s.peers {
-				if i != j && s.fleet[i].Dir.Keepers() != nil {
+				if i != j && s.fleet[i].Dir.Coordinators() != nil {
 					raw := x.Tell(p.ID)
 					So(len(raw), ShouldBeLessThan, 4)
 				}
--- a/internal/rollout/cache.go
+++ b/internal/rollout/cache.go
@@ -33,8 +33,8 @@
 	CacheEvents(endpoint string, events []wire.CacheEvent, gap bool)
 }
 
-// CacheNews is a message of KindCache.
-type CacheNews struct {
+// CacheUpdate is a message of KindCache.
+type CacheUpdate struct {
 	Endpoint string            `cbor:"1,keyasint"`
 	Events   []wire.CacheEvent `cbor:"2,keyasint"`
 	Gap      bool              `cbor:"3,keyasint,omitempty"`
@@ -54,7 +54,7 @@
 // NewCache makes the service and registers its message.
 func NewCache(feed *Feed, m members, c mesh.Caller, r *mesh.Router, reader CacheReader, table CacheTable) *Cache {
 	s := &Cache{feed: feed, members: m, caller: c, reader: reader, table: table, after: make(map[string]int64)}
-	mesh.Handle(r, KindCache, func(_ context.Context, _ mesh.Peer, n CacheNews) (mesh.Empty, error) {
+	mesh.Handle(r, KindCache, func(_ context.Context, _ mesh.Peer, n CacheUpdate) (mesh.Empty, error) {
 		table.CacheEvents(n.Endpoint, n.Events, n.Gap)
 		return mesh.Empty{}, nil
 	})
@@ -87,12 +87,12 @@
 	if err != nil || len(events) == 0 {
 		return
 	}
-	news := CacheNews{Endpoint: name, Events: events, Gap: gapped(s.after[name], events)}
+	news := CacheUpdate{Endpoint: name, Events: events, Gap: gapped(s.after[name], events)}
 	s.after[name] = events[len(events)-1].Seq
 	s.table.CacheEvents(name, events, news.Gap)
 	for _, p := range s.members.Zone() {
 		if p.ID != s.members.Self().ID {
-			_, _ = mesh.Call[CacheNews, mesh.Empty](ctx, s.caller, p.Addr, KindCache, news)
+			_, _ = mesh.Call[CacheUpdate, mesh.Empty](ctx, s.caller, p.Addr, KindCache, news)
 		}
 	}
 }
--- a/internal/rollout/feed.go
+++ b/internal/rollout/feed.go
@@ -199,8 +199,8 @@
 	return false
 }
 
-// Heard is notified of heartbeats: a peer with a newer version is asked for it.
-func (f *Feed) Heard(_ context.Context, b member.Beat) {
+// HandleBeat is notified of heartbeats: a peer with a newer version is asked for it.
+func (f *Feed) HandleBeat(_ context.Context, b member.Beat) {
 	if b.Config <= f.Version() {
 		return
 	}
--- a/internal/rollout/formats_test.go
+++ b/internal/rollout/formats_test.go
@@ -8,6 +8,6 @@
 
 // What instances of other builds read, or have written.
 func TestFormats(t *testing.T) {
-	formattest.Check[CacheNews](t, "cache")
+	formattest.Check[CacheUpdate](t, "cache")
 	formattest.Check[Snapshot](t, "snapshot")
 }
--- a/internal/router/experiment.go
+++ b/internal/router/experiment.go
@@ -58,9 +58,9 @@
 }
 
 func (s *Settings) peersOptions() []peers.Option {
-	out := []peers.Option{peers.WithLarge(s.Peers.Large)}
+	out := []peers.Option{peers.WithLargeFleet(s.Peers.Large)}
 	if s.without(Leaders) {
-		out = append(out, peers.WithLarge(math.MaxInt))
+		out = append(out, peers.WithLargeFleet(math.MaxInt))
 	}
 	if s.without(Pools) {
 		out = append(out, peers.WithoutPools())
--- a/internal/router/restored.go
+++ b/internal/router/restored.go
@@ -46,7 +46,7 @@
 	r.restored.note()
 	r.metrics.restored(x)
 	r.log.Warn().Str("event", "store_restored").Int64("epoch", x.Epoch).Int64("before", x.Before).Int64("revision", x.Number).
-		Int64("revision_before", x.Known).Int64("revisions_back", x.Back()).Dur("copy_age", x.Age).
+		Int64("revision_before", x.Known).Int64("revisions_back", x.LostRevisions()).Dur("copy_age", x.Age).
 		Msg("the store was restored from an older copy: what was written since is lost there")
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -86,7 +86,7 @@
 	r.start = newStartLine(log, r.metrics.started)
 	r.followEpochs(on.Epochs)
 	on.Calls.OnCall(r.called)
-	on.Calls.OnRest(r.storeRests)
+	on.Calls.OnBackoff(r.storeRests)
 	id := set.Instance.ID + "/" + strings.ToLower(ulid.Make().String())
 	links := mesh.NewRouter()
 	r.newFleet(on, links, id)
@@ -95,7 +95,7 @@
 	r.newSharing(on, links)
 	r.newCore(on)
 	r.waking = waking{clock: r.boot, heard: r.follow.LastContact}
-	r.boot.OnWake(r.wake)
+	r.boot.OnResume(r.wake)
 	if err := r.listen(on); err != nil {
 		return nil, err
 	}
@@ -144,7 +144,7 @@
 	r.follow = follow.New(feed.NewSource(r.peers, on.Source, feed.WithNow(r.boot.Now), feed.WithEpochs(on.Epochs)), r.pool,
 		follow.WithLogger(r.log), follow.WithNow(r.boot.Now), follow.OnRejected(r.metrics.rejected),
 		follow.OnTable(r.fundsOf), follow.OnTable(r.servicesOf),
-		follow.OnEntry(r.observe), follow.OnPolled(r.escrow.Tick), follow.WithOwn(func() bool { return !r.peers.Large() }))
+		follow.OnEntry(r.observe), follow.OnPolled(r.escrow.Tick), follow.WithFleetRecords(func() bool { return !r.peers.Large() }))
 	feed.Serve(links, r.follow, on.Epochs)
 }
 
@@ -189,7 +189,7 @@
 // startWatch is the service that measures the start.
 func (r *Router) startWatch() *startWatch {
 	return &startWatch{line: r.start, steps: map[Step]func() bool{
-		StepFleet:         r.peers.Known,
+		StepFleet:         r.peers.IsDiscovered,
 		StepConfiguration: func() bool { return r.follow.Table() != nil },
 		StepEndpoints:     func() bool { return r.pool.Len() > 0 },
 		StepEscrow:        r.escrow.Ready,
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -114,7 +114,7 @@
 		Retry:  Retry{Ratio: 0.2, Slack: 20, Window: 10 * time.Second},
 		Stop:   Stop{Within: 8 * time.Second},
 		Cold:   Cold{Overage: 1},
-		Peers:  Peers{Large: peers.DefaultLarge},
+		Peers:  Peers{Large: peers.DefaultLargeFleet},
 		Log:    Log{Level: "info"},
 	}
 }
--- a/internal/router/wake.go
+++ b/internal/router/wake.go
@@ -51,5 +51,5 @@
 	r.metrics.metrics.Scope().Counter("machine_suspensions_total").Inc(1)
 	r.client.ForgetAll()
 	r.core.EndOverdue()
-	r.follow.Kick()
+	r.follow.PollNow()
 }
