--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,8 +1,8 @@
 // Package follow keeps this instance's view of the configuration and the endpoints up to date from the platform's store.
 //
-// It asks for what has changed at short intervals, each call bounded, and never relies on a call that waits: one that was
-// opened before a cut may stay silent after it. Endpoints write their records all the time, so a history that tells nothing
-// is suspect, and everything is read again.
+// It polls for changes at short intervals with a timeout on each call. It does not use a long-lived watch, because a
+// watch that was opened before a network partition may stay silent after it. Endpoints rewrite their records all the
+// time, so a change history that stays empty for too long is suspect, and the follower reads everything again.
 package follow
 
 import (
@@ -23,52 +23,52 @@
 	"github.com/ledgemount/ledgemount/internal/route"
 )
 
-// Update is what was read or what has changed.
+// Update is the result of one read of the store: a snapshot, or the changes since a cursor.
 type Update struct {
-	Config    *route.Config    // nil: not changed, or not there
-	Endpoints []pool.Endpoint  // all of them in a snapshot, else those that have written
+	Config    *route.Config    // nil: not changed, or absent from the store
+	Endpoints []pool.Endpoint  // all of them in a snapshot, else those whose records were written
 	Removed   []string         // endpoints whose records were removed
 	Entries   []external.Entry // other values
-	Bad       []BadRecord      // records that could not be read; the others hold
-	At        int64            // the revision to go on from
-	ConfigAt  int64            // the revision of the configuration that was read last; 0: none was
-	// OperatorAt is the revision up to which all is known that the operator writes; 0: that was not read
+	Bad       []BadRecord      // records that could not be decoded; the other records are valid
+	At        int64            // the revision from which the next read continues
+	ConfigAt  int64            // the revision of the configuration that was read last; 0: none was read
+	// OperatorAt is the revision up to which the operator's orders are included; 0: they were not read
 	OperatorAt  int64
-	Evacuations []evacuation.Order // those that have changed
-	Evacuated   *evacuation.Set    // all that hold; nil: not told
-	Events      int                // changes that the store told, of whatever kind
-	Complete    bool               // Endpoints is all of them, though changes were asked for
-	FromPeer    bool               // it comes from another instance, which follows the store
-	Age         time.Duration      // since that instance heard the store
+	Evacuations []evacuation.Order // the orders that have changed
+	Evacuated   *evacuation.Set    // all orders in force; nil: not included
+	Events      int                // number of changes of any kind that the store reported
+	Complete    bool               // Endpoints holds all endpoints, although only changes were requested
+	FromPeer    bool               // the update comes from another instance, which follows the store
+	Age         time.Duration      // time since that instance received a response from the store
 }
 
-// Source reads the store in the product's terms.
+// Source reads the store and decodes its records.
 type Source interface {
-	// Snapshot reads everything. What another instance knows counts only if that is as far as known.
+	// Snapshot reads everything. A snapshot of another instance is accepted only if it is at least as recent as known.
 	Snapshot(ctx context.Context, known Cursor) (Update, error)
-	// Changes reads what has changed since; external.ErrHistoryGone asks for a snapshot. Without own, it leaves out what the
-	// fleet writes itself.
-	Changes(ctx context.Context, since Cursor, own bool) (Update, error)
+	// Changes reads what has changed since a cursor. On external.ErrHistoryGone the caller must read a snapshot. Without
+	// fleetRecords, the result omits the records that the fleet itself writes.
+	Changes(ctx context.Context, since Cursor, fleetRecords bool) (Update, error)
 }
 
-// Cursor is how far the store has been read, in its revisions.
+// Cursor is the position up to which the store has been read, in its revisions.
 type Cursor struct {
-	At         int64 // of the last change that was told
-	ConfigAt   int64 // of the last configuration
-	OperatorAt int64 // of the last change of what the operator writes
+	At         int64 // revision of the last change that was read
+	ConfigAt   int64 // revision of the last configuration
+	OperatorAt int64 // revision of the last change of the operator's orders
 }
 
 // Times are a follower's intervals.
 type Times struct {
-	Poll     time.Duration // between calls
-	PeerPoll time.Duration // between calls that another instance answers
-	Call     time.Duration // limit of one call
-	PeerCall time.Duration // beside it, for asking other instances first
-	Retry    time.Duration // after a call that failed
-	Silence  time.Duration // without any change for this long, everything is read again
+	Poll     time.Duration // interval between calls
+	PeerPoll time.Duration // interval between calls while another instance answers them
+	Call     time.Duration // timeout of one call to the store
+	PeerCall time.Duration // time added to that timeout for asking other instances first
+	Retry    time.Duration // pause after a failed call
+	Silence  time.Duration // after this long without any change, everything is read again
 }
 
-// DefaultTimes put a change in force well within two seconds of its acknowledgement.
+// DefaultTimes puts a change in force well within two seconds of its acknowledgement by the store.
 func DefaultTimes() Times {
 	return Times{
 		Poll: 500 * time.Millisecond, PeerPoll: 300 * time.Millisecond, Call: 800 * time.Millisecond, PeerCall: 500 * time.Millisecond, Retry: 150 * time.Millisecond,
@@ -78,32 +78,32 @@
 
 // Follower is the service that follows the store.
 type Follower struct {
-	source  Source
-	pool    *pool.Pool
-	times   Times
-	now     func() time.Time
-	log     zerolog.Logger
-	table   atomic.Pointer[route.Table]
-	changed []func(*route.Table)
-	entries func(external.Entry)
-	polled  func(own bool)
-	own     func() bool
-	history *history
-	kicks   chan struct{}
+	source           Source
+	pool             *pool.Pool
+	times            Times
+	now              func() time.Time
+	log              zerolog.Logger
+	table            atomic.Pointer[route.Table]
+	onTable          []func(*route.Table)
+	onEntry          func(external.Entry)
+	onPolled         func(fleetRecords bool)
+	withFleetRecords func() bool
+	history          *history
+	pollNow          chan struct{}
 
 	rejected   map[string]int64 // revisions of records that could not be read, by key
 	onRejected func()
 
-	mu        sync.Mutex
-	since     Cursor
-	answered  time.Time
-	contact   time.Time // see Heard
-	changedAt time.Time // the last answer that told of any change
-	deaf      bool      // answers have told nothing for too long
-	failed    int       // calls for changes that failed in a row
-	near      bool      // the last answer came from another instance
-	lost      bool
-	restored  restoration
+	mu             sync.Mutex
+	since          Cursor
+	answered       time.Time
+	contact        time.Time // see LastContact
+	lastChange     time.Time // time of the last response that reported any change
+	historySuspect bool      // responses have reported no change for Times.Silence
+	failed         int       // consecutive failed calls for changes
+	lastFromPeer   bool      // the last response came from another instance
+	storeLost      bool
+	restoration    restoration
 }
 
 // Option changes a Follower.
@@ -118,30 +118,30 @@
 // WithNow replaces the clock.
 func WithNow(now func() time.Time) Option { return func(f *Follower) { f.now = now } }
 
-// OnTable adds what is notified of a newer configuration.
+// OnTable adds a callback for each newer configuration.
 func OnTable(g func(*route.Table)) Option {
-	return func(f *Follower) { f.changed = append(f.changed, g) }
+	return func(f *Follower) { f.onTable = append(f.onTable, g) }
 }
 
-// OnEntry sets what is notified of other values.
-func OnEntry(g func(external.Entry)) Option { return func(f *Follower) { f.entries = g } }
+// OnEntry sets the callback for values other than the configuration, endpoints and operator's orders.
+func OnEntry(g func(external.Entry)) Option { return func(f *Follower) { f.onEntry = g } }
 
-// OnPolled sets what is called after each answer that tells what has changed, once all of that has been told. own reports whether
-// that included what the fleet writes itself.
-func OnPolled(g func(own bool)) Option { return func(f *Follower) { f.polled = g } }
+// OnPolled sets the callback that runs after the changes of each response have been applied. fleetRecords reports
+// whether they included the records that the fleet itself writes.
+func OnPolled(g func(fleetRecords bool)) Option { return func(f *Follower) { f.onPolled = g } }
 
-// OnRejected sets what is called for each record that cannot be read, once for each revision of it.
+// OnRejected sets the callback for a record that cannot be decoded. It is called once for each revision of the record.
 func OnRejected(g func()) Option { return func(f *Follower) { f.onRejected = g } }
 
-// WithFleetRecords sets whether to ask for what the fleet writes itself. A small fleet gets it in the same call; in a large one each
-// instance would read what all others write.
-func WithFleetRecords(g func() bool) Option { return func(f *Follower) { f.own = g } }
+// WithFleetRecords sets whether to read the records that the fleet itself writes. A small fleet reads them in the same
+// call. In a large fleet that would make each instance read what all others write.
+func WithFleetRecords(g func() bool) Option { return func(f *Follower) { f.withFleetRecords = g } }
 
-// New makes a follower that fills a pool.
+// New makes a follower that keeps a pool's endpoints up to date.
 func New(source Source, p *pool.Pool, opts ...Option) *Follower {
 	f := &Follower{
-		source: source, pool: p, times: DefaultTimes(), now: time.Now, log: zerolog.Nop(), entries: func(external.Entry) {},
-		polled: func(bool) {}, own: func() bool { return true }, history: newHistory(), kicks: make(chan struct{}, 1), rejected: make(map[string]int64), onRejected: func() {},
+		source: source, pool: p, times: DefaultTimes(), now: time.Now, log: zerolog.Nop(), onEntry: func(external.Entry) {},
+		onPolled: func(bool) {}, withFleetRecords: func() bool { return true }, history: newHistory(), pollNow: make(chan struct{}, 1), rejected: make(map[string]int64), onRejected: func() {},
 	}
 	for _, opt := range opts {
 		opt(f)
@@ -162,27 +162,28 @@
 	return f.now().Sub(f.answered)
 }
 
-// LastContact is a moment since which nothing that is known can have been older than the store's: when the last call was made that was answered, less the
-// age of what another instance told. An answer may have waited in a socket while this machine was suspended. The zero time: none was answered.
+// LastContact is the time at which this instance's data was last known to be current: the start of the last successful
+// call, less the age of the data if another instance sent it. The start counts, because a response may have waited in a
+// socket while this machine was suspended. It is the zero time before the first successful call.
 func (f *Follower) LastContact() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.contact
 }
 
-// contacted notes an answer to a call that was made at a moment.
-func (f *Follower) contacted(asked time.Time, u Update) {
+// noteContact records a response to a call that was made at calledAt.
+func (f *Follower) noteContact(calledAt time.Time, u Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at := asked.Add(-u.Age); at.After(f.contact) {
+	if at := calledAt.Add(-u.Age); at.After(f.contact) {
 		f.contact = at
 	}
 }
 
-// PollNow lets the next call be made at once.
+// PollNow starts the next call without waiting for the interval to end.
 func (f *Follower) PollNow() {
 	select {
-	case f.kicks <- struct{}{}:
+	case f.pollNow <- struct{}{}:
 	default:
 	}
 }
@@ -191,11 +192,11 @@
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := f.Step(ctx)
-		f.note(err)
+		f.recordOutcome(err)
 		t := time.NewTimer(f.wait(err))
 		select {
 		case <-ctx.Done():
-		case <-f.kicks:
+		case <-f.pollNow:
 		case <-t.C:
 		}
 		t.Stop()
@@ -203,27 +204,27 @@
 	return nil
 }
 
-// wait is the time until the next call.
+// wait is the time until the next call, given the error of the last one.
 func (f *Follower) wait(err error) time.Duration {
 	switch {
-	case err != nil && f.own():
+	case err != nil && f.withFleetRecords():
 		return f.times.Retry
 	case err != nil:
-		return largeFleetRetries*f.times.Retry + rand.N(f.times.Retry)
-	case f.near:
+		return largeFleetRetryFactor*f.times.Retry + rand.N(f.times.Retry)
+	case f.lastFromPeer:
 		return f.times.PeerPoll
 	}
 	return f.times.Poll
 }
 
-// largeFleetRetries is by how much calls that failed are repeated more rarely in a large fleet.
-const largeFleetRetries = 4
+// largeFleetRetryFactor multiplies the pause after a failed call in a large fleet.
+const largeFleetRetryFactor = 4
 
-// Step makes one call and applies what it brings. What has changed may be more than everything, as when a large configuration was written
-// many times: where it did not arrive whole in time, everything is read at once.
+// Step makes one call and applies its result. The changes may be larger than a snapshot, for example if a large
+// configuration was written many times. If they do not arrive completely in time, Step reads a snapshot at once.
 func (f *Follower) Step(ctx context.Context) error {
-	reread := f.restored.due(f.now())
-	if f.since.At > 0 && !f.deaf && f.failed < mostFailed && !reread {
+	reread := f.restoration.rereadDue(f.now())
+	if f.since.At > 0 && !f.historySuspect && f.failed < maxFailedChanges && !reread {
 		err := f.follow(ctx)
 		if !errors.Is(err, external.ErrHistoryGone) && !errors.Is(err, external.ErrSlowResponse) {
 			return err
@@ -232,122 +233,125 @@
 	f.failed = 0
 	err := f.snapshot(ctx)
 	if err == nil && reread {
-		f.restored.rereads++
+		f.restoration.rereads++
 	}
 	return err
 }
 
-// mostFailed is the number of calls for changes that fail in a row before everything is read once instead: what has changed may be
-// more than everything, as when a large configuration was written many times, and never fit into the time of a call.
-const mostFailed = 2
+// maxFailedChanges is the number of consecutive failed calls for changes after which a snapshot is read instead. The
+// changes may be larger than a snapshot, for example if a large configuration was written many times, and never arrive
+// within the timeout.
+const maxFailedChanges = 2
 
-// follow reads what has changed. Answers that tell nothing for too long are suspect; calls that fail say nothing of that.
+// follow reads the changes since the last read. It marks the history as suspect if successful calls have reported no
+// change for too long. Failed calls do not count towards that.
 func (f *Follower) follow(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyConfig), f.times.Call+f.times.PeerCall)
 	defer cancel()
-	own, asked := f.own(), f.now()
-	u, err := f.source.Changes(ctx, f.since, own)
+	fleetRecords, calledAt := f.withFleetRecords(), f.now()
+	u, err := f.source.Changes(ctx, f.since, fleetRecords)
 	if err != nil {
 		f.failed++
 		return eris.Wrap(err, "reading what has changed")
 	}
 	f.failed = 0
-	f.near = u.FromPeer
+	f.lastFromPeer = u.FromPeer
 	now := f.now()
-	if u.Events > 0 || f.changedAt.IsZero() {
-		f.changedAt = now
+	if u.Events > 0 || f.lastChange.IsZero() {
+		f.lastChange = now
 	}
-	f.deaf = now.Sub(f.changedAt) >= f.times.Silence
+	f.historySuspect = now.Sub(f.lastChange) >= f.times.Silence
 	f.apply(u, u.Complete)
-	f.contacted(asked, u)
-	f.polled(own && !u.FromPeer)
+	f.noteContact(calledAt, u)
+	f.onPolled(fleetRecords && !u.FromPeer)
 	return nil
 }
 
-// snapshot reads everything. It may take longer than a call for changes, as it is larger.
+// snapshot reads everything. Its timeout is longer than that of a call for changes, because a snapshot is larger.
 func (f *Follower) snapshot(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyConfig), snapshotCalls*f.times.Call+f.times.PeerCall)
+	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyConfig), snapshotTimeoutFactor*f.times.Call+f.times.PeerCall)
 	defer cancel()
-	asked := f.now()
+	calledAt := f.now()
 	u, err := f.source.Snapshot(ctx, f.since)
 	if err != nil {
 		return eris.Wrap(err, "reading the configuration and the endpoints")
 	}
-	f.changedAt, f.deaf, f.near = f.now(), false, u.FromPeer
+	f.lastChange, f.historySuspect, f.lastFromPeer = f.now(), false, u.FromPeer
 	f.apply(u, true)
-	f.contacted(asked, u)
+	f.noteContact(calledAt, u)
 	return nil
 }
 
-// snapshotCalls is how many times the limit of a call a snapshot may take.
-const snapshotCalls = 2
+// snapshotTimeoutFactor multiplies the timeout of a call for a snapshot.
+const snapshotTimeoutFactor = 2
 
-// apply brings the view up to date.
-func (f *Follower) apply(u Update, whole bool) {
-	f.reject(u.Bad)
-	f.learn(u)
-	if whole {
+// apply brings the configuration, the pool and the history up to date. complete reports that u holds all endpoints.
+func (f *Follower) apply(u Update, complete bool) {
+	f.logRejected(u.Bad)
+	f.noteEpoch(u)
+	if complete {
 		u.Endpoints = f.reconcile(u.Endpoints)
 	}
 	f.since.At = max(f.since.At, u.At)
 	f.since.ConfigAt = max(f.since.ConfigAt, u.ConfigAt)
 	f.since.OperatorAt = max(f.since.OperatorAt, u.OperatorAt)
 	if u.Config != nil {
-		f.take(*u.Config)
+		f.applyConfig(*u.Config)
 	}
-	f.history.add(u, whole, f.since, f.now().Add(-u.Age))
-	f.evacuate(u)
-	if whole {
-		came, went := f.pool.Replace(u.Endpoints)
-		f.logEndpoints("endpoints_read", came, went, u.At)
+	f.history.add(u, complete, f.since, f.now().Add(-u.Age))
+	f.applyEvacuations(u)
+	if complete {
+		added, removed := f.pool.Replace(u.Endpoints)
+		f.logEndpoints("endpoints_read", added, removed, u.At)
 	} else {
 		f.applyEndpoints(u)
 	}
 	for _, e := range u.Entries {
-		f.entries(e)
+		f.onEntry(e)
 	}
 }
 
-// BadRecord is a record that cannot be read, as another writer may leave it. It names no endpoint.
+// BadRecord is a record that cannot be decoded. Other writers may leave such records. It stands for no endpoint.
 type BadRecord struct {
 	Key      string
 	Revision int64
-	Err      error // names the field at fault
+	Err      error // names the invalid field
 }
 
 const (
-	mostRejected = 256 // records whose last fault is remembered, so that each is told once
-	mostTold     = 20  // lines about them for one answer of the store
+	maxRejected       = 256 // records whose last rejected revision is remembered, so that each is logged once
+	maxRejectionLines = 20  // log lines about rejected records for one response of the store
 )
 
-// reject logs records that cannot be read: one line for each and its revision, and one for those that are too many.
-func (f *Follower) reject(list []BadRecord) {
-	told := 0
+// logRejected logs records that cannot be decoded and calls onRejected for each: one line for each revision of a
+// record, and one line with the number of those beyond maxRejectionLines.
+func (f *Follower) logRejected(list []BadRecord) {
+	logged := 0
 	for _, b := range list {
 		if f.rejected[b.Key] == b.Revision {
 			continue
 		}
-		if len(f.rejected) >= mostRejected {
+		if len(f.rejected) >= maxRejected {
 			clear(f.rejected)
 		}
 		f.rejected[b.Key] = b.Revision
 		f.onRejected()
-		if told++; told <= mostTold {
+		if logged++; logged <= maxRejectionLines {
 			f.log.Warn().Str("event", "record_rejected").Str("key", b.Key).Err(b.Err).Int64("revision", b.Revision).
-				Msg("a record cannot be read; it names no endpoint")
+				Msg("record cannot be decoded; ignored")
 		}
 	}
-	if told > mostTold {
-		f.log.Warn().Str("event", "records_rejected").Int("more", told-mostTold).Msg("more records cannot be read")
+	if logged > maxRejectionLines {
+		f.log.Warn().Str("event", "records_rejected").Int("more", logged-maxRejectionLines).Msg("more records cannot be decoded")
 	}
 }
 
-// evacuate puts the operator's orders to evacuate availability zones in force.
-func (f *Follower) evacuate(u Update) {
-	reliable := !f.restored.missing(f.now())
-	changed, zones := f.history.evacuate(u, reliable)
+// applyEvacuations puts the operator's orders to evacuate availability zones in force.
+func (f *Follower) applyEvacuations(u Update) {
+	reliable := !f.restoration.keepsMissing(f.now())
+	changed, zones := f.history.applyEvacuations(u, reliable)
 	if u.Evacuated != nil && !reliable && !slices.Equal(slices.Sorted(slices.Values(u.Evacuated.Zones)), zones) {
-		f.restored.differs = true
+		f.restoration.differs = true
 	}
 	if len(changed) == 0 {
 		return
@@ -366,53 +370,53 @@
 	for _, e := range u.Endpoints {
 		if f.pool.Put(e) {
 			f.log.Info().Str("event", "endpoint_seen").Str("endpoint", e.ID).Str("service", e.Service).Str("address", e.Addr).
-				Bool("draining", e.Draining).Int64("revision", u.At).Msg("an endpoint is new or has changed its state")
+				Bool("draining", e.Draining).Int64("revision", u.At).Msg("endpoint added or changed")
 		}
 	}
 	for _, id := range u.Removed {
 		if f.pool.Remove(id) {
-			f.log.Info().Str("event", "endpoint_gone").Str("endpoint", id).Int64("revision", u.At).Msg("an endpoint's record is gone")
+			f.log.Info().Str("event", "endpoint_gone").Str("endpoint", id).Int64("revision", u.At).Msg("endpoint's record removed")
 		}
 	}
 }
 
-func (f *Follower) logEndpoints(event string, came, went int, at int64) {
-	if came+went == 0 {
+func (f *Follower) logEndpoints(event string, added, removed int, at int64) {
+	if added+removed == 0 {
 		return
 	}
-	f.log.Info().Str("event", event).Int("came", came).Int("went", went).Int64("revision", at).Msg("the endpoints were read")
+	f.log.Info().Str("event", event).Int("came", added).Int("went", removed).Int64("revision", at).Msg("all endpoints read")
 }
 
-// take puts a configuration in force if it is newer than the one that is.
-func (f *Follower) take(cfg route.Config) {
+// applyConfig puts a configuration in force if it is newer than the current one.
+func (f *Follower) applyConfig(cfg route.Config) {
 	old := f.table.Load()
 	if old != nil && cfg.Version <= old.Version() {
 		return
 	}
 	t, err := route.Compile(cfg)
 	if err != nil {
-		f.log.Error().Str("event", "configuration_rejected").Int64("version", cfg.Version).Err(err).Msg("the configuration in force holds")
+		f.log.Error().Str("event", "configuration_rejected").Int64("version", cfg.Version).Err(err).Msg("configuration is invalid; the current one stays in force")
 		return
 	}
 	f.table.Store(t)
 	f.log.Info().Str("event", "configuration_taken").Int64("version", cfg.Version).Int("routes", len(cfg.Routes)).
-		Int("customers", len(cfg.Customers)).Msg("a configuration is in force")
-	for _, g := range f.changed {
+		Int("customers", len(cfg.Customers)).Msg("configuration is in force")
+	for _, g := range f.onTable {
 		g(t)
 	}
 }
 
-// note keeps whether the store answers, and logs when that changes.
-func (f *Follower) note(err error) {
+// recordOutcome records whether the store answers, and logs when that changes.
+func (f *Follower) recordOutcome(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
 	switch {
-	case err != nil && !f.lost && now.Sub(f.answered) > f.times.Call:
-		f.lost = true
+	case err != nil && !f.storeLost && now.Sub(f.answered) > f.times.Call:
+		f.storeLost = true
 		f.log.Warn().Str("event", "store_lost").Err(err).Dur("age", now.Sub(f.answered)).Msg("the store does not answer")
-	case err == nil && f.lost:
-		f.lost = false
+	case err == nil && f.storeLost:
+		f.storeLost = false
 		f.log.Info().Str("event", "store_regained").Dur("after", now.Sub(f.answered)).Msg("the store answers again")
 	}
 	if err == nil {
--- a/internal/follow/history.go
+++ b/internal/follow/history.go
@@ -12,26 +12,27 @@
 	"github.com/ledgemount/ledgemount/internal/route"
 )
 
-// mostBatches is how many updates are remembered; who has missed more is told everything.
-const mostBatches = 64
+// maxBatches is the number of updates that are retained. A peer that has missed more gets a full list.
+const maxBatches = 64
 
-// batch is what one update said of endpoints.
+// batch holds the endpoint changes of one update.
 type batch struct {
-	at        int64 // the revision that it leads to
+	at        int64 // the revision up to which the update reaches
 	endpoints []pool.Endpoint
-	gone      []string
+	removed   []string
 }
 
-// history remembers what the store told, so that it can be told to other instances.
+// history retains the state and the recent changes of the store, so that other instances can follow the store through
+// this one.
 type history struct {
 	mu        sync.Mutex
-	at        Cursor
-	from      int64 // the revision from which batches go on
+	cursor    Cursor
+	oldest    int64 // the revision after which batches holds all changes
 	batches   []batch
 	endpoints map[string]pool.Endpoint
 	config    *route.Config
 	evacuated evacuation.State
-	asOf      time.Time // when all this was the newest
+	asOf      time.Time // when this state was last known to be current
 	removed   removals
 }
 
@@ -39,8 +40,8 @@
 	return &history{endpoints: make(map[string]pool.Endpoint), removed: make(removals)}
 }
 
-// add takes an update that leads to a cursor. asOf is when the store answered.
-func (h *history) add(u Update, whole bool, at Cursor, asOf time.Time) {
+// add applies an update that reaches up to a cursor. asOf is when the store answered.
+func (h *history) add(u Update, complete bool, at Cursor, asOf time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if u.Config != nil && (h.config == nil || u.Config.Version > h.config.Version) {
@@ -49,17 +50,17 @@
 	if asOf.After(h.asOf) {
 		h.asOf = asOf
 	}
-	if whole {
+	if complete {
 		h.replace(u.Endpoints, at, asOf)
 		return
 	}
-	b := batch{at: at.At, gone: u.Removed}
+	b := batch{at: at.At, removed: u.Removed}
 	for _, e := range u.Endpoints {
 		delete(h.removed, e.ID)
 		if e.Outdated(h.endpoints[e.ID]) {
 			continue
 		}
-		if before, there := h.endpoints[e.ID]; !there || before.Tells(e) {
+		if known, found := h.endpoints[e.ID]; !found || known.Tells(e) {
 			b.endpoints = append(b.endpoints, e)
 		}
 		h.endpoints[e.ID] = e
@@ -68,15 +69,15 @@
 		delete(h.endpoints, id)
 		h.removed.add(id, asOf)
 	}
-	h.at = at
-	if len(b.endpoints)+len(b.gone) > 0 {
+	h.cursor = at
+	if len(b.endpoints)+len(b.removed) > 0 {
 		h.push(b)
 	}
 }
 
-// evacuate takes the operator's orders of an update. It returns those that change what holds, and all zones that are evacuated then. A list that is
-// not to be relied on adds orders only.
-func (h *history) evacuate(u Update, reliable bool) (changed []evacuation.Order, zones []string) {
+// applyEvacuations applies the operator's orders of an update. It returns the orders that changed the state, and all
+// zones that are evacuated afterwards. An unreliable list adds orders but removes none.
+func (h *history) applyEvacuations(u Update, reliable bool) (changed []evacuation.Order, zones []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
@@ -94,7 +95,7 @@
 	return changed, h.evacuated.Zones()
 }
 
-// replace takes a list of all endpoints. The caller holds mu.
+// replace replaces the state by a list of all endpoints. The caller holds mu.
 func (h *history) replace(list []pool.Endpoint, at Cursor, asOf time.Time) {
 	before := h.endpoints
 	h.endpoints = make(map[string]pool.Endpoint, len(list))
@@ -106,44 +107,45 @@
 	for id := range before {
 		h.removed.add(id, asOf)
 	}
-	h.at, h.from, h.batches = at, at.At, nil
+	h.cursor, h.oldest, h.batches = at, at.At, nil
 }
 
 func (h *history) push(b batch) {
 	h.batches = append(h.batches, b)
-	if len(h.batches) > mostBatches {
-		h.from = h.batches[0].at
+	if len(h.batches) > maxBatches {
+		h.oldest = h.batches[0].at
 		h.batches = h.batches[1:]
 	}
 }
 
-// News tells an instance that follows the store through this one what has changed since a cursor: all of it, if that is not
-// remembered from there on. ok is false while there is nothing to tell.
+// UpdateSince returns the changes since a cursor, for an instance that follows the store through this one. The update
+// is complete if the retained changes do not reach back to the cursor. ok is false if this instance has no
+// configuration yet, or if the cursor is of a later epoch.
 func (f *Follower) UpdateSince(since Cursor) (u Update, ok bool) {
 	h := f.history
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.config == nil || external.EpochOf(since.At) > external.EpochOf(h.at.At) {
+	if h.config == nil || external.EpochOf(since.At) > external.EpochOf(h.cursor.At) {
 		return Update{}, false
 	}
 	u = Update{
-		At: max(since.At, h.at.At), ConfigAt: max(since.ConfigAt, h.at.ConfigAt), OperatorAt: h.at.OperatorAt, FromPeer: true,
-		Evacuated: &evacuation.Set{At: h.at.OperatorAt, Zones: h.evacuated.Zones()}, Age: f.now().Sub(h.asOf),
+		At: max(since.At, h.cursor.At), ConfigAt: max(since.ConfigAt, h.cursor.ConfigAt), OperatorAt: h.cursor.OperatorAt, FromPeer: true,
+		Evacuated: &evacuation.Set{At: h.cursor.OperatorAt, Zones: h.evacuated.Zones()}, Age: f.now().Sub(h.asOf),
 	}
-	if since.ConfigAt < h.at.ConfigAt {
+	if since.ConfigAt < h.cursor.ConfigAt {
 		u.Config = h.config
 	}
-	if since.At < h.from {
+	if since.At < h.oldest {
 		u.Complete = true
 		u.Endpoints = slices.Collect(maps.Values(h.endpoints))
 		return u, true
 	}
-	h.since(&u, since.At)
+	h.appendChanged(&u, since.At)
 	return u, true
 }
 
-// since adds what has become of the endpoints that have changed after a revision. The caller holds mu.
-func (h *history) since(u *Update, at int64) {
+// appendChanged adds the current state of the endpoints that have changed after a revision. The caller holds mu.
+func (h *history) appendChanged(u *Update, at int64) {
 	changed := make(map[string]bool)
 	for _, b := range h.batches {
 		if b.at <= at {
@@ -152,12 +154,12 @@
 		for _, e := range b.endpoints {
 			changed[e.ID] = true
 		}
-		for _, id := range b.gone {
+		for _, id := range b.removed {
 			changed[id] = true
 		}
 	}
 	for id := range changed {
-		if e, there := h.endpoints[id]; there {
+		if e, found := h.endpoints[id]; found {
 			u.Endpoints = append(u.Endpoints, e)
 		} else {
 			u.Removed = append(u.Removed, id)
--- a/internal/follow/restoration.go
+++ b/internal/follow/restoration.go
@@ -7,113 +7,122 @@
 	"github.com/ledgemount/ledgemount/internal/pool"
 )
 
-// A store that was restored from an older copy lacks the last changes, and has what they had changed. Endpoints and the operator write theirs again, so
-// for some seconds what is known counts for more than a list that is read; a change that is made in the new epoch always counts.
+// A store that was restored from an older copy lacks the latest changes, and holds the values from before them.
+// Endpoints and the operator write their records again. Until they have had time to do so, the state that this instance
+// has cached overrides a list that it reads from the store. A change that is made in the new epoch always takes effect.
 
 const (
-	// returnWait is how long an endpoint, or an order of the operator, that a list lacks after a restoration counts as there.
-	returnWait = 3 * time.Second
-	// lapseWait is how long a record in such a list does not make an endpoint ready that was known to drain or to be gone: the record of one that has
-	// ended lapses by then.
-	lapseWait = 6 * time.Second
+	// missingGrace is how long after a restoration an endpoint, or an order of the operator, is retained although the
+	// store's list lacks it.
+	missingGrace = 3 * time.Second
+	// staleGrace is how long after a restoration a record in a list does not make an endpoint ready that was known to
+	// be draining or removed. The record of an endpoint that has ended expires within that time.
+	staleGrace = 6 * time.Second
 )
 
-// removals are when endpoints were last known to have gone, by ID.
+// removals holds when endpoints were last known to be removed, by ID.
 type removals map[string]time.Time
 
-// mostRemovals is the number of endpoints from which on those that went long ago are dropped.
-const mostRemovals = 512
+// maxRemovals is the maximum number of entries in removals. At this size, expired entries are dropped, and no others
+// are added.
+const maxRemovals = 512
 
-// removalLife is how long an endpoint that has gone may come back with a copy, and until that copy's records are reliable.
-const removalLife = external.MaxCopyAge + lapseWait
+// removalRetention is how long a removal is retained. A restored copy may contain the removed endpoint for MaxCopyAge,
+// and its records are unreliable for staleGrace after the restoration.
+const removalRetention = external.MaxCopyAge + staleGrace
 
 func (r removals) add(id string, at time.Time) {
-	if len(r) >= mostRemovals {
+	if len(r) >= maxRemovals {
 		for old, since := range r {
-			if at.Sub(since) > removalLife {
+			if at.Sub(since) > removalRetention {
 				delete(r, old)
 			}
 		}
 	}
-	if len(r) < mostRemovals {
+	if len(r) < maxRemovals {
 		r[id] = at
 	}
 }
 
-// restoration is what a follower knows of the store's last restoration.
+// restoration is the follower's state of the store's last restoration.
 type restoration struct {
-	at      time.Time // when it was learnt; zero: there was none
-	rereads int       // of everything, since its records are reliable
-	differs bool      // the store's lists are not what is known
+	at      time.Time // when it was detected; zero: there was none
+	rereads int       // completed entries of rereadDelays
+	differs bool      // the store's lists differ from the cached state
 }
 
-// missing reports whether what a list lacks counts as there.
-func (r restoration) missing(now time.Time) bool { return !r.at.IsZero() && now.Sub(r.at) < returnWait }
+// keepsMissing reports whether records that a list lacks are retained.
+func (r restoration) keepsMissing(now time.Time) bool {
+	return !r.at.IsZero() && now.Sub(r.at) < missingGrace
+}
 
-// older reports whether what a list has may be older than what is known.
-func (r restoration) older(now time.Time) bool { return !r.at.IsZero() && now.Sub(r.at) < lapseWait }
+// listsStale reports whether records in a list may be older than the cached state.
+func (r restoration) listsStale(now time.Time) bool {
+	return !r.at.IsZero() && now.Sub(r.at) < staleGrace
+}
 
-// rereadAt are the times after a restoration at which everything is read once more.
-var rereadAt = []time.Duration{returnWait, lapseWait}
+// rereadDelays are the delays after a restoration at which everything is read again.
+var rereadDelays = []time.Duration{missingGrace, staleGrace}
 
-// due reports whether everything is to be read once more now.
-func (r restoration) due(now time.Time) bool {
-	return r.differs && !r.at.IsZero() && r.rereads < len(rereadAt) && now.Sub(r.at) >= rereadAt[r.rereads]
+// rereadDue reports whether everything must be read again now.
+func (r restoration) rereadDue(now time.Time) bool {
+	return r.differs && !r.at.IsZero() && r.rereads < len(rereadDelays) && now.Sub(r.at) >= rereadDelays[r.rereads]
 }
 
-// learn notes that an update is of a later epoch than what was followed so far.
-func (f *Follower) learn(u Update) {
+// noteEpoch records a restoration if an update is of a later epoch than the one followed so far.
+func (f *Follower) noteEpoch(u Update) {
 	if f.since.At == 0 || external.EpochOf(u.At) <= external.EpochOf(f.since.At) {
 		return
 	}
-	f.restored = restoration{at: f.now()}
+	f.restoration = restoration{at: f.now()}
 }
 
-// reconcile makes a list of all endpoints that was read after a restoration agree with what is known.
+// reconcile corrects a list of all endpoints that was read after a restoration by the cached state.
 func (f *Follower) reconcile(list []pool.Endpoint) []pool.Endpoint {
 	now := f.now()
-	if !f.restored.older(now) {
+	if !f.restoration.listsStale(now) {
 		return list
 	}
-	out, kept := f.history.reconcile(list, f.restored.missing(now))
-	if kept != (keptBack{}) {
-		f.restored.differs = true
-		f.log.Info().Str("event", "endpoints_reconciled").Int("missing", kept.missing).Int("draining", kept.draining).Int("gone", kept.gone).
-			Msg("the store was restored: what is known of endpoints counts for more than its records")
+	out, overridden := f.history.reconcile(list, f.restoration.keepsMissing(now))
+	if overridden != (overrides{}) {
+		f.restoration.differs = true
+		f.log.Info().Str("event", "endpoints_reconciled").Int("missing", overridden.missing).Int("draining", overridden.draining).Int("gone", overridden.removed).
+			Msg("store was restored; the cached state of endpoints overrides its records")
 	}
 	return out
 }
 
-// keptBack counts the endpoints of which what is known counts for more than a list.
-type keptBack struct {
-	missing  int // the list lacks them
-	draining int // it has them as ready
-	gone     int // it has them
+// overrides counts the endpoints whose cached state overrides a list.
+type overrides struct {
+	missing  int // absent from the list
+	draining int // listed as ready
+	removed  int // listed, but known to be removed
 }
 
-// reconcile adds known endpoints that a list lacks, if missing says so, and leaves those draining, or out, that are known to drain, or to have gone.
-func (h *history) reconcile(list []pool.Endpoint, missing bool) (out []pool.Endpoint, kept keptBack) {
+// reconcile corrects a list by the cached state: it keeps draining endpoints draining and leaves out removed ones. If
+// keepMissing is set, it also adds cached endpoints that the list lacks.
+func (h *history) reconcile(list []pool.Endpoint, keepMissing bool) (out []pool.Endpoint, overridden overrides) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	listed := make(map[string]bool, len(list))
 	for _, e := range list {
 		listed[e.ID] = true
-		known, there := h.endpoints[e.ID]
-		if _, gone := h.removed[e.ID]; gone && !there {
-			kept.gone++
+		known, found := h.endpoints[e.ID]
+		if _, removed := h.removed[e.ID]; removed && !found {
+			overridden.removed++
 			continue
 		}
-		if there && known.Draining && !e.Draining && known.Run() == e.Run() {
-			kept.draining++
+		if found && known.Draining && !e.Draining && known.Run() == e.Run() {
+			overridden.draining++
 			e.Draining = true
 		}
 		out = append(out, e)
 	}
 	for id, e := range h.endpoints {
-		if missing && !listed[id] {
-			kept.missing++
+		if keepMissing && !listed[id] {
+			overridden.missing++
 			out = append(out, e)
 		}
 	}
-	return out, kept
+	return out, overridden
 }
