--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,5 +1,6 @@
-// Package feed lets an instance follow the configuration and the endpoints through the instance that leads its availability
-// zone, and asks the store itself when none can be reached or none has heard the store lately.
+// Package feed lets an instance follow the configuration and the endpoints through the leader of its availability zone.
+// The instance reads the store itself if it can reach no leader, or if no leader has received a recent response from
+// the store.
 package feed
 
 import (
@@ -24,51 +25,53 @@
 	"github.com/ledgemount/ledgemount/internal/route"
 )
 
-// KindUpdate asks for what has changed.
+// KindUpdate requests the changes since a cursor.
 const KindUpdate mesh.Kind = "feed.news"
 
 const (
-	askLimit   = 450 * time.Millisecond  // of one question
-	askLimits  = 500 * time.Millisecond  // of all questions of a step: the store shall have its time too
-	mostAge    = 1300 * time.Millisecond // a zone's leader that heard the store longer ago is passed over
-	fleetAge   = 800 * time.Millisecond  // the same, of the one that the zones' leaders ask
-	meetWait   = 1500 * time.Millisecond // for the fleet to be known, after the start
-	startWait  = 700 * time.Millisecond  // for a leader that is starting too
-	startAgain = 50 * time.Millisecond   // between questions to such a leader
-	restFirst  = time.Second             // after a call to the store that failed, while leaders answer that they do not hear it either
-	restMost   = 4 * time.Second         // the most that this grows to
-	allFor     = 500 * time.Millisecond  // a list of all endpoints is handed out for so long: after a fault many ask at once
+	peerCallTimeout    = 450 * time.Millisecond  // of one request to a leader
+	peerCallsTimeout   = 500 * time.Millisecond  // of all such requests in a step: the store call needs time too
+	maxLeaderAge       = 1300 * time.Millisecond // a zone's leader whose data is older than this is skipped
+	maxFleetLeaderAge  = 800 * time.Millisecond  // likewise, for the leader that the zones' leaders ask
+	discoveryTimeout   = 1500 * time.Millisecond // for the other instances to be discovered after the start
+	leaderStartTimeout = 700 * time.Millisecond  // for a leader that is starting at the same time
+	leaderStartRetry   = 50 * time.Millisecond   // interval between requests to such a leader
+	firstPause         = time.Second             // pause after a failed store call while the leaders fail too
+	maxPause           = 4 * time.Second         // upper limit of that pause, which doubles each time
+	listCacheTime      = 500 * time.Millisecond  // reuse of an encoded endpoint list: after a fault many ask at once
 )
 
-// mostUnpacked is the size in bytes up to which a configuration or a list is unpacked.
-const mostUnpacked = 64 << 20
+// maxUnpackedBytes limits the decompressed size of a configuration or an endpoint list.
+const maxUnpackedBytes = 64 << 20
 
-// question is how far the asking instance has followed the store.
-type question struct {
+// updateRequest is the cursor up to which the requesting instance has followed the store.
+type updateRequest struct {
 	At       int64 `cbor:"1,keyasint"`
 	ConfigAt int64 `cbor:"2,keyasint"`
-	Epoch    int64 `cbor:"3,keyasint,omitempty"` // of the store; the others are numbers within it
+	Epoch    int64 `cbor:"3,keyasint,omitempty"` // the store's epoch; the other fields are revision numbers within it
 }
 
-// ask makes the question of an instance that has followed the store up to a cursor. One of an epoch that is over asks for everything.
-func ask(since follow.Cursor, present int64) question {
+// newRequest makes the request of an instance that has followed the store up to a cursor. If the cursor is of an
+// earlier epoch than present, the request asks for everything.
+func newRequest(since follow.Cursor, present int64) updateRequest {
 	epoch := external.EpochOf(since.At)
 	if epoch < present {
-		return question{Epoch: present}
+		return updateRequest{Epoch: present}
 	}
-	return question{At: external.NumberOf(since.At), ConfigAt: within(epoch, since.ConfigAt), Epoch: epoch}
+	return updateRequest{At: external.NumberOf(since.At), ConfigAt: numberIn(epoch, since.ConfigAt), Epoch: epoch}
 }
 
-// within is a revision's number if it is of an epoch, else 0: before all of it.
-func within(epoch, revision int64) int64 {
+// numberIn returns a revision's number if the revision is of the given epoch. Otherwise it returns 0, which lies before
+// every revision of the epoch.
+func numberIn(epoch, revision int64) int64 {
 	if external.EpochOf(revision) != epoch {
 		return 0
 	}
 	return external.NumberOf(revision)
 }
 
-// cursor is how far the asking instance has come. One that names no epoch is taken to follow the present one.
-func (q question) cursor(present int64) follow.Cursor {
+// cursor returns the position of the requesting instance. A request without an epoch is taken to be of the present one.
+func (q updateRequest) cursor(present int64) follow.Cursor {
 	epoch := q.Epoch
 	if epoch == 0 {
 		epoch = present
@@ -79,9 +82,9 @@
 	return follow.Cursor{At: external.Revision(epoch, q.At), ConfigAt: external.Revision(epoch, q.ConfigAt)}
 }
 
-// news answers a question.
-type news struct {
-	Known     bool            `cbor:"1,keyasint"` // false: the instance knows nothing itself yet
+// updateReply answers an updateRequest.
+type updateReply struct {
+	Known     bool            `cbor:"1,keyasint"` // false: the instance has no data yet
 	At        int64           `cbor:"2,keyasint"`
 	ConfigAt  int64           `cbor:"3,keyasint"`
 	Config    []byte          `cbor:"4,keyasint,omitempty"` // packed; empty: not changed
@@ -90,21 +93,21 @@
 	Gone      []string        `cbor:"7,keyasint,omitempty"`
 	AgeMs     int64           `cbor:"8,keyasint,omitempty"`
 	All       []byte          `cbor:"9,keyasint,omitempty"` // packed []pool.Endpoint: all of them, in place of Endpoints
-	// Evacuated are all availability zones that are evacuated as of OperatorAt
+	// Evacuated lists all availability zones that are evacuated as of OperatorAt.
 	OperatorAt int64    `cbor:"10,keyasint,omitempty"`
 	Evacuated  []string `cbor:"11,keyasint,omitempty"`
 	Epoch      int64    `cbor:"12,keyasint,omitempty"` // of the store; At, ConfigAt and OperatorAt are numbers within it
 }
 
-// Follower is what tells news: follow.Follower.
+// Follower returns the changes that it has followed. follow.Follower implements it.
 type Follower interface {
 	UpdateSince(since follow.Cursor) (follow.Update, bool)
 }
 
-// Serve answers the questions of other instances from what a follower knows.
+// Serve answers the update requests of other instances from the data of a follower.
 func Serve(router *mesh.Router, f Follower, epochs *external.Epochs) {
 	s := &server{follower: f, epochs: epochs}
-	mesh.Handle(router, KindUpdate, s.tell)
+	mesh.Handle(router, KindUpdate, s.handleUpdate)
 }
 
 type server struct {
@@ -112,119 +115,123 @@
 	epochs   *external.Epochs
 
 	mu     sync.Mutex
-	config packed // by its version
-	all    packed // all endpoints, by the store's revision
+	config encoded // keyed by its version
+	all    encoded // all endpoints, keyed by the store's revision
 }
 
-// packed is something that many instances ask for, encoded once.
-type packed struct {
-	data []byte // nil: none
-	of   int64  // the version or revision that it holds
-	made time.Time
+// encoded is a value that is encoded once for many instances.
+type encoded struct {
+	data    []byte // nil: none
+	version int64  // version or revision of the encoded value
+	builtAt time.Time
 }
 
-func (s *server) tell(_ context.Context, _ mesh.Peer, q question) (news, error) {
+func (s *server) handleUpdate(_ context.Context, _ mesh.Peer, q updateRequest) (updateReply, error) {
 	if q.Epoch > 0 && s.epochs.Observe(q.Epoch, 0) != nil {
-		q.At = 0 // it follows an epoch that is over, and needs everything
+		q.At = 0 // the requester follows an earlier epoch and needs everything
 	}
 	present := s.epochs.Current()
 	since := q.cursor(present)
 	u, ok := s.follower.UpdateSince(since)
 	if !ok || external.EpochOf(u.At) < present {
-		return news{}, nil
+		return updateReply{}, nil
 	}
-	if u.Age > mostAge {
-		return news{Known: true, AgeMs: u.Age.Milliseconds()}, nil // too old for whoever asks
+	if u.Age > maxLeaderAge {
+		return updateReply{Known: true, AgeMs: u.Age.Milliseconds()}, nil // too old for any requester
 	}
 	epoch := external.EpochOf(u.At)
-	n := news{
-		Known: true, At: external.NumberOf(u.At), ConfigAt: within(epoch, u.ConfigAt), Whole: u.Complete, Endpoints: u.Endpoints, Gone: u.Removed,
-		AgeMs: u.Age.Milliseconds(), OperatorAt: within(epoch, u.OperatorAt), Evacuated: u.Evacuated.Zones, Epoch: epoch,
+	n := updateReply{
+		Known: true, At: external.NumberOf(u.At), ConfigAt: numberIn(epoch, u.ConfigAt), Whole: u.Complete, Endpoints: u.Endpoints, Gone: u.Removed,
+		AgeMs: u.Age.Milliseconds(), OperatorAt: numberIn(epoch, u.OperatorAt), Evacuated: u.Evacuated.Zones, Epoch: epoch,
 	}
 	var err error
 	if u.Complete {
 		n.Endpoints = nil
 		var at int64
-		if n.All, at, err = s.packAll(u, since.At); err != nil {
-			return news{}, err
+		if n.All, at, err = s.encodedEndpoints(u, since.At); err != nil {
+			return updateReply{}, err
 		}
 		n.At = external.NumberOf(at)
 	}
 	if u.Config != nil {
-		n.Config, err = s.packConfig(u.Config)
+		n.Config, err = s.encodedConfig(u.Config)
 	}
 	return n, err
 }
 
-// packAll encodes all endpoints once for all who ask within allFor, and reports when they are: what has changed since then is asked for
-// next. A list that is older than what the asking instance knows is of no use to it.
-func (s *server) packAll(u follow.Update, known int64) (all []byte, at int64, err error) {
+// encodedEndpoints returns an encoded list of all endpoints and its revision. The list is shared by all requests within
+// listCacheTime. Requesters ask for the changes since that revision next. The list is rebuilt if it is older than what
+// the requester has already seen.
+func (s *server) encodedEndpoints(u follow.Update, minRevision int64) (all []byte, at int64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.all.data == nil || time.Since(s.all.made) > allFor || s.all.of < known || external.EpochOf(s.all.of) != external.EpochOf(u.At) {
-		if s.all, err = packOnce(u.Endpoints, u.At); err != nil {
+	if s.all.data == nil || time.Since(s.all.builtAt) > listCacheTime || s.all.version < minRevision || external.EpochOf(s.all.version) != external.EpochOf(u.At) {
+		if s.all, err = newEncoded(u.Endpoints, u.At); err != nil {
 			return nil, 0, err
 		}
 	}
-	return s.all.data, s.all.of, nil
+	return s.all.data, s.all.version, nil
 }
 
-// packConfig encodes a configuration once for all who ask.
-func (s *server) packConfig(c *route.Config) ([]byte, error) {
+// encodedConfig returns the encoded configuration, which is encoded once for all requesters.
+func (s *server) encodedConfig(c *route.Config) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var err error
-	if s.config.data == nil || s.config.of != c.Version {
-		s.config, err = packOnce(c, c.Version)
+	if s.config.data == nil || s.config.version != c.Version {
+		s.config, err = newEncoded(c, c.Version)
 	}
 	return s.config.data, err
 }
 
-// packOnce encodes what is handed out to many instances, of a version or revision.
-func packOnce(v any, of int64) (packed, error) {
+// newEncoded encodes a value of a version or revision.
+func newEncoded(v any, version int64) (encoded, error) {
 	data, err := pack(v)
 	if err != nil {
-		return packed{}, err
+		return encoded{}, err
 	}
-	return packed{data: data, of: of, made: time.Now()}, nil
+	return encoded{data: data, version: version, builtAt: time.Now()}, nil
 }
 
-// pack encodes and compresses what goes to many instances.
+// pack encodes and compresses a value.
 func pack(v any) ([]byte, error) {
 	var b bytes.Buffer
 	z := gzip.NewWriter(&b)
 	if err := cbor.NewEncoder(z).Encode(v); err != nil {
-		return nil, eris.Wrap(err, "encoding news")
+		return nil, eris.Wrap(err, "encoding an update")
 	}
 	if err := z.Close(); err != nil {
-		return nil, eris.Wrap(err, "packing news")
+		return nil, eris.Wrap(err, "compressing an update")
 	}
 	return b.Bytes(), nil
 }
 
-// unpack undoes pack.
+// unpack reverses pack.
 func unpack[T any](b []byte) (T, error) {
 	var v T
 	z, err := gzip.NewReader(bytes.NewReader(b))
 	if err != nil {
-		return v, eris.Wrap(err, "unpacking news")
+		return v, eris.Wrap(err, "decompressing an update")
 	}
-	raw, err := io.ReadAll(io.LimitReader(z, mostUnpacked))
+	raw, err := io.ReadAll(io.LimitReader(z, maxUnpackedBytes))
 	if err != nil {
-		return v, eris.Wrap(err, "unpacking news")
+		return v, eris.Wrap(err, "decompressing an update")
 	}
-	return v, eris.Wrap(cbor.Unmarshal(raw, &v), "decoding news")
+	return v, eris.Wrap(cbor.Unmarshal(raw, &v), "decoding an update")
 }
 
-// Source is a follow.Source that asks the zone's leaders first; a zone's leader asks the one that reads the store for all zones.
+// Source is a follow.Source that asks the zone's leaders before the store. A zone's leader first asks the instance that
+// reads the store for all zones.
 type Source struct {
 	dir    *peers.Directory
 	store  follow.Source
 	now    func() time.Time
 	epochs *external.Epochs
-	call   time.Duration // limit of a call for changes to the store
-	slow   atomic.Bool   // the store's last answer was not whole in time: nobody else has news, so the store is asked at once
-	rest   rest
+	call   time.Duration // timeout of a call for changes to the store
+	// slowStore reports that the store's last response did not arrive completely in time. No leader is further ahead
+	// then, so the store is asked at once.
+	slowStore atomic.Bool
+	backoff   storeBackoff
 }
 
 var _ follow.Source = (*Source)(nil)
@@ -235,10 +242,10 @@
 // WithNow replaces the clock.
 func WithNow(now func() time.Time) Option { return func(s *Source) { s.now = now } }
 
-// WithEpochs sets what knows the store's epoch.
+// WithEpochs sets the tracker of the store's epoch.
 func WithEpochs(e *external.Epochs) Option { return func(s *Source) { s.epochs = e } }
 
-// NewSource makes a source. store is asked where no leader answers.
+// NewSource makes a source that reads from store if no leader answers.
 func NewSource(dir *peers.Directory, store follow.Source, opts ...Option) *Source {
 	s := &Source{dir: dir, store: store, now: time.Now, call: follow.DefaultTimes().Call, epochs: external.NewEpochs()}
 	for _, opt := range opts {
@@ -249,25 +256,26 @@
 
 // Snapshot implements follow.Source.
 func (s *Source) Snapshot(ctx context.Context, known follow.Cursor) (follow.Update, error) {
-	if s.slow.Swap(false) {
+	if s.slowStore.Swap(false) {
 		return s.store.Snapshot(ctx, known)
 	}
-	s.meet(ctx)
-	u, err := s.askAll(ctx)
+	s.awaitDiscovery(ctx)
+	u, err := s.fetchAll(ctx)
 	if err == nil && u.At >= known.At {
-		return u, nil // an older one would make an endpoint ready for good that is known to drain: what was followed since is not told again
+		return u, nil // an older snapshot would undo newer changes, such as a drain, and these are not sent again
 	}
-	if errors.Is(err, errDeaf) && s.rest.rests(s.now()) {
+	if errors.Is(err, errLeadersStale) && s.backoff.active(s.now()) {
 		return follow.Update{}, err
 	}
 	u, err = s.store.Snapshot(ctx, known)
-	s.rest.note(s.now(), err)
+	s.backoff.recordResult(s.now(), err)
 	return u, err
 }
 
-// meet waits for the fleet to be known: otherwise each instance of a large one would begin with calls of its own.
-func (s *Source) meet(ctx context.Context) {
-	t := time.NewTimer(meetWait)
+// awaitDiscovery waits until the other instances have been discovered. Otherwise each instance of a large fleet would
+// start with its own calls to the store.
+func (s *Source) awaitDiscovery(ctx context.Context) {
+	t := time.NewTimer(discoveryTimeout)
 	defer t.Stop()
 	select {
 	case <-s.dir.Discovered():
@@ -276,86 +284,87 @@
 	}
 }
 
-// askAll asks for everything. After a fault leaders may be starting at the same moment.
-func (s *Source) askAll(ctx context.Context) (follow.Update, error) {
-	t := time.NewTimer(startWait)
+// fetchAll requests everything from a leader. It retries while the leaders are starting, since after a fault they may
+// start at the same time.
+func (s *Source) fetchAll(ctx context.Context) (follow.Update, error) {
+	t := time.NewTimer(leaderStartTimeout)
 	defer t.Stop()
 	for {
-		u, err := s.ask(ctx, follow.Cursor{})
-		if !errors.Is(err, errStarting) {
+		u, err := s.fetch(ctx, follow.Cursor{})
+		if !errors.Is(err, errLeadersStarting) {
 			return u, err
 		}
 		select {
-		case <-time.After(startAgain):
+		case <-time.After(leaderStartRetry):
 		case <-t.C:
-			return follow.Update{}, errNobody
+			return follow.Update{}, errNoLeader
 		case <-ctx.Done():
-			return follow.Update{}, errNobody
+			return follow.Update{}, errNoLeader
 		}
 	}
 }
 
 // Changes implements follow.Source.
-func (s *Source) Changes(ctx context.Context, since follow.Cursor, own bool) (follow.Update, error) {
-	u, err := s.ask(ctx, since)
+func (s *Source) Changes(ctx context.Context, since follow.Cursor, fleetRecords bool) (follow.Update, error) {
+	u, err := s.fetch(ctx, since)
 	if err == nil {
 		return u, nil
 	}
-	if errors.Is(err, errDeaf) && s.rest.rests(s.now()) {
+	if errors.Is(err, errLeadersStale) && s.backoff.active(s.now()) {
 		return follow.Update{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.call)
 	defer cancel()
-	u, err = s.store.Changes(ctx, since, own)
-	s.rest.note(s.now(), err)
-	s.slow.Store(errors.Is(err, external.ErrSlowResponse))
+	u, err = s.store.Changes(ctx, since, fleetRecords)
+	s.backoff.recordResult(s.now(), err)
+	s.slowStore.Store(errors.Is(err, external.ErrSlowResponse))
 	return u, err
 }
 
-// Why nobody has told the news.
+// Reasons why no leader has sent an update.
 var (
-	errNobody   = errors.New("no instance that leads has news")
-	errStarting = errors.New("the instances that lead are starting")
-	errDeaf     = errors.New("the instances that lead do not hear the store")
+	errNoLeader        = errors.New("no leader has an update")
+	errLeadersStarting = errors.New("the leaders are starting")
+	errLeadersStale    = errors.New("the leaders do not reach the store")
 )
 
-// ask goes through the leaders until one has heard the store lately.
-func (s *Source) ask(ctx context.Context, since follow.Cursor) (follow.Update, error) {
-	ctx, cancel := context.WithTimeout(ctx, askLimits)
+// fetch asks the leaders in turn until one has recent data.
+func (s *Source) fetch(ctx context.Context, since follow.Cursor) (follow.Update, error) {
+	ctx, cancel := context.WithTimeout(ctx, peerCallsTimeout)
 	defer cancel()
-	leaders, most := s.dir.Leaders(), mostAge
+	leaders, maxAge := s.dir.Leaders(), maxLeaderAge
 	if len(leaders) == 0 {
-		leaders, most = s.dir.FleetLeaders(), fleetAge
+		leaders, maxAge = s.dir.FleetLeaders(), maxFleetLeaderAge
 	}
-	why := errNobody
+	failure := errNoLeader
 	for _, p := range leaders {
-		u, err := s.askOne(ctx, p, since, most)
+		u, err := s.fetchFrom(ctx, p, since, maxAge)
 		if err == nil {
 			return u, nil
 		}
-		if errors.Is(err, errStarting) || errors.Is(err, errDeaf) {
-			why = err
+		if errors.Is(err, errLeadersStarting) || errors.Is(err, errLeadersStale) {
+			failure = err
 		}
 	}
-	return follow.Update{}, why
+	return follow.Update{}, failure
 }
 
-func (s *Source) askOne(ctx context.Context, p mesh.Peer, since follow.Cursor, most time.Duration) (follow.Update, error) {
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+func (s *Source) fetchFrom(ctx context.Context, p mesh.Peer, since follow.Cursor, maxAge time.Duration) (follow.Update, error) {
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	n, err := peers.Call[question, news](ctx, s.dir, p, KindUpdate, ask(since, s.epochs.Current()))
+	n, err := peers.Call[updateRequest, updateReply](ctx, s.dir, p, KindUpdate, newRequest(since, s.epochs.Current()))
 	age := time.Duration(n.AgeMs) * time.Millisecond
 	switch {
 	case err != nil:
 		return follow.Update{}, err
 	case !n.Known:
-		return follow.Update{}, errStarting
-	case age > most:
-		return follow.Update{}, errDeaf
+		return follow.Update{}, errLeadersStarting
+	case age > maxAge:
+		return follow.Update{}, errLeadersStale
 	case !n.Whole && (since.At == 0 || external.EpochOf(since.At) < s.epochs.Current()):
-		return follow.Update{}, errNobody
+		return follow.Update{}, errNoLeader
 	}
-	if err := s.epoch(&n); err != nil {
+	if err := s.checkEpoch(&n); err != nil {
 		return follow.Update{}, err
 	}
 	operator := external.Revision(n.Epoch, n.OperatorAt)
@@ -374,40 +383,42 @@
 	return u, err
 }
 
-// epoch checks the epoch of news. An instance that names none may know one that is over, once the store was restored.
-func (s *Source) epoch(n *news) error {
+// checkEpoch checks the epoch of a reply. A reply without an epoch is rejected once the store was restored, because it
+// may be of an earlier epoch.
+func (s *Source) checkEpoch(n *updateReply) error {
 	switch {
 	case n.Epoch > 0:
 		return s.epochs.Observe(n.Epoch, n.At)
 	case s.epochs.Restored():
-		return errNobody
+		return errNoLeader
 	}
 	n.Epoch = s.epochs.Current()
 	return nil
 }
 
-// rest keeps an instance from calls to a store that it does not reach, while others try in its place. Its zero value does not rest.
-type rest struct {
+// storeBackoff keeps an instance from calling a store that it cannot reach while the leaders call it as well. Its zero
+// value is inactive.
+type storeBackoff struct {
 	mu    sync.Mutex
 	until time.Time
 	pause time.Duration
 }
 
-// rests reports whether the store is left alone now.
-func (r *rest) rests(now time.Time) bool {
+// active reports whether calls to the store are suspended now.
+func (r *storeBackoff) active(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return now.Before(r.until)
 }
 
-// note takes how a call to the store has ended.
-func (r *rest) note(now time.Time, err error) {
+// recordResult takes the result of a call to the store.
+func (r *storeBackoff) recordResult(now time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err == nil {
 		r.pause, r.until = 0, time.Time{}
 		return
 	}
-	r.pause = min(max(2*r.pause, restFirst), restMost)
+	r.pause = min(max(2*r.pause, firstPause), maxPause)
 	r.until = now.Add(r.pause)
 }
--- a/internal/feed/formats_test.go
+++ b/internal/feed/formats_test.go
@@ -8,10 +8,10 @@
 	"github.com/ledgemount/ledgemount/internal/route"
 )
 
-// What instances of other builds read, or have written.
+// TestFormats checks the encodings that instances of other builds read, or have written.
 func TestFormats(t *testing.T) {
-	formattest.Check[question](t, "question")
-	formattest.Check[news](t, "news")
+	formattest.Check[updateRequest](t, "question")
+	formattest.Check[updateReply](t, "news")
 	formattest.Check[route.Config](t, "config")
 	formattest.Check[[]pool.Endpoint](t, "endpoints")
 }
--- a/internal/feed/fuzz_test.go
+++ b/internal/feed/fuzz_test.go
@@ -9,7 +9,7 @@
 	"github.com/ledgemount/ledgemount/internal/route"
 )
 
-// FuzzNews looks for news that stop the process or unpack without bound.
+// FuzzNews checks that no update reply makes the process panic or decompress without bound.
 func FuzzNews(f *testing.F) {
 	all, err := pack([]pool.Endpoint{endpoint("e-1")})
 	if err != nil {
@@ -19,14 +19,14 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	raw, err := cbor.Marshal(news{Known: true, At: 9, Whole: true, All: all, Config: conf})
+	raw, err := cbor.Marshal(updateReply{Known: true, At: 9, Whole: true, All: all, Config: conf})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(raw)
 	f.Add(all)
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var n news
+		var n updateReply
 		if cbor.Unmarshal(raw, &n) != nil {
 			n.All, n.Config = raw, raw
 		}
