--- a/internal/external/rest_test.go
+++ b/internal/external/backoff_test.go
@@ -13,14 +13,14 @@
 	"github.com/ledgemount/ledgemount/internal/external/memkv"
 )
 
-// resting is a store that asks for rest.
-type resting struct {
+// busyStore is a store that asks for a back-off.
+type busyStore struct {
 	*memkv.Store
-	after time.Duration // 0: it takes calls
+	after time.Duration // 0: it accepts calls
 	calls int
 }
 
-func (r *resting) Read(ctx context.Context, key string) (external.Entry, int64, error) {
+func (r *busyStore) Read(ctx context.Context, key string) (external.Entry, int64, error) {
 	r.calls++
 	if r.after > 0 {
 		return external.Entry{}, 0, &external.RetryAfterError{After: r.after, Detail: "busy"}
@@ -28,12 +28,13 @@
 	return r.Store.Read(ctx, key)
 }
 
-// A store that had turned a call away, and asked for a second of rest, was called again after 150 ms, by each instance.
-func TestStoreRests(t *testing.T) {
+// TestStoreBackoff guards against calls during a back-off: a store that had rejected a call and asked for 1 s was
+// called again after 150 ms by each instance.
+func TestStoreBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A store that asks for rest is not called until that is over, for no duty", t, func() {
+		Convey("A store that asks for a back-off is not called until it is over, for any purpose", t, func() {
 			ctx := context.Background()
-			store := &resting{Store: memkv.New(), after: time.Second}
+			store := &busyStore{Store: memkv.New(), after: time.Second}
 			o := external.Observe(store)
 			calls, rests := 0, 0
 			o.OnCall(func(external.Call) { calls++ })
@@ -54,17 +55,17 @@
 			So(calls, ShouldEqual, 1)
 			So(rests, ShouldEqual, 1)
 
-			Convey("but for the last call of an instance that stops", func() {
+			Convey("except for the final call of an instance that stops", func() {
 				So(read(external.WithFinalCall(ctx)), ShouldBeNil)
 			})
 
-			Convey("and is called then, a quarter later at most", func() {
+			Convey("and is called again after the back-off, extended by a quarter at most", func() {
 				time.Sleep(350 * time.Millisecond)
 				So(read(ctx), ShouldBeNil)
 				So(store.calls, ShouldEqual, 2)
 			})
 
-			Convey("and not left alone for minutes, whatever it asks", func() {
+			Convey("and the back-off is limited, whatever duration the store asks for", func() {
 				time.Sleep(350 * time.Millisecond)
 				store.after = time.Hour
 				So(read(ctx), ShouldNotBeNil)
--- a/internal/external/epoch_test.go
+++ b/internal/external/epoch_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestRevision(t *testing.T) {
-	Convey("Of two revisions the one of the later epoch is greater, and both parts come back", t, func() {
+	Convey("A revision of a later epoch is greater, and both parts can be extracted", t, func() {
 		for _, epoch := range []int64{0, 1, 2, external.MaxEpoch} {
 			for _, number := range []int64{0, 1, 409, 1<<40 - 1} {
 				r := external.Revision(epoch, number)
@@ -43,7 +43,7 @@
 			So(e.Observe(3, 100+now.Unix()-1000), ShouldBeNil)
 		}
 
-		Convey("rises with a restoration, of which it tells how far it went back", func() {
+		Convey("rises with a restoration, and the number of lost revisions is reported", func() {
 			So(e.Observe(5, 102), ShouldBeNil)
 			So(e.Current(), ShouldEqual, 5)
 			So(e.Restored(), ShouldBeTrue)
@@ -52,7 +52,7 @@
 			So(external.Restoration{Known: 105}.LostRevisions(), ShouldEqual, 0)
 		})
 
-		Convey("never falls: what names an earlier one, or none any more, is not believed, and told once", func() {
+		Convey("never decreases: a response of an earlier epoch, or of none, is rejected and reported once", func() {
 			for range 3 {
 				So(errors.Is(e.Observe(2, 500), external.ErrUnavailable), ShouldBeTrue)
 			}
@@ -64,8 +64,8 @@
 	})
 }
 
-// fencedBed is a store that names its epoch, and two instances' ways to it.
-func fencedBed() (*memkv.Store, *external.Epochs, external.KV, external.KV) {
+// newFencedStore returns a store that names its epoch, and fenced access to it for two instances.
+func newFencedStore() (*memkv.Store, *external.Epochs, external.KV, external.KV) {
 	s := memkv.New()
 	s.SetEpoch(1)
 	epochs := external.NewEpochs()
@@ -80,7 +80,7 @@
 		})
 	}
 	Convey("A store that names its epoch", t, func() {
-		s, epochs, kv, other := fencedBed()
+		s, epochs, kv, other := newFencedStore()
 		_, _, err := kv.Read(ctx, "page")
 		So(err, ShouldBeNil)
 		_, _, err = other.Read(ctx, "page")
@@ -89,7 +89,7 @@
 		So(err, ShouldBeNil)
 		So(external.EpochOf(first), ShouldEqual, 1)
 
-		Convey("takes conditional writes of several instances, which share its fence", func() {
+		Convey("accepts conditional writes of several instances, which share its fence", func() {
 			second, err := put(other, "page", first, "b")
 			So(err, ShouldBeNil)
 			_, err = put(kv, "page", first, "c")
@@ -99,7 +99,7 @@
 			So(conflict.Current[0].Revision, ShouldEqual, second)
 		})
 
-		Convey("and is restored: what has changed since an earlier revision is not known, without a call", func() {
+		Convey("and is restored: changes since an earlier revision are unavailable, without a call", func() {
 			second, err := put(kv, "page", first, "b")
 			So(err, ShouldBeNil)
 			s.RestoreTo(external.NumberOf(first))
@@ -120,7 +120,7 @@
 			So(err, ShouldBeNil)
 		})
 
-		Convey("never does a write of an earlier epoch once something was written in the later one, though the revision is given out again", func() {
+		Convey("never executes a write of an earlier epoch once the later one was written to, even if the revision is assigned again", func() {
 			for range 4 {
 				s.Put("else", nil)
 			}
@@ -147,14 +147,14 @@
 			So(string(e.Data), ShouldEqual, "new")
 		})
 
-		Convey("leaves the outcome open of a write that was prepared before the restoration and done after it", func() {
+		Convey("reports an unknown outcome for a write that was prepared before the restoration and executed after it", func() {
 			s.RestoreTo(s.Number())
 			_, err := put(kv, "page", first, "b")
 			So(errors.Is(err, external.ErrAmbiguous), ShouldBeTrue)
 			So(epochs.Current(), ShouldEqual, 2)
 		})
 
-		Convey("tells its epoch with refusals, too", func() {
+		Convey("names its epoch in errors, too", func() {
 			s.RestoreTo(s.Number())
 			s.SetDown(true)
 			_, _, err := kv.Read(ctx, "page")
@@ -162,7 +162,7 @@
 			So(epochs.Current(), ShouldEqual, 2)
 		})
 
-		Convey("makes a new fence where an earlier one is gone, and leaves none behind", func() {
+		Convey("creates a new fence if the earlier one was lost, and leaves no old fence behind", func() {
 			s.RestoreTo(0)
 			_, _, err := kv.Read(ctx, "page")
 			So(err, ShouldBeNil)
--- a/internal/external/etcdstore/client.go
+++ b/internal/external/etcdstore/client.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	defaultTimeout = 2 * time.Second
-	maxAnswer      = 64 << 20
+	defaultTimeout   = 2 * time.Second
+	maxResponseBytes = 64 << 20
 )
 
 // Client implements external.Store.
@@ -35,13 +35,13 @@
 // Option changes a Client.
 type Option func(*Client)
 
-// WithTimeout limits one call; watches are not limited.
+// WithTimeout sets the timeout of a call. It does not apply to watches.
 func WithTimeout(d time.Duration) Option { return func(c *Client) { c.timeout = d } }
 
 // WithTransport replaces the HTTP transport.
 func WithTransport(t http.RoundTripper) Option { return func(c *Client) { c.http.Transport = t } }
 
-// New makes a client for a base address such as http://127.0.0.1:2379.
+// New makes a client for a base URL such as http://127.0.0.1:2379.
 func New(base string, opts ...Option) *Client {
 	c := &Client{
 		base:    strings.TrimSuffix(base, "/"),
@@ -112,7 +112,7 @@
 	return int64(out.Header.Revision), nil
 }
 
-// Lease implements external.Store. The store counts in whole seconds; ttl is rounded up.
+// Lease implements external.Store. The store measures leases in whole seconds, so ttl is rounded up.
 func (c *Client) Lease(ctx context.Context, ttl time.Duration) (int64, error) {
 	var out LeaseResponse
 	secs := int64((ttl + time.Second - 1) / time.Second)
@@ -176,7 +176,7 @@
 	}
 }
 
-// read is a call that may be repeated: every failure is ErrUnavailable.
+// read makes a call that may be repeated: every failure is ErrUnavailable.
 func (c *Client) read(ctx context.Context, path string, in, out any) error {
 	if err := c.call(ctx, path, in, out); err != nil {
 		return eris.Wrapf(external.ErrUnavailable, "%v", err)
@@ -184,7 +184,8 @@
 	return nil
 }
 
-// write tells a call that never left from one whose answer was lost.
+// write makes a call that must not be repeated blindly. It returns ErrUnavailable if the call never reached the store,
+// and ErrAmbiguous if the response was lost.
 func (c *Client) write(ctx context.Context, path string, in, out any) error {
 	err := c.call(ctx, path, in, out)
 	if err == nil {
@@ -229,5 +230,5 @@
 	if resp.StatusCode != http.StatusOK {
 		return &statusError{code: resp.StatusCode}
 	}
-	return json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(out)
+	return json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(out)
 }
--- a/internal/external/etcdstore/wire.go
+++ b/internal/external/etcdstore/wire.go
@@ -23,7 +23,7 @@
 	ResultEqual = "EQUAL"
 )
 
-// Int64 travels as a JSON string, as protobuf's JSON mapping asks; numbers are read too.
+// Int64 is encoded as a JSON string, as the JSON mapping of protobuf requires. It decodes from numbers, too.
 type Int64 int64
 
 // MarshalJSON implements json.Marshaler.
@@ -38,7 +38,7 @@
 	return err
 }
 
-// Header is part of each answer.
+// Header is part of each response.
 type Header struct {
 	Revision Int64 `json:"revision"`
 }
@@ -105,13 +105,13 @@
 	Succeeded bool   `json:"succeeded"`
 }
 
-// LeaseRequest makes or renews a lease; TTL is in seconds.
+// LeaseRequest creates or renews a lease. TTL is in seconds.
 type LeaseRequest struct {
 	ID  Int64 `json:"ID,omitempty"`
 	TTL Int64 `json:"TTL,omitempty"`
 }
 
-// LeaseResponse answers a LeaseRequest that made a lease.
+// LeaseResponse answers a LeaseRequest that created a lease.
 type LeaseResponse struct {
 	ID  Int64 `json:"ID"`
 	TTL Int64 `json:"TTL"`
@@ -127,7 +127,7 @@
 	Create WatchCreate `json:"create_request"`
 }
 
-// WatchCreate names the key and the first revision wanted.
+// WatchCreate names the key and the first revision to send.
 type WatchCreate struct {
 	Key           []byte `json:"key"`
 	StartRevision Int64  `json:"start_revision,omitempty"`
@@ -150,7 +150,7 @@
 	KV   KV     `json:"kv"`
 }
 
-// PrefixEnd is the end of the range of keys that begin with prefix.
+// PrefixEnd returns the end of the range of keys that begin with prefix.
 func PrefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/internal/external/external.go
+++ b/internal/external/external.go
@@ -1,4 +1,5 @@
-// Package external defines what the project uses of the platform: a key-value store, an instance list, a weight store.
+// Package external defines the interfaces of the platform that the project uses: a key-value store, an instance list
+// and a weight store.
 package external
 
 import (
@@ -7,14 +8,15 @@
 	"time"
 )
 
-// The store's failures. A write that ends in ErrAmbiguous may have taken effect; the writer reads back.
+// Errors of the store. A write that fails with ErrAmbiguous may have taken effect; the writer reads the keys back.
 var (
 	ErrConflict    = errors.New("the key has another revision")
-	ErrUnavailable = errors.New("the store did not take the call")
-	ErrAmbiguous   = errors.New("the store's answer was lost")
+	ErrUnavailable = errors.New("the store did not accept the call")
+	ErrAmbiguous   = errors.New("the store's response was lost")
 	ErrTooLarge    = errors.New("the value is over the store's limit")
-	// ErrSlowResponse reports that an answer began to arrive but was not whole in time: there is much to read, or the link is full.
-	ErrSlowResponse = errors.New("the store's answer did not arrive whole in time")
+	// ErrSlowResponse reports that a response began to arrive but was not complete in time: it is large, or the link is
+	// congested.
+	ErrSlowResponse = errors.New("the store's response did not arrive completely in time")
 )
 
 // MaxValue is the largest value that the store takes, in bytes.
@@ -33,12 +35,12 @@
 	Get(ctx context.Context, key string) (Entry, error)
 	// List reads every key with a prefix.
 	List(ctx context.Context, prefix string) ([]Entry, error)
-	// Put writes if the key's revision is rev (0: the key must not exist) and returns the new revision.
-	// A lease other than 0 removes the key when the lease ends.
+	// Put writes if the key's revision is rev (0: the key must not exist) and returns the new revision. With a lease
+	// other than 0, the key is removed when the lease ends.
 	Put(ctx context.Context, key string, data []byte, rev, lease int64) (int64, error)
 	// Delete removes the key if its revision is rev.
 	Delete(ctx context.Context, key string, rev int64) error
-	// Lease makes a lease that ends after ttl unless it is kept alive.
+	// Lease creates a lease that ends after ttl unless it is renewed.
 	Lease(ctx context.Context, ttl time.Duration) (int64, error)
 	// KeepAlive renews a lease.
 	KeepAlive(ctx context.Context, lease int64) error
@@ -46,7 +48,7 @@
 	Watch(ctx context.Context, key string, after int64) (<-chan Entry, error)
 }
 
-// State is what the platform's list says of an instance.
+// State is the state of an instance in the platform's list.
 type State string
 
 // The states of a listed instance.
@@ -55,7 +57,7 @@
 	StateLeaving State = "leaving"
 )
 
-// Instance is one line of the platform's list. The list lags.
+// Instance is an entry of the platform's list. The list may be out of date.
 type Instance struct {
 	ID    string
 	Zone  string
@@ -68,8 +70,8 @@
 	Instances(ctx context.Context) ([]Instance, error)
 }
 
-// WeightStore holds model weights behind a limited rate of loads.
+// WeightStore holds model weights and limits the rate at which they are loaded.
 type WeightStore interface {
-	// Acquire takes one load permit for a model version; it waits until the store allows it.
+	// Acquire takes one load permit for a model version. It waits until the store allows the load.
 	Acquire(ctx context.Context, model, version string) error
 }
--- a/internal/external/fenced.go
+++ b/internal/external/fenced.go
@@ -11,32 +11,33 @@
 	"github.com/rotisserie/eris"
 )
 
-// fencePrefix is where the fences lie under the fleet's own prefix.
+// fencePrefix is the location of the fences under the fleet's own prefix.
 const fencePrefix = "epoch/"
 
-// Fenced is a KV whose revisions of different epochs are never taken for each other: reads go on within one epoch only, and a conditional write
-// happens only in the epoch in which its conditions were read, however late the store does it.
+// Fenced is a KV that never confuses revisions of different epochs. Reads continue within one epoch only. A conditional
+// write takes effect only in the epoch in which its conditions were read, however late the store executes it.
 //
-// Each conditional write has one more condition: that the fence of its epoch stands as it was made. Whoever writes first in an epoch makes its
-// fence and drops those before. A store that names no epoch has no fences.
+// Each conditional write has one more condition: the fence of its epoch is unchanged. A fence is a key that the first
+// writer in an epoch creates; it drops the fences of earlier epochs at the same time. A store that names no epoch has
+// no fences.
 type Fenced struct {
 	next   KV
 	prefix string
 	epochs *Epochs
 
 	mu       sync.Mutex
-	epoch    int64 // of the fence that is known
-	revision int64 // of that fence; 0: none is known
+	epoch    int64 // epoch of the cached fence; 0: none is cached
+	revision int64 // revision of the cached fence
 }
 
 var _ KV = (*Fenced)(nil)
 
-// Fence wraps a store. Fences lie under the fleet's own prefix.
+// Fence wraps a store. Fences are stored under prefix, the fleet's own one.
 func Fence(next KV, prefix string, epochs *Epochs) *Fenced {
 	return &Fenced{next: next, prefix: prefix + fencePrefix, epochs: epochs}
 }
 
-// observe takes the revision or the error of an answer.
+// observe takes the revision or the error of a response.
 func (f *Fenced) observe(revision int64, err error) error {
 	switch {
 	case err != nil:
@@ -65,7 +66,7 @@
 	return entries, at, nil
 }
 
-// Changes implements KV. What has changed since a revision of another epoch is not known: ErrHistoryGone.
+// Changes implements KV. The changes since a revision of another epoch are unknown: it returns ErrHistoryGone.
 func (f *Fenced) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]Change, int64, error) {
 	if after != 0 && EpochOf(after) != f.epochs.Current() {
 		return nil, 0, ErrHistoryGone
@@ -95,10 +96,11 @@
 	if err != nil {
 		return 0, err
 	}
-	return f.commit(ctx, c, fence)
+	return f.commitFenced(ctx, c, fence)
 }
 
-// write makes a write and takes the epoch that its answer names. One that was done in an epoch before the known one has an unknown outcome.
+// write makes a write and takes the epoch that its response names. If that is an earlier epoch than the current one,
+// the outcome is unknown.
 func (f *Fenced) write(ctx context.Context, c Commit) (int64, error) {
 	at, err := f.next.Commit(ctx, c)
 	if err != nil {
@@ -110,14 +112,14 @@
 	return at, nil
 }
 
-// commit writes with the fence as one more condition. A write that was prepared in one epoch and answered in the next has an unknown outcome: what
-// its conditions were read from is lost.
-func (f *Fenced) commit(ctx context.Context, c Commit, fence Condition) (int64, error) {
+// commitFenced writes with the fence as an additional condition. If the response is of another epoch than the fence,
+// the outcome is unknown, because the state from which the conditions were read is lost.
+func (f *Fenced) commitFenced(ctx context.Context, c Commit, fence Condition) (int64, error) {
 	when := make([]Condition, 0, len(c.When)+1)
 	c.When = append(append(when, c.When...), fence)
 	at, err := f.write(ctx, c)
 	if err != nil {
-		return 0, f.withoutFence(err, fence)
+		return 0, f.dropFenceConflict(err, fence)
 	}
 	if EpochOf(at) != EpochOf(fence.Revision) {
 		return 0, ErrAmbiguous
@@ -125,8 +127,9 @@
 	return at, nil
 }
 
-// withoutFence takes the fence out of a conflict. One that does not stand any more is read again.
-func (f *Fenced) withoutFence(err error, fence Condition) error {
+// dropFenceConflict removes the fence from a conflict. If the fence itself has changed, it also drops the cached fence,
+// so that the next write reads it again.
+func (f *Fenced) dropFenceConflict(err error, fence Condition) error {
 	var conflict *ConflictError
 	if !errors.As(err, &conflict) {
 		return err
@@ -137,19 +140,19 @@
 		case e.Key != fence.Key:
 			out.Current = append(out.Current, e)
 		case e.Revision != fence.Revision:
-			f.keep(0, 0)
+			f.cacheFence(0, 0)
 		}
 	}
 	return out
 }
 
-func (f *Fenced) keep(epoch, revision int64) {
+func (f *Fenced) cacheFence(epoch, revision int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.epoch, f.revision = epoch, revision
 }
 
-// fence is the condition that holds in an epoch only.
+// fence returns the condition that holds only in the given epoch.
 func (f *Fenced) fence(ctx context.Context, epoch int64) (Condition, error) {
 	key := f.prefix + strconv.FormatInt(epoch, 10)
 	f.mu.Lock()
@@ -158,16 +161,17 @@
 	if known {
 		return Condition{Key: key, Revision: revision}, nil
 	}
-	revision, err := f.find(ctx, key, epoch)
+	revision, err := f.readOrCreateFence(ctx, key, epoch)
 	if err != nil {
 		return Condition{}, err
 	}
-	f.keep(epoch, revision)
+	f.cacheFence(epoch, revision)
 	return Condition{Key: key, Revision: revision}, nil
 }
 
-// find reads the fence of an epoch, or makes it and drops those of earlier ones.
-func (f *Fenced) find(ctx context.Context, key string, epoch int64) (int64, error) {
+// readOrCreateFence returns the revision of an epoch's fence. If there is none, it creates the fence and drops those of
+// earlier epochs.
+func (f *Fenced) readOrCreateFence(ctx context.Context, key string, epoch int64) (int64, error) {
 	entries, at, err := f.ReadAll(ctx, f.prefix)
 	if err != nil {
 		return 0, err
@@ -184,11 +188,11 @@
 			c.Drop = append(c.Drop, e.Key)
 		}
 	}
-	made, err := f.write(ctx, c)
+	created, err := f.write(ctx, c)
 	var conflict *ConflictError
 	switch {
-	case err == nil && EpochOf(made) == epoch:
-		return made, nil
+	case err == nil && EpochOf(created) == epoch:
+		return created, nil
 	case err == nil:
 		return 0, &ConflictError{}
 	case errors.As(err, &conflict) && len(conflict.Current) == 1 && EpochOf(conflict.Current[0].Revision) == epoch:
--- a/internal/external/httplist/client.go
+++ b/internal/external/httplist/client.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	defaultTimeout = time.Second
-	maxAnswer      = 4 << 20
+	defaultTimeout   = time.Second
+	maxResponseBytes = 4 << 20
 )
 
 // Group is one element of the list.
@@ -59,7 +59,7 @@
 		return nil, eris.Errorf("reading the instance list: status %d", resp.StatusCode)
 	}
 	var groups []Group
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&groups); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&groups); err != nil {
 		return nil, eris.Wrap(err, "decoding the instance list")
 	}
 	return flatten(groups), nil
--- a/internal/external/kv.go
+++ b/internal/external/kv.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// ErrHistoryGone reports that the store no longer knows what changed since a revision: read everything again.
+// ErrHistoryGone reports that the store no longer holds the changes since a revision. The caller must read everything
+// again.
 var ErrHistoryGone = errors.New("the store's history does not reach back that far")
 
-// Change is one change that the store reports. Gone means that the key was removed.
+// Change is one change that the store reports. Removed means that the key was removed.
 type Change struct {
 	Entry
 	Removed bool
@@ -21,14 +22,14 @@
 	Revision int64
 }
 
-// Commit is a write of several keys that happens as a whole or not at all.
+// Commit is an atomic write of several keys.
 type Commit struct {
 	When []Condition
-	Put  []Entry // Revision is not used
+	Put  []Entry // their revisions are not used
 	Drop []string
 }
 
-// ConflictError reports that a condition did not hold. Current has the keys of the conditions as they are.
+// ConflictError reports that a condition did not hold. Current holds the current entries of the conditions' keys.
 type ConflictError struct {
 	Current []Entry
 }
@@ -41,24 +42,26 @@
 
 type staleKey struct{}
 
-// WithStale marks reads under ctx that may be answered from a copy some seconds old, where the store has such reads cheaper.
+// WithStale marks reads under ctx that may be answered from a copy some seconds old. Some stores serve such reads more
+// cheaply.
 func WithStale(ctx context.Context) context.Context { return context.WithValue(ctx, staleKey{}, true) }
 
-// Stale reports whether WithStale marked a read.
+// Stale reports whether a read is marked by WithStale.
 func Stale(ctx context.Context) bool {
 	on, _ := ctx.Value(staleKey{}).(bool)
 	return on
 }
 
-type lastKey struct{}
+type finalCallKey struct{}
 
-// WithFinalCall marks calls under ctx as the last ones of an instance that stops: they are made though the store rests, for nobody can make them later.
+// WithFinalCall marks calls under ctx as the last ones of an instance that stops. They are made even during a back-off
+// of the store, because no one can make them later.
 func WithFinalCall(ctx context.Context) context.Context {
-	return context.WithValue(ctx, lastKey{}, true)
+	return context.WithValue(ctx, finalCallKey{}, true)
 }
 
-func last(ctx context.Context) bool {
-	on, _ := ctx.Value(lastKey{}).(bool)
+func isFinalCall(ctx context.Context) bool {
+	on, _ := ctx.Value(finalCallKey{}).(bool)
 	return on
 }
 
@@ -68,10 +71,11 @@
 	Read(ctx context.Context, key string) (Entry, int64, error)
 	// ReadAll reads every key with a prefix. The second value is a revision from which Changes misses nothing.
 	ReadAll(ctx context.Context, prefix string) ([]Entry, int64, error)
-	// Changes tells what changed under a prefix after a revision. It waits up to wait for a change to come.
-	// The second value is the revision to go on from.
+	// Changes returns the changes under a prefix after a revision. If there are none, it waits up to wait for one. The
+	// second value is the revision from which to continue.
 	Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]Change, int64, error)
-	// Commit writes and returns the new revision. It fails with a ConflictError or ErrUnavailable when nothing was
-	// written, and with ErrAmbiguous when that is not known: such a write may still happen while its conditions hold.
+	// Commit writes and returns the new revision. It fails with a ConflictError or ErrUnavailable if nothing was
+	// written, and with ErrAmbiguous if the outcome is unknown: such a write may still take effect while its conditions
+	// hold.
 	Commit(ctx context.Context, c Commit) (int64, error)
 }
--- a/internal/external/memkv/memkv.go
+++ b/internal/external/memkv/memkv.go
@@ -1,4 +1,4 @@
-// Package memkv is an external.KV in memory with switches for the ways in which a store fails. It is for tests.
+// Package memkv is an in-memory external.KV for tests, with switches for the ways in which a store can fail.
 package memkv
 
 import (
@@ -18,20 +18,20 @@
 	entries  map[string]external.Entry
 	history  []external.Change
 	revision int64
-	floor    int64 // history up to here is forgotten
+	floor    int64 // history up to this revision was dropped
 	calls    int
-	epoch    int64    // 0: the store names none
-	written  []logged // every change since the start, whatever the history forgets
-
-	down    bool
-	silent  bool
-	lose    bool
-	late    bool
-	delayed []external.Commit
+	epoch    int64         // 0: the store names no epoch
+	written  []timedChange // every change since the start, regardless of dropped history
+
+	down          bool
+	hang          bool
+	loseResponses bool
+	delayWrites   bool
+	delayedWrites []external.Commit
 }
 
-// logged is a change and when it was made.
-type logged struct {
+// timedChange is a change and the time when it was made.
+type timedChange struct {
 	external.Change
 	at time.Time
 }
@@ -39,29 +39,29 @@
 // New makes an empty store.
 func New() *Store { return &Store{entries: make(map[string]external.Entry)} }
 
-// SetDown makes every call fail with nothing done.
+// SetDown makes every call fail with no effect.
 func (s *Store) SetDown(on bool) { s.set(func() { s.down = on }) }
 
-// SetHang makes every call wait for the end of its context, with nothing done.
-func (s *Store) SetHang(on bool) { s.set(func() { s.silent = on }) }
+// SetHang makes every call block until its context ends, with no effect.
+func (s *Store) SetHang(on bool) { s.set(func() { s.hang = on }) }
 
-// SetLoseResponses makes writes happen without an answer.
-func (s *Store) SetLoseResponses(on bool) { s.set(func() { s.lose = on }) }
+// SetLoseResponses makes writes take effect without a response.
+func (s *Store) SetLoseResponses(on bool) { s.set(func() { s.loseResponses = on }) }
 
-// SetDelayWrites keeps writes back without an answer until Release.
-func (s *Store) SetDelayWrites(on bool) { s.set(func() { s.late = on }) }
+// SetDelayWrites holds writes back without a response until ReleaseWrites.
+func (s *Store) SetDelayWrites(on bool) { s.set(func() { s.delayWrites = on }) }
 
 // SetEpoch makes the store name its epoch, which rises with each restoration.
 func (s *Store) SetEpoch(n int64) { s.set(func() { s.epoch = n }) }
 
-// Epoch is the store's present epoch.
+// Epoch returns the store's current epoch.
 func (s *Store) Epoch() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.epoch
 }
 
-// Number is the store's present revision, within its epoch.
+// Number returns the store's current revision within its epoch.
 func (s *Store) Number() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,17 +90,17 @@
 	return s.restore(number)
 }
 
-// restore drops everything after a revision. The caller holds mu.
+// restore drops every change after a revision and raises the epoch. The caller holds mu.
 func (s *Store) restore(number int64) []external.Change {
-	kept := len(s.written)
-	for kept > 0 && s.written[kept-1].Revision > number {
-		kept--
+	n := len(s.written)
+	for n > 0 && s.written[n-1].Revision > number {
+		n--
 	}
 	last := make(map[string]external.Change)
-	for _, w := range s.written[kept:] {
+	for _, w := range s.written[n:] {
 		last[w.Key] = w.Change
 	}
-	s.written = s.written[:kept]
+	s.written = s.written[:n]
 	s.entries, s.history = make(map[string]external.Entry), nil
 	for _, w := range s.written {
 		if w.Removed {
@@ -123,7 +123,8 @@
 	return lost
 }
 
-// Rewrite makes lost changes once more under some prefixes, but for keys that have been written since the restoration.
+// Rewrite makes lost changes again under the given prefixes, except for keys that were written after the revision
+// restored.
 func (s *Store) Rewrite(lost []external.Change, restored int64, prefixes ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,32 +147,33 @@
 	f()
 }
 
-// ReleaseWrites does the writes that were kept back, as far as their conditions still hold. It returns how many were done.
+// ReleaseWrites executes the writes that were held back, if their conditions still hold. It returns how many were
+// executed.
 func (s *Store) ReleaseWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	done := 0
-	for _, c := range s.delayed {
+	for _, c := range s.delayedWrites {
 		if s.conflict(c) == nil {
 			s.apply(c)
 			done++
 		}
 	}
-	s.delayed = nil
+	s.delayedWrites = nil
 	return done
 }
 
 // DropHistory drops the history.
 func (s *Store) DropHistory() { s.set(func() { s.history, s.floor = nil, s.revision }) }
 
-// Calls is the number of calls so far.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// Put writes without a condition, as others do.
+// Put writes without a condition, as other clients of the store do.
 func (s *Store) Put(key string, data []byte) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,25 +188,26 @@
 	s.drop(key)
 }
 
-// drop removes a key at the present revision. The caller holds mu.
+// drop removes a key at the current revision. The caller holds mu.
 func (s *Store) drop(key string) {
 	delete(s.entries, key)
-	s.note(external.Change{Entry: external.Entry{Key: key, Revision: s.revision}, Removed: true})
+	s.record(external.Change{Entry: external.Entry{Key: key, Revision: s.revision}, Removed: true})
 }
 
-// note keeps a change. The caller holds mu.
-func (s *Store) note(c external.Change) {
+// record appends a change to the history. The caller holds mu.
+func (s *Store) record(c external.Change) {
 	s.history = append(s.history, c)
-	s.written = append(s.written, logged{Change: c, at: time.Now()})
+	s.written = append(s.written, timedChange{Change: c, at: time.Now()})
 }
 
-// enter counts a call and fails it if the store is down or silent. The caller holds mu; it is released while waiting.
+// enter counts a call. It fails if the store is down, and blocks if the store hangs. The caller holds mu, which is
+// released while blocked.
 func (s *Store) enter(ctx context.Context) error {
 	s.calls++
 	if s.down {
 		return external.ErrUnavailable
 	}
-	if s.silent {
+	if s.hang {
 		s.mu.Unlock()
 		<-ctx.Done()
 		s.mu.Lock()
@@ -273,15 +276,15 @@
 		}
 		return 0, err
 	}
-	if s.late {
-		s.delayed = append(s.delayed, c)
+	if s.delayWrites {
+		s.delayedWrites = append(s.delayedWrites, c)
 		return 0, external.ErrAmbiguous
 	}
 	if err := s.conflict(c); err != nil {
 		return 0, err
 	}
 	rev := s.apply(c)
-	if s.lose {
+	if s.loseResponses {
 		return 0, external.ErrAmbiguous
 	}
 	return rev, nil
@@ -307,7 +310,7 @@
 	for _, p := range c.Put {
 		p.Revision = s.revision
 		s.entries[p.Key] = p
-		s.note(external.Change{Entry: p})
+		s.record(external.Change{Entry: p})
 	}
 	for _, key := range c.Drop {
 		s.drop(key)
--- a/internal/external/memkv/versioned.go
+++ b/internal/external/memkv/versioned.go
@@ -8,20 +8,20 @@
 	"github.com/ledgemount/ledgemount/internal/external"
 )
 
-// versioned shows a Store as an adapter does: its revisions hold the store's epoch.
+// versioned presents a Store as an adapter of a real store does: its revisions include the store's epoch.
 type versioned struct{ store *Store }
 
 var _ external.KV = versioned{}
 
-// Versioned is the store with revisions that hold its epoch.
+// Versioned returns the store as a KV whose revisions include its epoch.
 func (s *Store) Versioned() external.KV { return versioned{store: s} }
 
-func (v versioned) entry(epoch int64, e external.Entry) external.Entry {
+func (v versioned) withEpoch(epoch int64, e external.Entry) external.Entry {
 	e.Revision = external.KeyRevision(epoch, e.Revision)
 	return e
 }
 
-func (v versioned) named(epoch int64, err error) error {
+func (v versioned) wrapErr(epoch int64, err error) error {
 	if err == nil || errors.Is(err, external.ErrAmbiguous) {
 		return err
 	}
@@ -29,7 +29,7 @@
 	if errors.As(err, &conflict) {
 		out := &external.ConflictError{}
 		for _, e := range conflict.Current {
-			out.Current = append(out.Current, v.entry(epoch, e))
+			out.Current = append(out.Current, v.withEpoch(epoch, e))
 		}
 		err = out
 	}
@@ -40,7 +40,7 @@
 func (v versioned) Read(ctx context.Context, key string) (external.Entry, int64, error) {
 	epoch := v.store.Epoch()
 	e, at, err := v.store.Read(ctx, key)
-	return v.entry(epoch, e), external.Revision(epoch, at), v.named(epoch, err)
+	return v.withEpoch(epoch, e), external.Revision(epoch, at), v.wrapErr(epoch, err)
 }
 
 // ReadAll implements external.KV.
@@ -48,9 +48,9 @@
 	epoch := v.store.Epoch()
 	entries, at, err := v.store.ReadAll(ctx, prefix)
 	for i, e := range entries {
-		entries[i] = v.entry(epoch, e)
+		entries[i] = v.withEpoch(epoch, e)
 	}
-	return entries, external.Revision(epoch, at), v.named(epoch, err)
+	return entries, external.Revision(epoch, at), v.wrapErr(epoch, err)
 }
 
 // Changes implements external.KV.
@@ -58,9 +58,9 @@
 	epoch := v.store.Epoch()
 	changes, at, err := v.store.Changes(ctx, prefix, external.NumberOf(after), wait)
 	for i, c := range changes {
-		changes[i].Entry = v.entry(epoch, c.Entry)
+		changes[i].Entry = v.withEpoch(epoch, c.Entry)
 	}
-	return changes, external.Revision(epoch, at), v.named(epoch, err)
+	return changes, external.Revision(epoch, at), v.wrapErr(epoch, err)
 }
 
 // Commit implements external.KV.
@@ -72,5 +72,5 @@
 	}
 	c.When = when
 	at, err := v.store.Commit(ctx, c)
-	return external.Revision(epoch, at), v.named(epoch, err)
+	return external.Revision(epoch, at), v.wrapErr(epoch, err)
 }
--- a/internal/external/meter.go
+++ b/internal/external/meter.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Duty reports what a store call is for, so that calls can be counted by purpose.
+// Duty is the purpose of a store call. Calls are counted by it.
 type Duty string
 
-// The duties that use the store.
+// The purposes of store calls.
 const (
 	DutyConfig  Duty = "config"
 	DutyPlan    Duty = "plan"
@@ -21,19 +21,19 @@
 	DutyDeposit Duty = "deposit"
 	DutyAudit   Duty = "audit"
 	DutyMembers Duty = "members" // the instances' records
-	// DutyQuarantine is which requests are kept from endpoints
+	// DutyQuarantine concerns the requests that are kept from endpoints.
 	DutyQuarantine Duty = "quarantine"
 	DutyOther      Duty = "other"
 )
 
 type dutyKey struct{}
 
-// WithDuty marks the store calls made under ctx.
+// WithDuty marks the store calls under ctx with their purpose.
 func WithDuty(ctx context.Context, d Duty) context.Context {
 	return context.WithValue(ctx, dutyKey{}, d)
 }
 
-// DutyOf reads the mark that WithDuty set.
+// DutyOf returns the purpose that WithDuty set.
 func DutyOf(ctx context.Context) Duty {
 	if d, ok := ctx.Value(dutyKey{}).(Duty); ok {
 		return d
@@ -41,14 +41,14 @@
 	return DutyOther
 }
 
-// Calls counts the store calls of one duty.
+// Calls counts the store calls of one purpose.
 type Calls struct {
 	Reads  int64 `json:"reads"`
 	Writes int64 `json:"writes"`
 	Bytes  int64 `json:"bytes"`
 }
 
-// Meter is a Store that counts calls by duty.
+// Meter is a Store that counts its calls by purpose.
 type Meter struct {
 	next Store
 
@@ -128,7 +128,7 @@
 	return m.next.KeepAlive(ctx, lease)
 }
 
-// Watch implements Store. A waiting watch counts as one read.
+// Watch implements Store. An open watch counts as one read.
 func (m *Meter) Watch(ctx context.Context, key string, after int64) (<-chan Entry, error) {
 	m.count(ctx, 1, 0, 0)
 	return m.next.Watch(ctx, key, after)
--- a/internal/external/observed.go
+++ b/internal/external/observed.go
@@ -7,50 +7,50 @@
 	"time"
 )
 
-// Call reports one call to a store.
+// Call describes one call to a store.
 type Call struct {
 	Name    string        // read, list, changes or commit
-	Duty    Duty          // what it is for
-	Stale   bool          // a copy some seconds old was good enough
+	Duty    Duty          // its purpose
+	Stale   bool          // a response from a copy some seconds old was acceptable
 	Outcome string        // ok, conflict, unavailable, unknown or gone
-	Took    time.Duration // until its answer, or until it was given up
+	Took    time.Duration // until the response arrived or the call was given up
 }
 
-// Observed is a KV that reports its calls, and leaves the store alone while it asks for that: a store that turns all away would else be called again
-// at once by each instance.
+// Observed is a KV that reports its calls. It suspends them while the store asks for a back-off. Otherwise each
+// instance would call an overloaded store again at once.
 type Observed struct {
-	next  KV
-	told  atomic.Pointer[func(Call)]
-	rest  atomic.Pointer[func(time.Duration)]
-	rests rests
+	next      KV
+	onCall    atomic.Pointer[func(Call)]
+	onBackoff atomic.Pointer[func(time.Duration)]
+	backoff   backoff
 }
 
 var _ KV = (*Observed)(nil)
 
-// Observe wraps a store. Until OnCall nobody is told.
+// Observe wraps a store. Calls are not reported before OnCall sets a callback.
 func Observe(next KV) *Observed { return &Observed{next: next} }
 
-// OnCall sets what is notified of each call.
-func (o *Observed) OnCall(f func(Call)) { o.told.Store(&f) }
+// OnCall sets the callback for each call.
+func (o *Observed) OnCall(f func(Call)) { o.onCall.Store(&f) }
 
-// OnBackoff sets what is told when the store asks for rest.
-func (o *Observed) OnBackoff(f func(time.Duration)) { o.rest.Store(&f) }
+// OnBackoff sets the callback for the start of a back-off, with the duration that the store asked for.
+func (o *Observed) OnBackoff(f func(time.Duration)) { o.onBackoff.Store(&f) }
 
-// call makes a call, unless the store rests, and reports it.
+// call makes a call, unless a back-off is in progress, and reports it.
 func (o *Observed) call(ctx context.Context, name string, f func() error) error {
-	if err := o.rests.check(); err != nil && !last(ctx) {
+	if err := o.backoff.check(); err != nil && !isFinalCall(ctx) {
 		return err
 	}
 	begun := time.Now()
 	err := f()
-	var rest *RetryAfterError
-	if errors.As(err, &rest) && o.rests.note(rest) {
-		if told := o.rest.Load(); told != nil {
-			(*told)(rest.After)
+	var retryAfter *RetryAfterError
+	if errors.As(err, &retryAfter) && o.backoff.start(retryAfter) {
+		if notify := o.onBackoff.Load(); notify != nil {
+			(*notify)(retryAfter.After)
 		}
 	}
-	if told := o.told.Load(); told != nil {
-		(*told)(Call{Name: name, Duty: DutyOf(ctx), Stale: Stale(ctx), Outcome: outcomeOf(err), Took: time.Since(begun)})
+	if notify := o.onCall.Load(); notify != nil {
+		(*notify)(Call{Name: name, Duty: DutyOf(ctx), Stale: Stale(ctx), Outcome: outcomeOf(err), Took: time.Since(begun)})
 	}
 	return err
 }
--- a/internal/external/observed_test.go
+++ b/internal/external/observed_test.go
@@ -11,14 +11,14 @@
 )
 
 func TestObserved(t *testing.T) {
-	Convey("An observed store answers as the store does, and tells of each call and its outcome", t, func() {
+	Convey("An observed store returns the store's responses, and reports each call and its outcome", t, func() {
 		ctx := context.Background()
 		store := memkv.New()
 		o := external.Observe(store)
 		_, _, err := o.Read(ctx, "a")
 		So(err, ShouldBeNil)
-		var told []string
-		o.OnCall(func(c external.Call) { told = append(told, c.Name+" "+c.Outcome) })
+		var reported []string
+		o.OnCall(func(c external.Call) { reported = append(reported, c.Name+" "+c.Outcome) })
 		put := external.Commit{When: []external.Condition{{Key: "a"}}, Put: []external.Entry{{Key: "a", Data: []byte("x")}}}
 		_, err = o.Commit(ctx, put)
 		So(err, ShouldBeNil)
@@ -33,7 +33,7 @@
 		_, _ = o.Commit(ctx, external.Commit{Drop: []string{"a"}})
 		store.SetDown(true)
 		_, _, _ = o.Read(ctx, "a")
-		So(told, ShouldResemble, []string{
+		So(reported, ShouldResemble, []string{
 			"commit ok", "commit conflict", "read ok", "list ok", "changes gone", "commit unknown", "read unavailable",
 		})
 	})
