--- a/internal/peers/directory.go
+++ b/internal/peers/directory.go
@@ -1,9 +1,10 @@
-// Package peers knows the fleet's other instances and carries calls to those that lead this instance's availability zone.
+// Package peers discovers the fleet's other instances and carries calls to the leaders of this instance's availability
+// zone.
 //
-// Each instance keeps a record of itself in the store and reads all of them now and then. In a small fleet that is all. In a
-// large one the instances of a zone are ranked, and each asks the first that it can reach before it asks the store itself, so
-// that the store's calls grow with zones and not with instances. The rank is a hint, never a proof: two instances may both
-// believe that they lead, and only efficiency suffers.
+// Each instance writes a record of itself to the store and reads all records from time to time. A small fleet needs no
+// more than that. In a large fleet the instances of a zone are ranked, and each asks the first one that it can reach
+// before it asks the store itself. The number of store calls then grows with the number of zones, not of instances. The
+// rank is a hint and guarantees nothing: two instances may both act as leader, at the cost of efficiency only.
 package peers
 
 import (
@@ -21,23 +22,24 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// Record is what an instance tells the fleet of itself.
+// Record is what an instance publishes about itself.
 type Record struct {
 	Peer     mesh.Peer `cbor:"1,keyasint"`
-	Capacity float64   `cbor:"2,keyasint,omitempty"` // size of its machine; larger ones lead
+	Capacity float64   `cbor:"2,keyasint,omitempty"` // size of its machine; larger machines lead
 }
 
 // Times are a directory's intervals.
 type Times struct {
-	InitialRead time.Duration // the least time between reads after the start; it doubles until it is Read
-	Read        time.Duration // between reads later on
-	Call        time.Duration // limit of one call to the store
-	Settle      time.Duration // after the start others may not have told of themselves yet, or their links are not open
-	FirstPause  time.Duration // an instance that could not be reached is left alone for this long
-	MaxPause    time.Duration // the most that this grows to
+	InitialRead time.Duration // minimum interval between reads after the start; it doubles with each read, up to Read
+	Read        time.Duration // interval between reads later on
+	Call        time.Duration // timeout of one call to the store
+	Settle      time.Duration // how long after the start others may lack records or links
+	FirstPause  time.Duration // first pause in calls to an instance that could not be reached
+	MaxPause    time.Duration // upper limit of that pause, which doubles with each failure
 }
 
-// DefaultTimes suit a store that answers in milliseconds and zones a millisecond wide.
+// DefaultTimes returns intervals for a store that answers within milliseconds and a latency of about a millisecond
+// within an availability zone.
 func DefaultTimes() Times {
 	return Times{
 		InitialRead: 700 * time.Millisecond, Read: 5 * time.Second, Call: 900 * time.Millisecond,
@@ -45,56 +47,56 @@
 	}
 }
 
-// DefaultLargeFleet is the number of instances from which a fleet is large.
+// DefaultLargeFleet is the number of instances from which on a fleet counts as large.
 const DefaultLargeFleet = 17
 
-// mostLeaders is the number of instances that one tries to reach before it does the work itself.
-const mostLeaders = 3
+// maxLeaders is the number of leaders that an instance tries before it does the work itself.
+const maxLeaders = 3
 
-// Where records lie under the fleet's prefix.
+// Locations of the records under the fleet's prefix.
 const (
 	recordsPrefix = "peers/"
 	authorityKey  = "authority"
 )
 
-// Directory is the service that keeps the records.
+// Directory is the service that maintains the records.
 type Directory struct {
-	store   external.KV
-	prefix  string
-	self    Record
-	router  *mesh.Router
-	times   Times
-	now     func() time.Time
-	log     zerolog.Logger
-	large   int
-	pools   bool
-	open    func() (mesh.Caller, error) // nil: over QUIC
-	traffic func(mesh.Kind, int)
-	caller  atomic.Pointer[mesh.Caller]
-	epochs  *external.Epochs
-
-	met      chan struct{}
-	wakes    chan struct{}             // the store was restored
-	restored atomic.Pointer[time.Time] // when that was learnt last; nil: it was not
+	store      external.KV
+	prefix     string
+	self       Record
+	router     *mesh.Router
+	times      Times
+	now        func() time.Time
+	log        zerolog.Logger
+	largeFleet int
+	pooling    bool
+	openCaller func() (mesh.Caller, error) // nil: opens QUIC links
+	onTraffic  func(mesh.Kind, int)
+	caller     atomic.Pointer[mesh.Caller]
+	epochs     *external.Epochs
+
+	discovered   chan struct{}
+	restorations chan struct{}             // signals that the store was restored
+	restoredAt   atomic.Pointer[time.Time] // when the last restoration was detected; nil: there was none
 
 	// Used by Run only.
-	wrote     time.Time // when this instance's record was written last; zero: not yet
-	wroteIn   int64     // the store's epoch then
-	authority []byte    // that the links use, as the store has it; nil: none
-	linkedAt  time.Time // when they were opened first
-	checked   time.Time // when the store was last known to have it
-
-	mu        sync.Mutex
-	begun     time.Time
-	restarted bool // the store had a record of an earlier process of this instance
-	records   map[string]Record
-	zones     map[string][]Record // by zone, ranked
-	ahead     []Record            // of the own zone, ranked before this instance, best first
-	all       []Record            // of all zones, likewise
-	place     int                 // of this instance among all, by ID
-	suspects  map[string]*suspicion
-	leaving   bool
-	leader    string // as last logged
+	writtenAt          time.Time // when this instance's record was last written; zero: not yet
+	writtenEpoch       int64     // the store's epoch at that time
+	authority          []byte    // the encoded authority that the links use; nil: none
+	linkedAt           time.Time // when the links were first opened
+	authorityCheckedAt time.Time // when the store was last known to hold the authority
+
+	mu         sync.Mutex
+	startedAt  time.Time
+	restarted  bool // the store held a record of an earlier process of this instance
+	records    map[string]Record
+	zones      map[string][]Record // by zone, ranked
+	zoneAhead  []Record            // instances of the own zone that rank before this one, best first
+	fleetAhead []Record            // likewise, of all zones
+	position   int                 // of this instance among all, ordered by ID
+	suspects   map[string]*suspicion
+	leaving    bool
+	leader     string // last logged leader
 }
 
 // Option changes a Directory.
@@ -109,94 +111,95 @@
 // WithLogger sets the logger.
 func WithLogger(log zerolog.Logger) Option { return func(d *Directory) { d.log = log } }
 
-// WithLargeFleet sets the number of instances from which a fleet is large.
-func WithLargeFleet(n int) Option { return func(d *Directory) { d.large = n } }
+// WithLargeFleet sets the number of instances from which on a fleet counts as large.
+func WithLargeFleet(n int) Option { return func(d *Directory) { d.largeFleet = n } }
 
-// WithoutPools makes a directory in which no zone pools its customers' tokens.
-func WithoutPools() Option { return func(d *Directory) { d.pools = false } }
+// WithoutPools turns off the pooling of customers' tokens within zones.
+func WithoutPools() Option { return func(d *Directory) { d.pooling = false } }
 
-// WithTraffic sets what is notified of each message sent to other instances: its kind and its size in bytes.
+// WithTraffic sets the callback for each message sent to other instances. It gets the message's kind and its size in
+// bytes.
 func WithTraffic(f func(kind mesh.Kind, bytes int)) Option {
-	return func(d *Directory) { d.traffic = f }
+	return func(d *Directory) { d.onTraffic = f }
 }
 
-// WithCaller replaces QUIC.
+// WithCaller replaces the QUIC links.
 func WithCaller(c mesh.Caller) Option {
-	return func(d *Directory) { d.open = func() (mesh.Caller, error) { return c, nil } }
+	return func(d *Directory) { d.openCaller = func() (mesh.Caller, error) { return c, nil } }
 }
 
-// New makes a directory. Records lie under prefix in the store; router has the handlers for calls of other instances. An
-// instance without an address in self keeps no record, and leads itself.
+// New makes a directory. Records are stored under prefix. The router has the handlers for calls of other instances. An
+// instance without an address in self writes no record, and leads itself.
 func New(store external.KV, prefix string, self Record, router *mesh.Router, opts ...Option) *Directory {
 	d := &Directory{
 		store: store, prefix: prefix, self: self, router: router, times: DefaultTimes(), now: time.Now, log: zerolog.Nop(),
-		large: DefaultLargeFleet, pools: true, records: make(map[string]Record), suspects: make(map[string]*suspicion),
-		met: make(chan struct{}), wakes: make(chan struct{}, 1), traffic: func(mesh.Kind, int) {}, epochs: external.NewEpochs(),
+		largeFleet: DefaultLargeFleet, pooling: true, records: make(map[string]Record), suspects: make(map[string]*suspicion),
+		discovered: make(chan struct{}), restorations: make(chan struct{}, 1), onTraffic: func(mesh.Kind, int) {}, epochs: external.NewEpochs(),
 	}
 	for _, opt := range opts {
 		opt(d)
 	}
-	d.epochs.OnRestored(d.restoredStore)
+	d.epochs.OnRestored(d.onRestored)
 	return d
 }
 
 // Name implements kernel.Service.
 func (*Directory) Name() string { return "peers" }
 
-// Run implements kernel.Service: it keeps this instance's record, and reads those of all.
+// Run implements kernel.Service. It writes this instance's record and reads the records of all instances.
 func (d *Directory) Run(ctx context.Context) error {
 	if d.self.Peer.Addr == "" {
-		close(d.met)
+		close(d.discovered)
 		<-ctx.Done()
 		return nil
 	}
 	d.mu.Lock()
-	d.begun = d.now()
+	d.startedAt = d.now()
 	d.mu.Unlock()
-	for woken := false; ctx.Err() == nil; woken = d.sleep(ctx) {
-		if !woken {
-			d.tryRead(ctx)
+	for afterRestoration := false; ctx.Err() == nil; afterRestoration = d.sleep(ctx) {
+		if !afterRestoration {
+			d.tryReadRecords(ctx)
 		}
-		if err := d.write(ctx); err != nil {
-			d.log.Debug().Str("event", "peer_unwritten").Err(err).Msg("this instance's record was not written")
+		if err := d.syncRecord(ctx); err != nil {
+			d.log.Debug().Str("event", "peer_unwritten").Err(err).Msg("own record not written")
 		}
-		if err := d.keepAuthority(ctx); err != nil {
-			d.log.Debug().Str("event", "authority_unread").Err(err).Msg("the fleet's authority was not read after a restoration")
+		if err := d.restoreAuthority(ctx); err != nil {
+			d.log.Debug().Str("event", "authority_unread").Err(err).Msg("fleet's authority not read after a restoration of the store")
 		}
 		d.connect(ctx)
-		d.meet()
+		d.checkDiscovered()
 	}
 	return d.disconnect()
 }
 
-// Discovered is closed once the fleet is known as well as it soon will be: a large one is linked, and a small one was there before, or has
-// had time to start.
-func (d *Directory) Discovered() <-chan struct{} { return d.met }
+// Discovered returns a channel that is closed once no more instances are expected to become known soon. A large fleet
+// is linked then. A small one existed before this instance's process started, or its instances have had time to start.
+func (d *Directory) Discovered() <-chan struct{} { return d.discovered }
 
-// meet closes Met if the fleet is known by now.
-func (d *Directory) meet() {
+// checkDiscovered closes the channel of Discovered if the fleet is discovered by now.
+func (d *Directory) checkDiscovered() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
-	case <-d.met:
+	case <-d.discovered:
 		return
 	default:
 	}
-	known, age := len(d.records), d.now().Sub(d.begun)
+	known, age := len(d.records), d.now().Sub(d.startedAt)
 	switch {
 	case known == 0, d.isLarge() && !d.linked():
 		return
-	case known < d.large && !d.restarted && age < d.times.Settle:
+	case known < d.largeFleet && !d.restarted && age < d.times.Settle:
 		return
 	}
-	close(d.met)
+	close(d.discovered)
 }
 
-// sleep waits for the time of the next read. After the start reads are closer together: others may be starting too. It reports whether a restoration of
-// the store has ended it.
+// sleep waits for the time of the next read. Reads are more frequent after the start, because other instances may be
+// starting too. It reports whether a restoration of the store ended the wait.
 func (d *Directory) sleep(ctx context.Context) bool {
 	wait := d.times.Read
-	switch age := d.now().Sub(d.begun); {
+	switch age := d.now().Sub(d.startedAt); {
 	case age < d.times.Settle:
 		wait = d.times.Settle - age
 	case age < d.times.Read:
@@ -207,15 +210,15 @@
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-d.wakes:
-		d.spread(ctx)
+	case <-d.restorations:
+		d.waitJitter(ctx)
 		return true
 	}
 	return false
 }
 
-// tell writes this instance's record.
-func (d *Directory) tell(ctx context.Context) error {
+// writeRecord writes this instance's record.
+func (d *Directory) writeRecord(ctx context.Context) error {
 	raw, err := cbor.Marshal(d.self)
 	if err != nil {
 		return eris.Wrap(err, "encoding the instance's record")
@@ -223,13 +226,13 @@
 	return d.commit(ctx, external.Commit{Put: []external.Entry{{Key: d.recordKey(), Data: raw}}})
 }
 
-func (d *Directory) leaves() bool {
+func (d *Directory) isLeaving() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.leaving
 }
 
-// Leave removes this instance's record: others ask it no more.
+// Leave removes this instance's record, so that other instances stop calling it.
 func (d *Directory) Leave(ctx context.Context) error {
 	if d.self.Peer.Addr == "" {
 		return nil
@@ -249,15 +252,15 @@
 
 func (d *Directory) recordKey() string { return d.prefix + recordsPrefix + d.self.Peer.ID }
 
-// tryRead reads all records; where that fails, those that are known hold.
-func (d *Directory) tryRead(ctx context.Context) {
-	if err := d.read(ctx); err != nil {
-		d.log.Debug().Str("event", "peers_unread").Err(err).Msg("the instances' records were not read")
+// tryReadRecords reads all records. If that fails, the last known records remain.
+func (d *Directory) tryReadRecords(ctx context.Context) {
+	if err := d.readRecords(ctx); err != nil {
+		d.log.Debug().Str("event", "peers_unread").Err(err).Msg("instances' records not read")
 	}
 }
 
-// read reads all records, from a copy that may be some seconds old.
-func (d *Directory) read(ctx context.Context) error {
+// readRecords reads all records. The store may serve them from a copy some seconds old.
+func (d *Directory) readRecords(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(external.WithDuty(external.WithStale(ctx), external.DutyMembers), d.times.Call)
 	defer cancel()
 	entries, _, err := d.store.ReadAll(ctx, d.prefix+recordsPrefix)
@@ -268,7 +271,7 @@
 	for _, e := range entries {
 		var r Record
 		if err := cbor.Unmarshal(e.Data, &r); err != nil || r.Peer.ID == "" {
-			d.log.Warn().Str("event", "record_rejected").Str("key", e.Key).Err(err).Msg("an instance's record cannot be read")
+			d.log.Warn().Str("event", "record_rejected").Str("key", e.Key).Err(err).Msg("instance's record cannot be decoded")
 			continue
 		}
 		records[r.Peer.ID] = r
@@ -279,47 +282,47 @@
 		d.mu.Unlock()
 	}
 	records[d.self.Peer.ID] = d.self
-	if d.keepMissing() {
+	if d.keepsMissing() {
 		d.addMissing(records)
 	}
-	d.take(records)
+	d.setRecords(records)
 	return nil
 }
 
-// addMissing adds the known records that others lack.
+// addMissing adds the known records that the given ones lack.
 func (d *Directory) addMissing(records map[string]Record) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for id, r := range d.records {
-		if _, there := records[id]; !there {
+		if _, listed := records[id]; !listed {
 			records[id] = r
 		}
 	}
 }
 
-// connect opens the links once there are other instances.
+// connect opens the links once other instances are known.
 func (d *Directory) connect(ctx context.Context) {
 	if d.Size() < 2 || d.linked() {
 		return
 	}
-	c, err := d.dialer(ctx)
+	c, err := d.dial(ctx)
 	if err != nil {
-		d.log.Warn().Str("event", "peers_unlinked").Err(err).Msg("no links to other instances yet")
+		d.log.Warn().Str("event", "peers_unlinked").Err(err).Msg("links to other instances cannot be opened yet")
 		return
 	}
 	d.caller.Store(&c)
 	d.log.Info().Str("event", "peers_linked").Str("listen", d.self.Peer.Addr).Int("zone", d.ZoneSize()).Msg("links to other instances are open")
 }
 
-func (d *Directory) dialer(ctx context.Context) (mesh.Caller, error) {
-	if d.open != nil {
-		return d.open()
+func (d *Directory) dial(ctx context.Context) (mesh.Caller, error) {
+	if d.openCaller != nil {
+		return d.openCaller()
 	}
 	cfg, err := d.identity(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return mesh.Listen(d.self.Peer, cfg, d.router, mesh.WithLogger(d.log), mesh.WithTraffic(d.traffic))
+	return mesh.Listen(d.self.Peer, cfg, d.router, mesh.WithLogger(d.log), mesh.WithTraffic(d.onTraffic))
 }
 
 func (d *Directory) disconnect() error {
@@ -333,53 +336,54 @@
 	return nil
 }
 
-// Settled reports whether the others are known well enough to begin with: in a large fleet a leader is to be found first, for a few
-// seconds.
+// Settled reports whether enough instances are known to begin work. In a large fleet it also waits some seconds for a
+// leader to be reachable.
 func (d *Directory) Settled() bool {
 	if d.self.Peer.Addr == "" {
 		return true
 	}
 	d.mu.Lock()
-	age, known := d.now().Sub(d.begun), len(d.records)
+	age, known := d.now().Sub(d.startedAt), len(d.records)
 	d.mu.Unlock()
 	switch {
 	case known == 0:
 		return false
-	case age > settleMost*d.times.Settle:
+	case age > maxSettleFactor*d.times.Settle:
 		return true
-	case known < d.large:
-		return known > soleRecords || age > d.times.Settle
+	case known < d.largeFleet:
+		return known > startingFleetSize || age > d.times.Settle
 	}
 	return d.linked() && !d.LeadersUnreachable()
 }
 
 const (
-	settleMost  = 6 // times Settle
-	soleRecords = 2 // no more records than these may be a fleet that is just starting
+	maxSettleFactor   = 6 // multiple of Settle after which an instance begins anyway
+	startingFleetSize = 2 // a fleet with at most this many records may still be starting
 )
 
-// Large reports whether the fleet is so large that its zones are led.
+// Large reports whether the fleet is so large that its zones have leaders.
 func (d *Directory) Large() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.isLarge()
 }
 
-// Size is the number of instances whose records are known, at least 1.
+// Size returns the number of instances whose records are known, at least 1.
 func (d *Directory) Size() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return max(1, len(d.records))
 }
 
-// ZoneSize is the number of instances of the own zone, this one among them.
+// ZoneSize returns the number of instances in the own zone, including this one.
 func (d *Directory) ZoneSize() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return max(1, len(d.zones[d.self.Peer.Zone]))
 }
 
-// GroupSize is the number of instances that agree through the same keepers: those of the zone, or of the whole of a small fleet.
+// GroupSize returns the number of instances that share the same coordinators: those of the zone in a large fleet, else
+// the whole fleet.
 func (d *Directory) GroupSize() int {
 	if d.Large() {
 		return d.ZoneSize()
@@ -387,7 +391,8 @@
 	return d.Size()
 }
 
-// Call asks an instance. One that cannot be reached, or does not answer in time, is left alone for a while.
+// Call makes a call to an instance. If it cannot be reached, or does not answer in time, the directory avoids it for a
+// while.
 func Call[Req, Resp any](ctx context.Context, d *Directory, to mesh.Peer, kind mesh.Kind, req Req) (Resp, error) {
 	var none Resp
 	c := d.caller.Load()
@@ -395,11 +400,11 @@
 		return none, eris.Wrap(mesh.ErrUnreachable, "no links are open")
 	}
 	resp, err := mesh.Call[Req, Resp](ctx, *c, to.Addr, kind, req)
-	d.learn(to, *c, err)
+	d.recordCall(to, *c, err)
 	return resp, err
 }
 
-func (d *Directory) learn(to mesh.Peer, c mesh.Caller, err error) {
+func (d *Directory) recordCall(to mesh.Peer, c mesh.Caller, err error) {
 	failed := errors.Is(err, mesh.ErrUnreachable) || errors.Is(err, mesh.ErrNoReply)
 	d.mu.Lock()
 	if failed {
--- a/internal/peers/keys.go
+++ b/internal/peers/keys.go
@@ -12,19 +12,21 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// authority is the fleet's authority as it lies in the store, the one place that only the fleet and the platform reach.
+// authority is the fleet's certificate authority as it is stored. The store is the one place that only the fleet and
+// the platform can read.
 type authority struct {
 	Cert []byte `cbor:"1,keyasint"` // PEM
 	Key  []byte `cbor:"2,keyasint"` // PEM
 }
 
-// identity makes this instance's certificate with the fleet's authority, which the first instance that needs it makes.
+// identity issues this instance's certificate from the fleet's authority. The first instance that needs the authority
+// creates it.
 func (d *Directory) identity(ctx context.Context) (*tls.Config, error) {
 	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyMembers), 2*d.times.Call)
 	defer cancel()
 	read := ctx
-	if d.restored.Load() == nil {
-		read = external.WithStale(ctx) // it changes with a restoration only, so a copy is good enough where the store has one
+	if d.restoredAt.Load() == nil {
+		read = external.WithStale(ctx) // only a restoration changes it, so a read from a copy is good enough
 	}
 	e, _, err := d.store.Read(read, d.prefix+authorityKey)
 	if err != nil {
@@ -32,7 +34,7 @@
 	}
 	raw := e.Data
 	if e.Revision == 0 {
-		if raw, err = d.found(ctx); err != nil {
+		if raw, err = d.createAuthority(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -40,11 +42,11 @@
 		d.linkedAt = d.now()
 	}
 	d.authority = raw
-	return d.issue(raw)
+	return d.tlsConfig(raw)
 }
 
-// found makes the fleet's authority, unless another instance has.
-func (d *Directory) found(ctx context.Context) ([]byte, error) {
+// createAuthority creates the fleet's authority, unless another instance has done so.
+func (d *Directory) createAuthority(ctx context.Context) ([]byte, error) {
 	a, err := mesh.NewAuthority()
 	if err != nil {
 		return nil, err
@@ -60,7 +62,7 @@
 	return d.putAuthority(ctx, raw)
 }
 
-// putAuthority writes an authority, unless the store has one; it returns the one that the store has then.
+// putAuthority writes an authority unless the store holds one. It returns the one that the store holds afterwards.
 func (d *Directory) putAuthority(ctx context.Context, raw []byte) ([]byte, error) {
 	name := d.prefix + authorityKey
 	_, err := d.store.Commit(ctx, external.Commit{
@@ -73,7 +75,7 @@
 	return raw, eris.Wrap(err, "writing the fleet's authority")
 }
 
-func (d *Directory) issue(raw []byte) (*tls.Config, error) {
+func (d *Directory) tlsConfig(raw []byte) (*tls.Config, error) {
 	var stored authority
 	if err := cbor.Unmarshal(raw, &stored); err != nil {
 		return nil, eris.Wrap(err, "decoding the fleet's authority")
--- a/internal/peers/leaders.go
+++ b/internal/peers/leaders.go
@@ -7,31 +7,32 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// Leads reports whether this instance leads its zone, as far as it knows.
+// Leads reports whether this instance leads its zone, as far as it can tell.
 func (d *Directory) Leads() bool { return len(d.Leaders()) == 0 }
 
-// LeadersUnreachable reports whether this instance does the work itself only because those that lead cannot be reached.
+// LeadersUnreachable reports whether this instance does the work itself only because it cannot reach the leaders that
+// rank before it.
 func (d *Directory) LeadersUnreachable() bool {
 	d.mu.Lock()
-	ahead := len(d.ahead)
+	ahead := len(d.zoneAhead)
 	d.mu.Unlock()
 	return ahead > 0 && d.Large() && d.Leads()
 }
 
-// Leaders are the instances to ask, best first; none means that this instance does the work itself.
+// Leaders returns the instances to ask, best first. If there are none, this instance does the work itself.
 func (d *Directory) Leaders() []mesh.Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.linked() || !d.isLarge() {
 		return nil
 	}
-	out := d.reachable(d.ahead)
-	d.note(out)
+	out := d.reachable(d.zoneAhead)
+	d.logLeader(out)
 	return out
 }
 
-// FleetLeaders are the instances that a zone's leader asks to do what one instance of a large fleet does for all, best first: those
-// that lead the zones before its own, in the order of their names. None means that this instance does it.
+// FleetLeaders returns the instances that a zone's leader asks for work that one instance of a large fleet does for
+// all, best first. They lead the zones whose names sort before its own. If there are none, this instance does the work.
 func (d *Directory) FleetLeaders() []mesh.Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -40,21 +41,21 @@
 	}
 	var out []mesh.Peer
 	for _, zone := range slices.Sorted(maps.Keys(d.zones)) {
-		if zone == d.self.Peer.Zone || len(out) == mostFleetLeaders {
+		if zone == d.self.Peer.Zone || len(out) == maxFleetLeaders {
 			break
 		}
-		if heads := d.reachable(d.zones[zone]); len(heads) > 0 {
-			out = append(out, heads[0])
+		if leaders := d.reachable(d.zones[zone]); len(leaders) > 0 {
+			out = append(out, leaders[0])
 		}
 	}
 	return out
 }
 
-// mostFleetLeaders is the number of instances that a zone's leader tries before it does the work itself.
-const mostFleetLeaders = 2
+// maxFleetLeaders is the number of instances that a zone's leader tries before it does the work itself.
+const maxFleetLeaders = 2
 
-// Coordinators are the instances that keep what all agree on, best first; none means that this instance does. In a large fleet these are
-// the zone's leaders.
+// Coordinators returns the instances that hold the state on which all agree, best first. If there are none, this
+// instance holds it. In a large fleet they are the zone's leaders.
 func (d *Directory) Coordinators() []mesh.Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -62,37 +63,38 @@
 	case !d.linked():
 		return nil
 	case d.isLarge():
-		return d.reachable(d.ahead)
+		return d.reachable(d.zoneAhead)
 	}
-	return d.reachable(d.all)
+	return d.reachable(d.fleetAhead)
 }
 
-// OtherZoneLeaders are the instances that lead the other zones, as far as they can be reached.
+// OtherZoneLeaders returns the leaders of the other zones, as far as they can be reached.
 func (d *Directory) OtherZoneLeaders() []mesh.Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.linked() {
 		return nil
 	}
-	return d.heads()
+	return d.otherZoneLeaders()
 }
 
-// heads is Heads. The caller holds mu.
-func (d *Directory) heads() []mesh.Peer {
+// otherZoneLeaders implements OtherZoneLeaders. The caller holds mu.
+func (d *Directory) otherZoneLeaders() []mesh.Peer {
 	var out []mesh.Peer
 	for zone, list := range d.zones {
 		if zone == d.self.Peer.Zone {
 			continue
 		}
-		if heads := d.reachable(list); len(heads) > 0 {
-			out = append(out, heads[0])
+		if leaders := d.reachable(list); len(leaders) > 0 {
+			out = append(out, leaders[0])
 		}
 	}
 	return out
 }
 
-// NotifyTargets are the instances to tell at once what all are to know: all others of a small fleet; in a large one the first leader of the zone that
-// can be reached, and for a leader those of the other zones.
+// NotifyTargets returns the instances to notify of a change that concerns the whole fleet. In a small fleet these are
+// all others. In a large one it is the first leader of the zone that can be reached; a leader notifies the leaders of
+// the other zones.
 func (d *Directory) NotifyTargets() []mesh.Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,14 +110,14 @@
 		}
 		return out
 	}
-	if ahead := d.reachable(d.ahead); len(ahead) > 0 {
+	if ahead := d.reachable(d.zoneAhead); len(ahead) > 0 {
 		return ahead[:1]
 	}
-	return d.heads()
+	return d.otherZoneLeaders()
 }
 
-// NotifyTargetUnreachable reports whether the last call to an instance that this one tells has failed: in a large fleet one that leads another zone, in a small one
-// any other.
+// NotifyTargetUnreachable reports whether the last call to an instance that this one may notify has failed. In a large
+// fleet these are the leaders of other zones, in a small one all others.
 func (d *Directory) NotifyTargetUnreachable() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -126,7 +128,7 @@
 		if zone == d.self.Peer.Zone {
 			continue
 		}
-		for _, r := range list[:min(len(list), mostLeaders)] {
+		for _, r := range list[:min(len(list), maxLeaders)] {
 			if d.suspects[r.Peer.ID] != nil {
 				return true
 			}
@@ -141,13 +143,13 @@
 // linked reports whether links to other instances are open.
 func (d *Directory) linked() bool { return d.caller.Load() != nil }
 
-// isLarge reports whether the fleet is so large that its zones are led. The caller holds mu.
-func (d *Directory) isLarge() bool { return len(d.records) >= d.large }
+// isLarge reports whether the fleet is so large that its zones have leaders. The caller holds mu.
+func (d *Directory) isLarge() bool { return len(d.records) >= d.largeFleet }
 
-// reachable are the first of a list that are not left alone. The caller holds mu.
+// reachable returns those of the first maxLeaders of a list that are not suspected. The caller holds mu.
 func (d *Directory) reachable(list []Record) []mesh.Peer {
-	out := make([]mesh.Peer, 0, mostLeaders)
-	for _, r := range list[:min(len(list), mostLeaders)] {
+	out := make([]mesh.Peer, 0, maxLeaders)
+	for _, r := range list[:min(len(list), maxLeaders)] {
 		if !d.suspected(r.Peer.ID) {
 			out = append(out, r.Peer)
 		}
@@ -155,8 +157,8 @@
 	return out
 }
 
-// note logs who leads when that has changed. The caller holds mu.
-func (d *Directory) note(leaders []mesh.Peer) {
+// logLeader logs the zone's leader if it has changed. The caller holds mu.
+func (d *Directory) logLeader(leaders []mesh.Peer) {
 	leader := d.self.Peer.ID
 	if len(leaders) > 0 {
 		leader = leaders[0].ID
@@ -164,6 +166,6 @@
 	if leader == d.leader {
 		return
 	}
-	d.log.Info().Str("event", "leader_changed").Str("leader", leader).Str("before", d.leader).Msg("another instance leads the zone")
+	d.log.Info().Str("event", "leader_changed").Str("leader", leader).Str("before", d.leader).Msg("zone's leader changed")
 	d.leader = leader
 }
--- a/internal/peers/lenders.go
+++ b/internal/peers/lenders.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	poolZone    = 4 // from this size on a zone's tokens are pooled at a few of its instances
-	poolHolders = 2 // these many, over which customers are spread
-	mostLenders = 4 // instances of a large fleet that are asked for one loan
+	minPoolZoneSize = 4 // from this size on, a zone's tokens are pooled at a few of its instances
+	poolHolders     = 2 // number of instances that hold a zone's pools; customers are spread over them
+	maxLenders      = 4 // number of instances of a large fleet that one loan is requested from
 )
 
-// Pool reports whether the own zone pools a customer's tokens, and whether it does so here.
+// Pool reports whether the own zone pools a customer's tokens, and whether this instance holds that pool.
 func (d *Directory) Pool(customer string) (pooled, here bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	zone := d.zones[d.self.Peer.Zone]
-	if !d.pools || len(zone) < poolZone || !d.isLarge() {
+	if !d.pooling || len(zone) < minPoolZoneSize || !d.isLarge() {
 		return false, false
 	}
-	return true, d.keepers(customer, zone)[0].ID == d.self.Peer.ID
+	return true, d.tokenHolders(customer, zone)[0].ID == d.self.Peer.ID
 }
 
-// keepers are the instances of a zone that keep a customer's tokens, the first one first: all of them in a small fleet. The caller holds mu.
-func (d *Directory) keepers(customer string, zone []Record) []mesh.Peer {
+// tokenHolders returns the instances of a zone that hold a customer's tokens, best first. In a small fleet these are
+// all of the zone. The caller holds mu.
+func (d *Directory) tokenHolders(customer string, zone []Record) []mesh.Peer {
 	n := len(zone)
-	if n >= poolZone && d.isLarge() {
+	if n >= minPoolZoneSize && d.isLarge() {
 		n = poolHolders
 	}
 	list := make([]mesh.Peer, 0, n)
@@ -35,39 +36,41 @@
 	return member.Rank(customer, list)
 }
 
-// Lenders are the instances to borrow a customer's tokens from, best first: those of the own zone, then one of each other zone, or in a
-// small fleet all others: each holds a part of what all hold of the customer. With one of each other zone two of five others were never
-// asked, and of the refusals in a cut one in nine to one in three found enough at another instance (lines of requests, two calm days).
+// Lenders returns the instances from which to borrow a customer's tokens, best first: those of the own zone, then one
+// of each other zone. In a small fleet it returns all other instances, because each holds a part of the customer's
+// tokens. If it returned one of each other zone there, two of five other instances would never be asked. In the request
+// logs of two stable days, between one in nine and one in three of the requests that were rejected during a network
+// partition would have found enough tokens at another instance.
 func (d *Directory) Lenders(customer string) []mesh.Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.linked() {
 		return nil
 	}
-	most, nearMost, farEach := mostLenders, poolHolders, 1
+	limit, nearLimit, perFarZone := maxLenders, poolHolders, 1
 	if !d.isLarge() {
-		most, nearMost, farEach = len(d.records), len(d.records), len(d.records)
+		limit, nearLimit, perFarZone = len(d.records), len(d.records), len(d.records)
 	}
-	near := d.lenders(d.keepers(customer, d.zones[d.self.Peer.Zone]), nearMost)
+	near := d.lenders(d.tokenHolders(customer, d.zones[d.self.Peer.Zone]), nearLimit)
 	var far []mesh.Peer
 	for zone, list := range d.zones {
 		if zone != d.self.Peer.Zone {
-			far = append(far, d.lenders(d.keepers(customer, list), farEach)...)
+			far = append(far, d.lenders(d.tokenHolders(customer, list), perFarZone)...)
 		}
 	}
-	return append(near, d.lenders(member.Rank(customer+d.self.Peer.ID, far), most-len(near))...)
+	return append(near, d.lenders(member.Rank(customer+d.self.Peer.ID, far), limit-len(near))...)
 }
 
-// lenders are up to most of a list that are not left alone. The caller holds mu.
-func (d *Directory) lenders(list []mesh.Peer, most int) []mesh.Peer {
+// lenders returns up to limit instances of a list that are not suspected. The caller holds mu.
+func (d *Directory) lenders(list []mesh.Peer, limit int) []mesh.Peer {
 	out := make([]mesh.Peer, 0, len(list))
 	for _, p := range list {
-		if len(out) < most && p.ID != d.self.Peer.ID && !d.suspected(p.ID) {
+		if len(out) < limit && p.ID != d.self.Peer.ID && !d.suspected(p.ID) {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// SameZone reports whether an instance is of the own zone.
+// SameZone reports whether an instance is in the own zone.
 func (d *Directory) SameZone(p mesh.Peer) bool { return p.Zone == d.self.Peer.Zone }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -17,7 +17,7 @@
 
 const kindEcho mesh.Kind = "test.echo"
 
-// fleet is some directories over one store and one net, the first with the largest machine.
+// fleet is some directories over one store and one network. The first has the largest machine.
 type fleet struct {
 	store *memkv.Store
 	net   *meshtest.Net
@@ -25,7 +25,7 @@
 	dirs  []*Directory
 }
 
-// newFleet makes n instances, in turn of the zones; without any they are all of one.
+// newFleet makes n instances, assigned to the zones in turn. Without zones, all are in the same one.
 func newFleet(n, large int, zones ...string) *fleet {
 	if len(zones) == 0 {
 		zones = []string{"a"}
@@ -42,13 +42,13 @@
 	return f
 }
 
-// meet lets all tell of themselves and read of the others.
-func (f *fleet) meet(ctx context.Context) {
+// exchangeRecords makes each instance write its record and read those of the others.
+func (f *fleet) exchangeRecords(ctx context.Context) {
 	for _, d := range f.dirs {
-		So(d.tell(ctx), ShouldBeNil)
+		So(d.writeRecord(ctx), ShouldBeNil)
 	}
 	for _, d := range f.dirs {
-		So(d.read(ctx), ShouldBeNil)
+		So(d.readRecords(ctx), ShouldBeNil)
 		d.connect(ctx)
 	}
 }
@@ -66,7 +66,7 @@
 
 	Convey("In a small fleet each instance does its own work", t, func() {
 		f := newFleet(3, 4)
-		f.meet(ctx)
+		f.exchangeRecords(ctx)
 		for _, d := range f.dirs {
 			So(d.Large(), ShouldBeFalse)
 			So(d.Leads(), ShouldBeTrue)
@@ -77,7 +77,7 @@
 
 	Convey("In a large fleet", t, func() {
 		f := newFleet(6, 4)
-		f.meet(ctx)
+		f.exchangeRecords(ctx)
 		last := f.dirs[5]
 
 		Convey("the largest machines lead, and at most three are asked", func() {
@@ -88,7 +88,7 @@
 			So(last.ZoneSize(), ShouldEqual, 6)
 		})
 
-		Convey("one that cannot be reached is left alone, longer each time, and asked again once it answers", func() {
+		Convey("an unreachable instance is avoided, longer each time, and used again once it answers", func() {
 			f.net.SetDown("10.0.0.0:1", true)
 			first := last.Leaders()[0]
 			_, err := Call[string, string](ctx, last, first, kindEcho, "")
@@ -107,7 +107,7 @@
 			So(last.suspects, ShouldBeEmpty)
 		})
 
-		Convey("an instance that can reach none does the work itself, and knows why", func() {
+		Convey("an instance that can reach no leader does the work itself, and reports why", func() {
 			f.net.SetCut(func(_, _ mesh.Peer) bool { return true })
 			for _, p := range last.Leaders() {
 				_, _ = Call[string, string](ctx, last, p, kindEcho, "")
@@ -116,18 +116,18 @@
 			So(last.LeadersUnreachable(), ShouldBeTrue)
 		})
 
-		Convey("one that has left is asked no more", func() {
+		Convey("an instance that has left is not asked any more", func() {
 			So(f.dirs[0].Leave(ctx), ShouldBeNil)
-			So(last.read(ctx), ShouldBeNil)
+			So(last.readRecords(ctx), ShouldBeNil)
 			So(ids(last.Leaders())[0], ShouldEqual, "i-1")
 			So(last.Size(), ShouldEqual, 5)
 		})
 
-		Convey("instances of other zones and records that cannot be read are passed over", func() {
+		Convey("instances of other zones and records that cannot be decoded are skipped", func() {
 			raw, _ := cbor.Marshal(Record{Peer: mesh.Peer{ID: "far", Zone: "b", Addr: "10.1.0.1:1"}, Capacity: 99})
 			f.store.Put("p/peers/far", raw)
 			f.store.Put("p/peers/torn", []byte("?"))
-			So(last.read(ctx), ShouldBeNil)
+			So(last.readRecords(ctx), ShouldBeNil)
 			So(last.Size(), ShouldEqual, 7)
 			So(ids(last.Leaders())[0], ShouldEqual, "i-0")
 		})
@@ -140,17 +140,17 @@
 		Convey("not before it has read the records", func() {
 			f := newFleet(3, 9)
 			d := f.dirs[0]
-			d.begun = f.at
+			d.startedAt = f.at
 			So(d.Settled(), ShouldBeFalse)
-			f.meet(ctx)
+			f.exchangeRecords(ctx)
 			So(d.Settled(), ShouldBeTrue)
 		})
 
-		Convey("a moment later where it finds itself alone, as others may be starting too", func() {
+		Convey("a little later if it finds no other instance, as others may be starting too", func() {
 			f := newFleet(1, 9)
 			d := f.dirs[0]
-			d.begun = f.at
-			f.meet(ctx)
+			d.startedAt = f.at
+			f.exchangeRecords(ctx)
 			So(d.Settled(), ShouldBeFalse)
 			f.at = f.at.Add(d.times.Settle + 1)
 			So(d.Settled(), ShouldBeTrue)
@@ -160,28 +160,28 @@
 			f := newFleet(6, 4)
 			last := f.dirs[5]
 			for _, d := range f.dirs {
-				d.begun = f.at
+				d.startedAt = f.at
 			}
-			f.meet(ctx)
+			f.exchangeRecords(ctx)
 			So(last.Settled(), ShouldBeTrue)
 			f.net.SetCut(func(_, _ mesh.Peer) bool { return true })
 			for _, p := range last.Leaders() {
 				_, _ = Call[string, string](ctx, last, p, kindEcho, "")
 			}
 			So(last.Settled(), ShouldBeFalse)
-			f.at = f.at.Add(settleMost*last.times.Settle + 1)
+			f.at = f.at.Add(maxSettleFactor*last.times.Settle + 1)
 			So(last.Settled(), ShouldBeTrue)
 		})
 	})
 }
 
-// zonedFleet is two instances in each of some zones over one store, the first of each zone with the larger machine.
+// zonedFleet is two instances in each of some zones over one store. The first of each zone has the larger machine.
 func zonedFleet(ctx context.Context, zones ...string) *fleet {
 	f := newFleet(2*len(zones), len(zones))
 	for i, d := range f.dirs {
 		d.self.Peer.Zone = zones[i/2]
 	}
-	f.meet(ctx)
+	f.exchangeRecords(ctx)
 	return f
 }
 
@@ -189,37 +189,37 @@
 	ctx := context.Background()
 	Convey("In a large fleet of several zones", t, func() {
 		f := zonedFleet(ctx, "a", "b", "c", "d")
-		heads := func(i int) []string { return ids(f.dirs[2*i].FleetLeaders()) }
+		fleetLeaders := func(i int) []string { return ids(f.dirs[2*i].FleetLeaders()) }
 
-		Convey("the leader of the first zone asks nobody, and the others ask those of zones before theirs, two at most", func() {
-			So(heads(0), ShouldBeEmpty)
-			So(heads(1), ShouldResemble, []string{"i-0"})
-			So(heads(3), ShouldResemble, []string{"i-0", "i-2"})
+		Convey("the leader of the first zone asks no one, and the others ask the leaders of zones before theirs, two at most", func() {
+			So(fleetLeaders(0), ShouldBeEmpty)
+			So(fleetLeaders(1), ShouldResemble, []string{"i-0"})
+			So(fleetLeaders(3), ShouldResemble, []string{"i-0", "i-2"})
 		})
 
-		Convey("the next instance of a zone stands in for one that cannot be reached, and the next zone for one that cannot", func() {
+		Convey("the next instance of a zone replaces an unreachable one, and the next zone replaces an unreachable zone", func() {
 			last := f.dirs[6]
 			reach := func() { _, _ = Call[string, string](ctx, last, last.FleetLeaders()[0], kindEcho, "") }
 			f.net.SetDown("10.0.0.0:1", true)
 			reach()
-			So(heads(3), ShouldResemble, []string{"i-1", "i-2"})
+			So(fleetLeaders(3), ShouldResemble, []string{"i-1", "i-2"})
 			f.net.SetDown("10.0.0.1:1", true)
 			reach()
-			So(heads(3), ShouldResemble, []string{"i-2", "i-4"})
+			So(fleetLeaders(3), ShouldResemble, []string{"i-2", "i-4"})
 		})
 	})
 
 	Convey("In a small fleet there are none", t, func() {
 		f := newFleet(3, 9)
-		f.meet(ctx)
+		f.exchangeRecords(ctx)
 		So(f.dirs[2].FleetLeaders(), ShouldBeEmpty)
 	})
 }
 
 func TestMet(t *testing.T) {
 	ctx := context.Background()
-	met := func(d *Directory) bool {
-		d.meet()
+	isDiscovered := func(d *Directory) bool {
+		d.checkDiscovered()
 		select {
 		case <-d.Discovered():
 			return true
@@ -227,37 +227,37 @@
 			return false
 		}
 	}
-	Convey("A fleet is known", t, func() {
+	Convey("A fleet is discovered", t, func() {
 		f := newFleet(6, 4)
 		last := f.dirs[5]
 		for _, d := range f.dirs {
-			d.begun = f.at
+			d.startedAt = f.at
 		}
-		So(met(last), ShouldBeFalse)
+		So(isDiscovered(last), ShouldBeFalse)
 
 		Convey("that is large, once the instance is linked to it", func() {
-			So(last.tell(ctx), ShouldBeNil)
+			So(last.writeRecord(ctx), ShouldBeNil)
 			for _, d := range f.dirs {
-				So(d.tell(ctx), ShouldBeNil)
+				So(d.writeRecord(ctx), ShouldBeNil)
 			}
-			So(last.read(ctx), ShouldBeNil)
-			So(met(last), ShouldBeFalse)
+			So(last.readRecords(ctx), ShouldBeNil)
+			So(isDiscovered(last), ShouldBeFalse)
 			last.connect(ctx)
-			So(met(last), ShouldBeTrue)
+			So(isDiscovered(last), ShouldBeTrue)
 		})
 
 		Convey("that is small and new, once others had time to start", func() {
-			So(last.read(ctx), ShouldBeNil)
-			So(met(last), ShouldBeFalse)
+			So(last.readRecords(ctx), ShouldBeNil)
+			So(isDiscovered(last), ShouldBeFalse)
 			f.at = f.at.Add(last.times.Settle)
-			So(met(last), ShouldBeTrue)
+			So(isDiscovered(last), ShouldBeTrue)
 		})
 
-		Convey("that is small and was there before, at once", func() {
-			So(last.tell(ctx), ShouldBeNil)
+		Convey("that is small and existed before, at once", func() {
+			So(last.writeRecord(ctx), ShouldBeNil)
 			last.self.Peer.Inc = "next"
-			So(last.read(ctx), ShouldBeNil)
-			So(met(last), ShouldBeTrue)
+			So(last.readRecords(ctx), ShouldBeNil)
+			So(isDiscovered(last), ShouldBeTrue)
 		})
 	})
 }
@@ -266,9 +266,9 @@
 	ctx := context.Background()
 	Convey("In a small fleet", t, func() {
 		f := newFleet(3, 9)
-		f.meet(ctx)
+		f.exchangeRecords(ctx)
 
-		Convey("every instance keeps its own, and borrows from all others", func() {
+		Convey("every instance holds its own tokens, and borrows from all others", func() {
 			pooled, _ := f.dirs[0].Pool("north")
 			So(pooled, ShouldBeFalse)
 			So(f.dirs[0].Leads(), ShouldBeTrue)
@@ -276,16 +276,16 @@
 			So(ids(f.dirs[0].Lenders("north")), ShouldNotContain, "i-0")
 		})
 
-		Convey("also those of other zones that have several", func() {
+		Convey("including those of other zones with several instances", func() {
 			f := newFleet(8, 9, "a", "b")
-			f.meet(ctx)
+			f.exchangeRecords(ctx)
 			for _, d := range f.dirs {
 				So(d.Lenders("north"), ShouldHaveLength, 7)
 				So(d.Lenders("north")[0].Zone, ShouldEqual, d.self.Peer.Zone)
 			}
 		})
 
-		Convey("one that could not be reached is not asked for a while", func() {
+		Convey("an instance that could not be reached is not asked for a while", func() {
 			f.net.SetDown("10.0.0.1:1", true)
 			for _, p := range f.dirs[0].Lenders("north") {
 				_, _ = Call[string, string](ctx, f.dirs[0], p, kindEcho, "")
@@ -296,9 +296,9 @@
 
 	Convey("In a large fleet", t, func() {
 		f := newFleet(6, 4)
-		f.meet(ctx)
+		f.exchangeRecords(ctx)
 
-		Convey("two instances of a zone keep its pools, each for a part of the customers", func() {
+		Convey("two instances of a zone hold its pools, each for a part of the customers", func() {
 			keepers := make(map[string]int)
 			for i := range 40 {
 				customer := fmt.Sprintf("customer-%d", i)
@@ -315,7 +315,7 @@
 			So(keepers["i-0"]+keepers["i-1"], ShouldEqual, 40)
 		})
 
-		Convey("the pool is asked first, then the other one, then one of each other zone", func() {
+		Convey("the pool is asked first, then the zone's other pool, then one instance of each other zone", func() {
 			for _, zone := range []string{"b", "c"} {
 				for i := range 2 {
 					id := fmt.Sprintf("%s-%d", zone, i)
@@ -324,7 +324,7 @@
 				}
 			}
 			last := f.dirs[5]
-			So(last.read(ctx), ShouldBeNil)
+			So(last.readRecords(ctx), ShouldBeNil)
 			got := last.Lenders("north")
 			So(got, ShouldHaveLength, 4)
 			So(last.SameZone(got[0]) && last.SameZone(got[1]), ShouldBeTrue)
@@ -334,7 +334,7 @@
 }
 
 func TestIdentity(t *testing.T) {
-	Convey("Instances that need the fleet's authority at once make one, and trust each other", t, func() {
+	Convey("Instances that need the fleet's authority at the same time create one, and trust each other", t, func() {
 		ctx := context.Background()
 		store := memkv.New()
 		router := mesh.NewRouter()
@@ -354,7 +354,7 @@
 		So(err, ShouldBeNil)
 		So(got, ShouldEqual, "i-1")
 
-		Convey("and one that cannot be read is an error", func() {
+		Convey("and an authority that cannot be decoded is an error", func() {
 			store.Put("p/"+authorityKey, []byte("?"))
 			_, err := New(store, "p/", Record{}, router).identity(ctx)
 			So(err, ShouldNotBeNil)
@@ -363,10 +363,10 @@
 }
 
 func TestOwns(t *testing.T) {
-	Convey("All instances that know each other agree on who owns something", t, func() {
+	Convey("All instances with the same records agree on the owners of a key", t, func() {
 		ctx := context.Background()
 		f := newFleet(6, 100)
-		f.meet(ctx)
+		f.exchangeRecords(ctx)
 		for i := range 20 {
 			owners := 0
 			for _, d := range f.dirs {
@@ -379,7 +379,7 @@
 		So(f.dirs[0].Size(), ShouldEqual, 6)
 	})
 
-	Convey("One that stays by itself owns all, and knows so at once", t, func() {
+	Convey("A standalone instance owns all keys, and is discovered at once", t, func() {
 		d := New(memkv.New(), "p/", Record{Peer: mesh.Peer{ID: "only"}}, mesh.NewRouter())
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
--- a/internal/peers/peerstest/peerstest.go
+++ b/internal/peers/peerstest/peerstest.go
@@ -1,4 +1,5 @@
-// Package peerstest makes directories of instances that know each other, for tests of what goes between instances.
+// Package peerstest makes directories of instances that have discovered each other, for tests of the communication
+// between instances.
 package peerstest
 
 import (
@@ -21,12 +22,12 @@
 }
 
 const (
-	runFor     = 10 * time.Millisecond // of one instance at a time
-	mostRounds = 200                   // until all know all; on a busy machine a round may come too late to do anything
+	runTime   = 10 * time.Millisecond // of one instance at a time
+	maxRounds = 200                   // rounds until all are discovered; on a busy machine a round may do nothing
 )
 
-// Fleet makes the instances of a fleet whose links are a net's, ranked in the order of the list, and lets them find each other. now is
-// the clock of all; large is the number of instances from which the fleet is large.
+// Fleet makes the instances of a fleet, ranked in the order of the list, and lets them discover each other. Their links
+// are those of net. They share the clock now. The fleet counts as large from large instances on.
 func Fleet(ctx context.Context, net *meshtest.Net, now func() time.Time, large int, list []mesh.Peer) ([]Instance, error) {
 	store := memkv.New()
 	out := make([]Instance, 0, len(list))
@@ -36,7 +37,7 @@
 			peers.WithLargeFleet(large), peers.WithNow(now), peers.WithCaller(net.Join(self, r)))
 		out = append(out, Instance{Self: self, Router: r, Dir: d})
 	}
-	for range mostRounds {
+	for range maxRounds {
 		known := true
 		for _, x := range out {
 			if err := run(ctx, x.Dir); err != nil {
@@ -51,9 +52,9 @@
 	return nil, eris.New("the instances did not find each other")
 }
 
-// run lets a directory write its record, read those that are there, and open its links.
+// run lets a directory write its record, read the existing ones, and open its links.
 func run(ctx context.Context, d *peers.Directory) error {
-	ctx, cancel := context.WithTimeout(ctx, runFor)
+	ctx, cancel := context.WithTimeout(ctx, runTime)
 	defer cancel()
 	return d.Run(ctx)
 }
--- a/internal/peers/rank.go
+++ b/internal/peers/rank.go
@@ -10,13 +10,13 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// suspicion keeps calls from an instance that could not be reached.
+// suspicion suspends calls to an instance that could not be reached.
 type suspicion struct {
 	until time.Time
 	pause time.Duration
 }
 
-// suspect leaves an instance alone for a while, longer each time in a row. The caller holds mu.
+// suspect suspends calls to an instance for a while, longer after each consecutive failure. The caller holds mu.
 func (d *Directory) suspect(id string) {
 	s := d.suspects[id]
 	if s == nil {
@@ -31,14 +31,14 @@
 	s.until = d.now().Add(s.pause)
 }
 
-// suspected reports whether an instance is left alone now. The caller holds mu.
+// suspected reports whether calls to an instance are suspended now. The caller holds mu.
 func (d *Directory) suspected(id string) bool {
 	s := d.suspects[id]
 	return s != nil && d.now().Before(s.until)
 }
 
-// take puts new records in the place of the old.
-func (d *Directory) take(records map[string]Record) {
+// setRecords replaces the known records.
+func (d *Directory) setRecords(records map[string]Record) {
 	zones := make(map[string][]Record)
 	for _, r := range records {
 		zones[r.Peer.Zone] = append(zones[r.Peer.Zone], r)
@@ -49,9 +49,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.records, d.zones = records, zones
-	d.place, _ = slices.BinarySearch(slices.Sorted(maps.Keys(records)), d.self.Peer.ID)
-	d.ahead = d.before(zones[d.self.Peer.Zone])
-	d.all = d.before(rank(wholeFleet, slices.Collect(maps.Values(records))))
+	d.position, _ = slices.BinarySearch(slices.Sorted(maps.Keys(records)), d.self.Peer.ID)
+	d.zoneAhead = d.aheadOfSelf(zones[d.self.Peer.Zone])
+	d.fleetAhead = d.aheadOfSelf(rank(fleetRankKey, slices.Collect(maps.Values(records))))
 	for id := range d.suspects {
 		if _, known := records[id]; !known {
 			delete(d.suspects, id)
@@ -59,25 +59,26 @@
 	}
 }
 
-// Known reports whether the other instances are known as well as they soon will be.
+// IsDiscovered reports whether the channel of Discovered is closed.
 func (d *Directory) IsDiscovered() bool {
 	select {
-	case <-d.met:
+	case <-d.discovered:
 		return true
 	default:
 		return false
 	}
 }
 
-// Place is this instance's place among all, by their IDs, and their number.
+// Position returns this instance's position among all instances, ordered by ID, and their number.
 func (d *Directory) Position() (place, size int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.place, max(1, len(d.records))
+	return d.position, max(1, len(d.records))
 }
 
-// Owns reports whether this instance is one of the first in the order of all instances for a key, by rendezvous hashing. Instances with
-// other records may come to another order: callers must leave room for that. An instance that stays by itself owns all.
+// Owns reports whether this instance is one of the first in the order of all instances for a key, by rendezvous
+// hashing. Instances with different records may compute a different order, so callers must tolerate that. A standalone
+// instance owns all keys.
 func (d *Directory) Owns(key string, first int) bool {
 	if d.self.Peer.Addr == "" {
 		return true
@@ -92,8 +93,9 @@
 	return slices.ContainsFunc(ranked[:min(first, len(ranked))], func(p mesh.Peer) bool { return p.ID == d.self.Peer.ID })
 }
 
-// EvenShare is this instance's even part of what all instances share, from 0 to 1. It is 0 while the others are not known, and for a time settle after the
-// start of an instance that has started again: what the process before it had may still be in use.
+// EvenShare returns this instance's share of a resource that is divided evenly among all instances, from 0 to 1. It is
+// 0 before the other instances are discovered. It is also 0 during the time settle after a restart, because the
+// previous process's share may still be in use.
 func (d *Directory) EvenShare(settle time.Duration) float64 {
 	if d.self.Peer.Addr == "" {
 		return 1
@@ -103,23 +105,23 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.restarted && d.now().Sub(d.begun) < settle {
+	if d.restarted && d.now().Sub(d.startedAt) < settle {
 		return 0
 	}
 	return 1 / float64(max(1, len(d.records)))
 }
 
-// wholeFleet is the key by which the instances of all zones are ranked.
-const wholeFleet = "fleet"
+// fleetRankKey is the key by which the instances of all zones are ranked.
+const fleetRankKey = "fleet"
 
-// before is the part of a ranked list that stands before this instance.
-func (d *Directory) before(ranked []Record) []Record {
+// aheadOfSelf returns the part of a ranked list that precedes this instance.
+func (d *Directory) aheadOfSelf(ranked []Record) []Record {
 	at := slices.IndexFunc(ranked, func(r Record) bool { return r.Peer.ID == d.self.Peer.ID })
 	return ranked[:max(0, at)]
 }
 
-// rank orders a zone's instances: larger machines first, equal ones by rendezvous hashing. All instances with the same records
-// come to the same order.
+// rank orders a zone's instances: larger machines first, equal ones by rendezvous hashing. All instances with the same
+// records compute the same order.
 func rank(zone string, records []Record) []Record {
 	byID := make(map[string]Record, len(records))
 	list := make([]mesh.Peer, 0, len(records))
--- a/internal/peers/restore.go
+++ b/internal/peers/restore.go
@@ -11,62 +11,64 @@
 	"github.com/ledgemount/ledgemount/internal/external"
 )
 
-// A store that was restored from an older copy lacks the records of instances that have just started, and may lack the fleet's authority. Records are
-// written once, so each instance whose record may be lost writes it anew, and the others stay known meanwhile.
+// A store that was restored from an older copy lacks the records of instances that have just started, and may lack the
+// fleet's authority. Records are written once, so each instance whose record may be lost writes it again, and the others
+// stay known meanwhile.
 
 const (
-	// recordsWait is how long instances whose records are missing after a restoration stay known.
-	recordsWait = 6 * time.Second
-	// writeSpread is the time over which the instances of a large fleet write anew, and smallSpread those of a small one, so that they do not all call
-	// the store at once.
-	writeSpread = 2 * time.Second
-	smallSpread = time.Second
+	// missingGrace is how long after a restoration instances whose records are missing stay known.
+	missingGrace = 6 * time.Second
+	// The instances of a large fleet write their records again at random times within largeFleetJitter, and those of a
+	// small fleet within smallFleetJitter, so that they do not all call the store at once.
+	largeFleetJitter = 2 * time.Second
+	smallFleetJitter = time.Second
 )
 
-// WithEpochs sets what knows the store's epoch.
+// WithEpochs sets the tracker of the store's epoch.
 func WithEpochs(e *external.Epochs) Option { return func(d *Directory) { d.epochs = e } }
 
-// restoredStore notes that the store was restored. It is called while the Epochs is locked.
-func (d *Directory) restoredStore(external.Restoration) {
+// onRestored records that the store was restored. It is called while the Epochs is locked.
+func (d *Directory) onRestored(external.Restoration) {
 	now := d.now()
-	d.restored.Store(&now)
+	d.restoredAt.Store(&now)
 	select {
-	case d.wakes <- struct{}{}:
+	case d.restorations <- struct{}{}:
 	default:
 	}
 }
 
-// keepMissing reports whether instances whose records are missing stay known.
-func (d *Directory) keepMissing() bool {
-	at := d.restored.Load()
-	return at != nil && d.now().Sub(*at) < recordsWait
+// keepsMissing reports whether instances whose records are missing stay known.
+func (d *Directory) keepsMissing() bool {
+	at := d.restoredAt.Load()
+	return at != nil && d.now().Sub(*at) < missingGrace
 }
 
-// write brings this instance's record to the store: at the start, and when a restoration may have lost its last write.
-func (d *Directory) write(ctx context.Context) error {
+// syncRecord writes this instance's record, or removes it if the instance is leaving. It does so at the start, and
+// again if a restoration may have lost the last write.
+func (d *Directory) syncRecord(ctx context.Context) error {
 	epoch, now := d.epochs.Current(), d.now()
-	if !d.wrote.IsZero() && (epoch == d.wroteIn || now.Sub(d.wrote) > external.MaxCopyAge) {
+	if !d.writtenAt.IsZero() && (epoch == d.writtenEpoch || now.Sub(d.writtenAt) > external.MaxCopyAge) {
 		return nil
 	}
 	var err error
-	if d.leaves() {
+	if d.isLeaving() {
 		err = d.Leave(ctx)
 	} else {
-		err = d.tell(ctx)
+		err = d.writeRecord(ctx)
 	}
 	if err == nil {
-		d.wrote, d.wroteIn = now, epoch
+		d.writtenAt, d.writtenEpoch = now, epoch
 	}
 	return err
 }
 
-// spread waits for a part of the time over which the fleet writes anew.
-func (d *Directory) spread(ctx context.Context) {
-	most := smallSpread
+// waitJitter waits for a random part of the time over which the fleet writes its records again.
+func (d *Directory) waitJitter(ctx context.Context) {
+	jitter := smallFleetJitter
 	if d.Large() {
-		most = writeSpread
+		jitter = largeFleetJitter
 	}
-	t := time.NewTimer(rand.N(most))
+	t := time.NewTimer(rand.N(jitter))
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -74,11 +76,12 @@
 	}
 }
 
-// keepAuthority puts the fleet's authority back where a restoration has lost it. Where others have made another one meanwhile, that one holds, and the
-// links are opened anew. An authority that is older than any copy cannot be lost.
-func (d *Directory) keepAuthority(ctx context.Context) error {
-	at := d.restored.Load()
-	if d.authority == nil || at == nil || at.Sub(d.linkedAt) > external.MaxCopyAge || !at.After(d.checked) {
+// restoreAuthority writes the fleet's authority again if a restoration has lost it. If other instances have created
+// another one meanwhile, that one is valid and the links are reopened. An authority that is older than any copy cannot
+// be lost.
+func (d *Directory) restoreAuthority(ctx context.Context) error {
+	at := d.restoredAt.Load()
+	if d.authority == nil || at == nil || at.Sub(d.linkedAt) > external.MaxCopyAge || !at.After(d.authorityCheckedAt) {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyMembers), 2*d.times.Call)
@@ -93,16 +96,16 @@
 			return err
 		}
 	}
-	d.checked = d.now()
+	d.authorityCheckedAt = d.now()
 	if !bytes.Equal(raw, d.authority) {
-		d.log.Warn().Str("event", "authority_changed").Msg("the fleet's authority was made anew after the store was restored: links are opened again")
-		return d.relink()
+		d.log.Warn().Str("event", "authority_changed").Msg("fleet's authority was created again after the store was restored; links are reopened")
+		return d.resetLinks()
 	}
 	return nil
 }
 
-// relink closes the links, so that they are opened with the authority that the store has.
-func (d *Directory) relink() error {
+// resetLinks closes the links, so that they are reopened with the authority that the store holds.
+func (d *Directory) resetLinks() error {
 	err := d.disconnect()
 	d.caller.Store(nil)
 	return err
--- a/internal/peers/restore_test.go
+++ b/internal/peers/restore_test.go
@@ -12,7 +12,7 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// restoredFleet is some instances over a store that names its epoch, each with its own knowledge of it.
+// restoredFleet is some instances over a store that names its epoch. Each has its own tracker of the epoch.
 type restoredFleet struct {
 	store *memkv.Store
 	at    time.Time
@@ -31,13 +31,13 @@
 	return f
 }
 
-// round is what each instance does again and again, but for its links.
-func (f *restoredFleet) round(ctx context.Context) {
+// runAll does what each instance does repeatedly, except for its links.
+func (f *restoredFleet) runAll(ctx context.Context) {
 	for range 2 {
 		for _, d := range f.dirs {
-			So(d.read(ctx), ShouldBeNil)
-			So(d.write(ctx), ShouldBeNil)
-			So(d.keepAuthority(ctx), ShouldBeNil)
+			So(d.readRecords(ctx), ShouldBeNil)
+			So(d.syncRecord(ctx), ShouldBeNil)
+			So(d.restoreAuthority(ctx), ShouldBeNil)
 		}
 	}
 }
@@ -54,39 +54,39 @@
 
 func TestRecordsAfterRestoration(t *testing.T) {
 	ctx := context.Background()
-	Convey("A store is restored from a copy that lacks the instances that had just started", t, func() {
+	Convey("A store is restored from a copy that lacks instances that had just started", t, func() {
 		f := newRestoredFleet("i-0", "i-1", "i-2")
-		f.round(ctx)
+		f.runAll(ctx)
 		So(f.records(ctx), ShouldHaveLength, 3)
 		f.store.RestoreTo(0)
 
-		Convey("they stay known, and write their records anew", func() {
-			So(f.dirs[0].read(ctx), ShouldBeNil)
+		Convey("they stay known, and write their records again", func() {
+			So(f.dirs[0].readRecords(ctx), ShouldBeNil)
 			So(f.dirs[0].Size(), ShouldEqual, 3)
-			f.round(ctx)
+			f.runAll(ctx)
 			So(f.records(ctx), ShouldResemble, []string{"i-0", "i-1", "i-2"})
 		})
 
-		Convey("one that stops meanwhile takes its record back again", func() {
+		Convey("an instance that stops meanwhile removes its record again", func() {
 			So(f.dirs[2].Leave(ctx), ShouldBeNil)
 			f.store.RestoreTo(0)
 			f.store.Put("p/peers/i-2", nil)
-			f.round(ctx)
+			f.runAll(ctx)
 			So(f.records(ctx), ShouldResemble, []string{"i-0", "i-1"})
 		})
 
-		Convey("one that has written nothing for longer than a copy is old writes nothing", func() {
+		Convey("an instance that last wrote before any copy's age writes nothing", func() {
 			f.at = f.at.Add(external.MaxCopyAge + time.Second)
-			So(f.dirs[0].read(ctx), ShouldBeNil)
+			So(f.dirs[0].readRecords(ctx), ShouldBeNil)
 			before := f.store.Number()
-			So(f.dirs[0].write(ctx), ShouldBeNil)
+			So(f.dirs[0].syncRecord(ctx), ShouldBeNil)
 			So(f.store.Number(), ShouldEqual, before)
 		})
 
-		Convey("one that does not come back is not known for ever", func() {
-			So(f.dirs[0].read(ctx), ShouldBeNil)
-			f.at = f.at.Add(recordsWait)
-			So(f.dirs[0].read(ctx), ShouldBeNil)
+		Convey("an instance that does not return is forgotten eventually", func() {
+			So(f.dirs[0].readRecords(ctx), ShouldBeNil)
+			f.at = f.at.Add(missingGrace)
+			So(f.dirs[0].readRecords(ctx), ShouldBeNil)
 			So(f.dirs[0].Size(), ShouldEqual, 1)
 		})
 	})
@@ -101,7 +101,7 @@
 	}
 	Convey("A fleet whose authority the copy lacks", t, func() {
 		f := newRestoredFleet("i-0", "i-1")
-		f.round(ctx)
+		f.runAll(ctx)
 		for _, d := range f.dirs {
 			_, err := d.identity(ctx)
 			So(err, ShouldBeNil)
@@ -109,13 +109,13 @@
 		before := stored(f)
 		f.store.RestoreTo(0)
 
-		Convey("keeps it", func() {
-			f.round(ctx)
+		Convey("writes it again", func() {
+			f.runAll(ctx)
 			So(stored(f), ShouldResemble, before)
 			So(f.dirs[1].authority, ShouldResemble, before)
 		})
 
-		Convey("takes the one that an instance has made meanwhile", func() {
+		Convey("adopts one that another instance has created meanwhile", func() {
 			late := newRestoredFleet("i-2").dirs[0]
 			late.store = f.dirs[0].store
 			f.at = f.at.Add(time.Second)
@@ -124,8 +124,8 @@
 			var none mesh.Caller
 			for _, d := range f.dirs {
 				d.caller.Store(&none)
-				So(d.read(ctx), ShouldBeNil)
-				So(d.keepAuthority(ctx), ShouldBeNil)
+				So(d.readRecords(ctx), ShouldBeNil)
+				So(d.restoreAuthority(ctx), ShouldBeNil)
 				So(d.caller.Load(), ShouldBeNil)
 				_, err := d.identity(ctx)
 				So(err, ShouldBeNil)
@@ -134,11 +134,11 @@
 			So(stored(f), ShouldNotResemble, before)
 		})
 
-		Convey("does not ask for one that is older than any copy", func() {
+		Convey("does not read the authority again if it is older than any copy", func() {
 			f.at = f.at.Add(external.MaxCopyAge + time.Second)
-			So(f.dirs[0].read(ctx), ShouldBeNil)
+			So(f.dirs[0].readRecords(ctx), ShouldBeNil)
 			calls := f.store.Calls()
-			So(f.dirs[0].keepAuthority(ctx), ShouldBeNil)
+			So(f.dirs[0].restoreAuthority(ctx), ShouldBeNil)
 			So(f.store.Calls(), ShouldEqual, calls)
 		})
 	})
