--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,9 +1,10 @@
-// Package boottime has the clock by which the ages of things outside this process are judged.
+// Package boottime provides the clock that measures the ages of things outside this process.
 //
-// The steady clock stands still while a machine is suspended, and so do Go's timers and the differences of its times. A process that wakes
-// takes all that it heard before for as fresh as it was: its configuration, keys, loads, links. The time since the boot of the machine
-// (CLOCK_BOOTTIME) counts a suspension. To read it costs a system call; so it is read now and then, and at each caller's request, and in
-// between the steady clock goes on from there.
+// The steady clock stands still while a machine is suspended, and so do Go's timers and the differences of its times. A
+// process that resumes would take all data that it received before for as fresh as it was then: its configuration,
+// keys, loads and links. The time since the boot of the machine (CLOCK_BOOTTIME) includes suspensions. Reading it costs
+// a system call, so it is read periodically and at each caller's request. Between two readings the steady clock
+// continues from the last one.
 package boottime
 
 import (
@@ -18,13 +19,14 @@
 )
 
 const (
-	// checkEvery is how soon a process that nobody asks anything finds out that its machine was suspended.
-	checkEvery = 100 * time.Millisecond
-	// leastSuspended is the least difference between the clocks that counts as a suspension: two readings are not taken at one moment.
-	leastSuspended = 50 * time.Millisecond
+	// checkInterval limits how late an idle process detects that its machine was suspended.
+	checkInterval = 100 * time.Millisecond
+	// minSuspension is the minimum difference between the clocks that counts as a suspension, because the two cannot be
+	// read at the same instant.
+	minSuspension = 50 * time.Millisecond
 )
 
-// Read reads the time since the boot of the machine, suspensions included.
+// Read reads the time since the boot of the machine, including suspensions.
 func Read() (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -33,16 +35,16 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// Clock counts the time since the boot of the machine. It never steps back, whatever the time of day does.
+// Clock measures the time since the boot of the machine. It never steps back, whatever the time of day does.
 type Clock struct {
 	read   func() (time.Duration, error)
 	steady func() time.Duration
 
-	base      time.Duration // of the clock, when the process began
-	suspended atomic.Int64  // since then, in nanoseconds
+	base      time.Duration // time since the boot when the process began
+	suspended atomic.Int64  // total of suspensions since then, in nanoseconds
 
-	mu   sync.Mutex
-	wake []func(suspended time.Duration)
+	mu       sync.Mutex
+	onResume []func(suspended time.Duration)
 }
 
 // Option changes a Clock.
@@ -64,35 +66,39 @@
 	return c
 }
 
-// Now is the time since the boot as a time from the Unix epoch on: only differences of it mean anything, and it is no deadline for timers.
+// Now returns the time since the boot, as a time that counts from the Unix epoch. Only differences of such times are
+// meaningful, and they are not valid as deadlines of timers.
 func (c *Clock) Now() time.Time { return time.Unix(0, 0).Add(c.Elapsed()) }
 
-// Elapsed is the time since the boot, as far as it is known without a new reading.
+// Elapsed returns the time since the boot, without a new reading.
 func (c *Clock) Elapsed() time.Duration {
 	return c.base + c.steady() + time.Duration(c.suspended.Load())
 }
 
-// OnResume adds what is told when the machine was suspended, and for how long, before anything else is done with the new time.
+// OnResume adds a callback that gets the duration of a suspension after the machine resumes. Check calls it before its
+// own caller proceeds with the new time.
 func (c *Clock) OnResume(f func(suspended time.Duration)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wake = append(c.wake, f)
+	c.onResume = append(c.onResume, f)
 }
 
-// Check reads the clock anew. If the machine was suspended since the last reading, all that asked for it are told.
+// Check reads the clock again. If the machine was suspended since the last reading, it calls the callbacks.
 func (c *Clock) Check() {
-	boot, err := c.read() // before the steady clock: a process that is stopped between the two must not look like a suspended machine
-	if err != nil || boot-c.Elapsed() < leastSuspended {
+	// This reading precedes that of the steady clock. Otherwise a process that is stopped between the two would look
+	// like a suspended machine.
+	boot, err := c.read()
+	if err != nil || boot-c.Elapsed() < minSuspension {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ahead := boot - c.Elapsed()
-	if ahead < leastSuspended {
+	if ahead < minSuspension {
 		return
 	}
 	c.suspended.Add(int64(ahead))
-	for _, f := range c.wake {
+	for _, f := range c.onResume {
 		f(ahead)
 	}
 }
@@ -102,6 +108,6 @@
 
 // Run implements kernel.Service.
 func (c *Clock) Run(ctx context.Context) error {
-	kernel.Every(ctx, checkEvery, func(context.Context) { c.Check() })
+	kernel.Every(ctx, checkInterval, func(context.Context) { c.Check() })
 	return nil
 }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -9,41 +9,41 @@
 )
 
 func TestClock(t *testing.T) {
-	Convey("A clock that counts the time in which the machine was suspended", t, func() {
+	Convey("A clock that includes the time in which the machine was suspended", t, func() {
 		var steady, suspended time.Duration
-		var failed error
+		var readErr error
 		const boot = time.Hour
 		c := New(func(c *Clock) { c.steady = func() time.Duration { return steady } },
-			WithRead(func() (time.Duration, error) { return boot + steady + suspended, failed }))
-		var told []time.Duration
-		c.OnResume(func(d time.Duration) { told = append(told, d) })
+			WithRead(func() (time.Duration, error) { return boot + steady + suspended, readErr }))
+		var reported []time.Duration
+		c.OnResume(func(d time.Duration) { reported = append(reported, d) })
 		begun := c.Now()
 
-		Convey("goes on with the steady clock and tells nothing", func() {
+		Convey("follows the steady clock and reports nothing", func() {
 			steady = 3 * time.Second
 			c.Check()
 			So(c.Now().Sub(begun), ShouldEqual, 3*time.Second)
-			So(told, ShouldBeEmpty)
+			So(reported, ShouldBeEmpty)
 		})
 
-		Convey("adds a suspension once it looks, and tells of it once", func() {
+		Convey("adds a suspension at the next check, and reports it once", func() {
 			steady, suspended = time.Second, 8*time.Second
 			So(c.Now().Sub(begun), ShouldEqual, time.Second)
 			c.Check()
 			c.Check()
 			So(c.Now().Sub(begun), ShouldEqual, 9*time.Second)
-			So(told, ShouldResemble, []time.Duration{8 * time.Second})
+			So(reported, ShouldResemble, []time.Duration{8 * time.Second})
 			suspended += 2 * time.Second
 			c.Check()
 			So(c.Now().Sub(begun), ShouldEqual, 11*time.Second)
-			So(len(told), ShouldEqual, 2)
+			So(len(reported), ShouldEqual, 2)
 		})
 
-		Convey("never steps back, and stays steady where the boot time cannot be read", func() {
+		Convey("never steps back, and follows the steady clock if the boot time cannot be read", func() {
 			suspended = -5 * time.Second
 			c.Check()
 			So(c.Now(), ShouldEqual, begun)
-			failed, suspended = errors.New("not there"), 8*time.Second
+			readErr, suspended = errors.New("not there"), 8*time.Second
 			c.Check()
 			So(c.Now(), ShouldEqual, begun)
 		})
@@ -58,7 +58,8 @@
 	})
 }
 
-// BenchmarkNow and BenchmarkCheck: 50 ns for the time as known, 290 ns for a new reading, of which a caller's request makes one.
+// BenchmarkNow measures the time without a new reading: 50 ns. BenchmarkCheck measures a new reading, one of which each
+// caller's request makes: 290 ns.
 func BenchmarkNow(b *testing.B) {
 	c := New()
 	for b.Loop() {
--- a/internal/external/meter.go
+++ b/internal/external/meter.go
@@ -21,7 +21,7 @@
 	DutyDeposit Duty = "deposit"
 	DutyAudit   Duty = "audit"
 	DutyMembers Duty = "members" // the instances' records
-	// DutyQuarantine concerns the requests that are kept from endpoints.
+	// DutyQuarantine concerns quarantined requests.
 	DutyQuarantine Duty = "quarantine"
 	DutyOther      Duty = "other"
 )
--- a/internal/fleettime/fleettime.go
+++ b/internal/fleettime/fleettime.go
@@ -1,8 +1,9 @@
-// Package fleettime bounds the fleet's time of day by what its instances' clocks say.
+// Package fleettime bounds the fleet's time of day by the clocks of its instances.
 //
-// A machine's own time of day may step by seconds, and its steady clock starts anew when it loses power. What most clocks of a fleet
-// agree on does not step while fewer than seven in ten of them do, so it tells how much time has passed across a loss of power.
-// One instance keeps it: the others tell it what their clocks say, and it tells them the bounds.
+// A machine's own time of day may step by seconds, and its steady clock starts again after a loss of power. The time on
+// which most clocks of a fleet agree does not step while fewer than seven in ten of them step. It therefore tells how
+// much time has passed across a loss of power. One instance is the coordinator: the others report their clocks to it,
+// and it answers with the bounds.
 package fleettime
 
 import (
@@ -15,58 +16,58 @@
 	"github.com/ledgemount/ledgemount/internal/peers"
 )
 
-// KindAsk tells a clock and asks for the bounds.
+// KindAsk reports an instance's clock and requests the bounds.
 const KindAsk mesh.Kind = "fleettime.ask"
 
 const (
-	askSoon   = 200 * time.Millisecond // between questions until the time is known
-	askEvery  = time.Second            // later on
-	askLimit  = 300 * time.Millisecond
-	mostDelay = 100 * time.Millisecond // an answer that took longer tells too little
-	leastSeen = 3                      // clocks that bounds need
-	leastPart = 0.6                    // part of the instances of the zone, or of a small fleet, of which clocks are needed
-	lowRank   = 0.3                    // the part of clocks that are before the lower bound, and after the upper one
-	seenLife  = 5 * time.Second        // what a clock has said counts for so long
+	initialInterval = 200 * time.Millisecond // between requests until the time is known
+	askInterval     = time.Second            // between requests later on
+	askTimeout      = 300 * time.Millisecond
+	maxDelay        = 100 * time.Millisecond // replies that took longer are too inaccurate
+	minClocks       = 3                      // minimum number of clocks for bounds
+	minClockShare   = 0.6                    // likewise, as a share of the coordinator's group of instances
+	trimShare       = 0.3                    // share of clocks that lie below the lower bound, and above the upper one
+	readingLifetime = 5 * time.Second        // how long a clock's reading counts
 )
 
-// question is what the asking instance's clock says.
-type question struct {
+// clockReport is the time of day of the sender's clock.
+type clockReport struct {
 	WallMs int64 `cbor:"1,keyasint"`
 }
 
-// answer bounds the fleet's time; 0: not known yet.
-type answer struct {
+// boundsReply bounds the fleet's time. 0: not known yet.
+type boundsReply struct {
 	LowMs  int64 `cbor:"1,keyasint,omitempty"`
 	HighMs int64 `cbor:"2,keyasint,omitempty"`
 }
 
-// Bounds are the earliest and the latest that the time of day may be.
+// Bounds are the earliest and the latest possible time of day.
 type Bounds struct {
 	Low  time.Time
 	High time.Time
 }
 
-// reading is what a clock said at a moment of this instance's steady clock.
+// reading is the time of day of a clock, with the time of this instance's steady clock at which it was received.
 type reading struct {
 	wall   time.Time
 	steady time.Duration
 }
 
-// at is what the clock says now, if it has not stepped since.
+// at returns the clock's time of day now, unless it has stepped since.
 func (r reading) at(steady time.Duration) time.Time { return r.wall.Add(steady - r.steady) }
 
-// Clock is the service that follows the fleet's time.
+// Clock is the service that tracks the fleet's time.
 type Clock struct {
 	dir    *peers.Directory
 	self   string
 	steady func() time.Duration
 	wall   func() time.Time
 
-	mu    sync.Mutex
-	seen  map[string]reading // by instance
-	known bool
-	low   reading
-	high  reading
+	mu       sync.Mutex
+	readings map[string]reading // by instance
+	known    bool
+	low      reading
+	high     reading
 }
 
 // Option changes a Clock.
@@ -78,17 +79,17 @@
 // WithWall replaces the time of day.
 func WithWall(f func() time.Time) Option { return func(c *Clock) { c.wall = f } }
 
-// New makes a clock and registers its message.
+// New makes a clock and registers its message handler.
 func New(dir *peers.Directory, self string, router *mesh.Router, opts ...Option) *Clock {
 	begun := time.Now()
 	c := &Clock{
-		dir: dir, self: self, seen: make(map[string]reading), wall: time.Now,
+		dir: dir, self: self, readings: make(map[string]reading), wall: time.Now,
 		steady: func() time.Duration { return time.Since(begun) },
 	}
 	for _, opt := range opts {
 		opt(c)
 	}
-	mesh.Handle(router, KindAsk, c.tell)
+	mesh.Handle(router, KindAsk, c.handleReport)
 	return c
 }
 
@@ -99,9 +100,9 @@
 func (c *Clock) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		c.Sync(ctx)
-		wait := askEvery
+		wait := askInterval
 		if _, known := c.Now(); !known {
-			wait = askSoon
+			wait = initialInterval
 		}
 		t := time.NewTimer(wait)
 		select {
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// Now bounds the fleet's time; false while it is not known.
+// Now returns the bounds of the fleet's time; false while they are not known.
 func (c *Clock) Now() (Bounds, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,74 +122,75 @@
 	return Bounds{Low: c.low.at(steady), High: c.high.at(steady)}, c.known
 }
 
-// Sync brings the bounds up to date, by the first keeper that answers; an instance that has none before it keeps them itself.
+// Sync updates the bounds from the first coordinator that answers. An instance with no coordinator ranked before it
+// computes them itself.
 func (c *Clock) Sync(ctx context.Context) {
-	keepers := c.dir.Coordinators()
-	if len(keepers) == 0 {
+	coordinators := c.dir.Coordinators()
+	if len(coordinators) == 0 {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if b, ok := c.bounds(); ok {
-			c.take(b)
+			c.setBounds(b)
 		}
 		return
 	}
-	for _, p := range keepers {
+	for _, p := range coordinators {
 		if c.ask(ctx, p) {
 			return
 		}
 	}
 }
 
-func (c *Clock) ask(ctx context.Context, keeper mesh.Peer) bool {
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+func (c *Clock) ask(ctx context.Context, coordinator mesh.Peer) bool {
+	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	begun := c.steady()
-	a, err := peers.Call[question, answer](ctx, c.dir, keeper, KindAsk, question{WallMs: c.wall().UnixMilli()})
+	a, err := peers.Call[clockReport, boundsReply](ctx, c.dir, coordinator, KindAsk, clockReport{WallMs: c.wall().UnixMilli()})
 	if err != nil {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a.LowMs != 0 && c.steady()-begun <= mostDelay {
-		c.take(Bounds{Low: time.UnixMilli(a.LowMs), High: time.UnixMilli(a.HighMs)})
+	if a.LowMs != 0 && c.steady()-begun <= maxDelay {
+		c.setBounds(Bounds{Low: time.UnixMilli(a.LowMs), High: time.UnixMilli(a.HighMs)})
 	}
 	return true
 }
 
-// tell notes what another instance's clock says and answers with the bounds.
-func (c *Clock) tell(_ context.Context, from mesh.Peer, q question) (answer, error) {
+// handleReport records another instance's clock and replies with the bounds.
+func (c *Clock) handleReport(_ context.Context, from mesh.Peer, report clockReport) (boundsReply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.seen[from.ID] = reading{wall: time.UnixMilli(q.WallMs), steady: c.steady()}
+	c.readings[from.ID] = reading{wall: time.UnixMilli(report.WallMs), steady: c.steady()}
 	b, ok := c.bounds()
 	if !ok {
-		return answer{}, nil
+		return boundsReply{}, nil
 	}
-	return answer{LowMs: b.Low.UnixMilli(), HighMs: b.High.UnixMilli()}, nil
+	return boundsReply{LowMs: b.Low.UnixMilli(), HighMs: b.High.UnixMilli()}, nil
 }
 
-// bounds are the times that most clocks lie between. The caller holds mu.
+// bounds computes the times between which most clocks lie. The caller holds mu.
 func (c *Clock) bounds() (Bounds, bool) {
 	steady := c.steady()
-	c.seen[c.self] = reading{wall: c.wall(), steady: steady}
-	times := make([]time.Time, 0, len(c.seen))
-	for id, r := range c.seen {
-		if steady-r.steady > seenLife {
-			delete(c.seen, id)
+	c.readings[c.self] = reading{wall: c.wall(), steady: steady}
+	times := make([]time.Time, 0, len(c.readings))
+	for id, r := range c.readings {
+		if steady-r.steady > readingLifetime {
+			delete(c.readings, id)
 			continue
 		}
 		times = append(times, r.at(steady))
 	}
-	if float64(len(times)) < max(leastSeen, leastPart*float64(c.dir.GroupSize())) {
+	if float64(len(times)) < max(minClocks, minClockShare*float64(c.dir.GroupSize())) {
 		return Bounds{}, false
 	}
 	slices.SortFunc(times, time.Time.Compare)
-	before := int(lowRank * float64(len(times)))
-	return Bounds{Low: times[before], High: times[len(times)-1-before]}, true
+	trimmed := int(trimShare * float64(len(times)))
+	return Bounds{Low: times[trimmed], High: times[len(times)-1-trimmed]}, true
 }
 
-// take sets the bounds. The caller holds mu.
-func (c *Clock) take(b Bounds) {
+// setBounds sets the bounds. The caller holds mu.
+func (c *Clock) setBounds(b Bounds) {
 	steady := c.steady()
 	c.low, c.high, c.known = reading{wall: b.Low, steady: steady}, reading{wall: b.High, steady: steady}, true
 }
--- a/internal/fleettime/fleettime_test.go
+++ b/internal/fleettime/fleettime_test.go
@@ -14,16 +14,16 @@
 	"github.com/ledgemount/ledgemount/internal/peers/peerstest"
 )
 
-// bed is some instances whose clocks agree but for what a test sets.
-type bed struct {
-	net    *meshtest.Net
-	now    time.Time
-	off    map[string]time.Duration
-	clocks []*Clock
+// fixture is some instances whose clocks agree except for the offsets that a test sets.
+type fixture struct {
+	net     *meshtest.Net
+	now     time.Time
+	offsets map[string]time.Duration
+	clocks  []*Clock
 }
 
-func newBed(ctx context.Context, n int) *bed {
-	b := &bed{net: meshtest.New(), now: time.Unix(1_000_000, 0), off: make(map[string]time.Duration)}
+func newFixture(ctx context.Context, n int) *fixture {
+	b := &fixture{net: meshtest.New(), now: time.Unix(1_000_000, 0), offsets: make(map[string]time.Duration)}
 	begun := b.now
 	list := make([]mesh.Peer, 0, n)
 	for i := range n {
@@ -34,12 +34,12 @@
 	for _, x := range fleet {
 		b.clocks = append(b.clocks, New(x.Dir, x.Self.ID, x.Router,
 			WithSteady(func() time.Duration { return b.now.Sub(begun) }),
-			WithWall(func() time.Time { return b.now.Add(b.off[x.Self.ID]) })))
+			WithWall(func() time.Time { return b.now.Add(b.offsets[x.Self.ID]) })))
 	}
 	return b
 }
 
-func (b *bed) sync(ctx context.Context) {
+func (b *fixture) sync(ctx context.Context) {
 	for range 2 {
 		for _, c := range b.clocks {
 			c.Sync(ctx)
@@ -50,10 +50,10 @@
 func TestClock(t *testing.T) {
 	ctx := context.Background()
 	Convey("Five instances", t, func() {
-		b := newBed(ctx, 5)
+		b := newFixture(ctx, 5)
 		last := b.clocks[4]
 
-		Convey("know the time once enough of them have told theirs", func() {
+		Convey("know the time once enough of them have reported their clocks", func() {
 			b.clocks[4].Sync(ctx)
 			_, known := last.Now()
 			So(known, ShouldBeFalse)
@@ -64,8 +64,8 @@
 			So(got.High, ShouldEqual, b.now)
 		})
 
-		Convey("bound it, whatever three clocks in ten say", func() {
-			b.off["i-1"], b.off["i-4"] = -3*time.Second, 30*time.Millisecond
+		Convey("bound it, whatever three clocks in ten report", func() {
+			b.offsets["i-1"], b.offsets["i-4"] = -3*time.Second, 30*time.Millisecond
 			b.sync(ctx)
 			got, _ := last.Now()
 			So(got.Low, ShouldHappenOnOrBefore, b.now)
@@ -74,18 +74,18 @@
 			So(got.High, ShouldHappenOnOrBefore, b.now.Add(time.Second))
 		})
 
-		Convey("go on by their steady clocks when they reach nobody and their time of day steps", func() {
+		Convey("continue by their steady clocks when they reach no one and their time of day steps", func() {
 			b.sync(ctx)
 			b.net.SetCut(func(_, _ mesh.Peer) bool { return true })
 			b.now = b.now.Add(20 * time.Second)
-			b.off["i-4"] = time.Minute
+			b.offsets["i-4"] = time.Minute
 			last.Sync(ctx)
 			got, known := last.Now()
 			So(known, ShouldBeTrue)
 			So(got.High, ShouldEqual, b.now)
 		})
 
-		Convey("ask the next one when the first is gone", func() {
+		Convey("ask the next coordinator when the first is down", func() {
 			b.net.SetDown("i-0:1", true)
 			for _, c := range b.clocks[1:] {
 				c.Sync(ctx)
--- a/internal/fleettime/formats_test.go
+++ b/internal/fleettime/formats_test.go
@@ -6,8 +6,8 @@
 	"github.com/ledgemount/ledgemount/internal/compat/formattest"
 )
 
-// What instances of other builds read, or have written.
+// TestFormats checks the encodings that instances of other builds read, or have written.
 func TestFormats(t *testing.T) {
-	formattest.Check[question](t, "question")
-	formattest.Check[answer](t, "answer")
+	formattest.Check[clockReport](t, "question")
+	formattest.Check[boundsReply](t, "answer")
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,6 +1,6 @@
-// Package member keeps an instance's view of the fleet from the platform's list and from heartbeats.
+// Package member maintains an instance's view of the fleet from the platform's list and from heartbeats.
 //
-// The view is a hint, never a proof: everything that uses it must stay correct when it is wrong.
+// The view is a hint and guarantees nothing: everything that uses it must stay correct if it is wrong.
 package member
 
 import (
@@ -15,60 +15,60 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// ServiceName is the view's name in the kernel.
+// ServiceName is the view's kernel service name.
 const ServiceName = "member"
 
 // KindBeat is the heartbeat message.
 const KindBeat mesh.Kind = "member.beat"
 
 const (
-	defaultBeat     = 500 * time.Millisecond
-	defaultList     = 2 * time.Second
-	missedBeats     = 5
-	crossZoneLinks  = 2
-	rememberDead    = 10 * time.Minute
-	beatConcurrency = 64
-	loadEvery       = 2 // one beat in this many tells the zone what is in progress
+	defaultBeat      = 500 * time.Millisecond
+	defaultList      = 2 * time.Second
+	maxMissedBeats   = 5
+	crossZoneLinks   = 2
+	deadRetention    = 10 * time.Minute
+	beatConcurrency  = 64
+	loadBeatInterval = 2 // one heartbeat in this many carries the requests in progress
 )
 
-// Beat is a heartbeat: who sends it, whether it is leaving, and which configuration it holds.
+// Beat is a heartbeat: its sender, whether the sender is leaving, and the version of its configuration.
 type Beat struct {
 	Peer    mesh.Peer `cbor:"1,keyasint"`
 	Leaving bool      `cbor:"2,keyasint,omitempty"`
 	Config  int64     `cbor:"3,keyasint,omitempty"`
-	// InFlight is the sender's requests in progress by endpoint; only instances of its zone are told.
+	// InFlight is the sender's number of requests in progress by endpoint. It is sent only within the sender's zone.
 	InFlight map[string]int `cbor:"4,keyasint,omitempty"`
-	Loaded   bool           `cbor:"5,keyasint,omitempty"` // InFlight is told, if only as empty
+	Loaded   bool           `cbor:"5,keyasint,omitempty"` // InFlight is present, although it may be empty
 }
 
-// Listener is notified of every beat heard.
+// Listener is notified of every heartbeat received.
 type Listener func(ctx context.Context, b Beat)
 
-type seen struct {
-	peer    mesh.Peer
-	heard   time.Time
-	leaving bool
-	listed  bool
-	config  int64
-	load    map[string]int
+type peerState struct {
+	peer     mesh.Peer
+	lastBeat time.Time
+	leaving  bool
+	listed   bool
+	config   int64
+	inFlight map[string]int
 }
 
 // View is the membership service.
 type View struct {
-	self   mesh.Peer
-	list   external.InstanceList
-	caller mesh.Caller
-	now    func() time.Time
-	every  time.Duration
-	poll   time.Duration
-	log    zerolog.Logger
-	config func() int64
-	load   func() map[string]int
+	self     mesh.Peer
+	list     external.InstanceList
+	caller   mesh.Caller
+	now      func() time.Time
+	every    time.Duration
+	poll     time.Duration
+	log      zerolog.Logger
+	config   func() int64
+	inFlight func() map[string]int
 
 	mu        sync.RWMutex
-	peers     map[string]*seen
+	peers     map[string]*peerState
 	leaving   bool
-	beats     int // sent so far; only Run uses it
+	beats     int // heartbeats sent so far; used by Run only
 	listeners []Listener
 	zoneCache []mesh.Peer
 	cacheTill time.Time
@@ -80,33 +80,33 @@
 // WithClock replaces the clock.
 func WithClock(now func() time.Time) Option { return func(v *View) { v.now = now } }
 
-// WithIntervals sets the time between heartbeats and between reads of the platform's list.
+// WithIntervals sets the interval between heartbeats and that between reads of the platform's list.
 func WithIntervals(beat, list time.Duration) Option {
 	return func(v *View) { v.every, v.poll = beat, list }
 }
 
-// WithConfigVersion lets heartbeats carry the version of the configuration.
+// WithConfigVersion makes heartbeats carry the version of the configuration.
 func WithConfigVersion(f func() int64) Option { return func(v *View) { v.config = f } }
 
-// WithInFlight lets heartbeats within the zone carry this instance's requests in progress by endpoint.
-func WithInFlight(f func() map[string]int) Option { return func(v *View) { v.load = f } }
+// WithInFlight makes heartbeats within the zone carry this instance's requests in progress by endpoint.
+func WithInFlight(f func() map[string]int) Option { return func(v *View) { v.inFlight = f } }
 
 // WithLogger sets the logger.
 func WithLogger(log zerolog.Logger) Option { return func(v *View) { v.log = log } }
 
-// New makes a view and registers its message.
+// New makes a view and registers its message handler.
 func New(self mesh.Peer, list external.InstanceList, caller mesh.Caller, router *mesh.Router, opts ...Option) *View {
 	v := &View{
-		self:   self,
-		list:   list,
-		caller: caller,
-		now:    time.Now,
-		every:  defaultBeat,
-		poll:   defaultList,
-		log:    zerolog.Nop(),
-		config: func() int64 { return 0 },
-		load:   func() map[string]int { return nil },
-		peers:  make(map[string]*seen),
+		self:     self,
+		list:     list,
+		caller:   caller,
+		now:      time.Now,
+		every:    defaultBeat,
+		poll:     defaultList,
+		log:      zerolog.Nop(),
+		config:   func() int64 { return 0 },
+		inFlight: func() map[string]int { return nil },
+		peers:    make(map[string]*peerState),
 	}
 	for _, opt := range opts {
 		opt(v)
@@ -121,10 +121,10 @@
 // Name implements kernel.Service.
 func (v *View) Name() string { return ServiceName }
 
-// OnBeat adds a listener; call it before Run.
+// OnBeat adds a listener. It must be called before Run.
 func (v *View) OnBeat(l Listener) { v.listeners = append(v.listeners, l) }
 
-// Self is this instance.
+// Self returns this instance.
 func (v *View) Self() mesh.Peer { return v.self }
 
 // Leave makes later heartbeats report that this instance is leaving.
@@ -154,7 +154,7 @@
 	}
 }
 
-// refresh reads the platform's list. While it cannot be read, the last one stays.
+// refresh reads the platform's list. If that fails, the last list remains valid.
 func (v *View) refresh(ctx context.Context) {
 	insts, err := v.list.Instances(ctx)
 	if err != nil {
@@ -167,18 +167,18 @@
 		s.listed = false
 	}
 	for _, in := range insts {
-		v.note(in)
+		v.noteListed(in)
 	}
-	v.forget()
+	v.forgetDead()
 }
 
-func (v *View) note(in external.Instance) {
+func (v *View) noteListed(in external.Instance) {
 	if in.ID == v.self.ID {
 		return
 	}
 	s, ok := v.peers[in.ID]
 	if !ok {
-		s = &seen{peer: mesh.Peer{ID: in.ID, Zone: in.Zone, Addr: in.Addr}}
+		s = &peerState{peer: mesh.Peer{ID: in.ID, Zone: in.Zone, Addr: in.Addr}}
 		v.peers[in.ID] = s
 	}
 	s.listed = true
@@ -187,16 +187,16 @@
 	}
 }
 
-func (v *View) forget() {
+func (v *View) forgetDead() {
 	now := v.now()
 	for id, s := range v.peers {
-		if !s.listed && now.Sub(s.heard) > rememberDead {
+		if !s.listed && now.Sub(s.lastBeat) > deadRetention {
 			delete(v.peers, id)
 		}
 	}
 }
 
-// Receive takes a heartbeat.
+// Receive processes a heartbeat.
 func (v *View) Receive(ctx context.Context, b Beat) {
 	if b.Peer.ID == v.self.ID || b.Peer.ID == "" {
 		return
@@ -204,15 +204,15 @@
 	v.mu.Lock()
 	s, ok := v.peers[b.Peer.ID]
 	if !ok {
-		s = &seen{}
+		s = &peerState{}
 		v.peers[b.Peer.ID] = s
 	}
-	if s.heard.IsZero() || s.leaving != b.Leaving || s.peer.Inc != b.Peer.Inc {
+	if s.lastBeat.IsZero() || s.leaving != b.Leaving || s.peer.Inc != b.Peer.Inc {
 		v.cacheTill = time.Time{}
 	}
-	s.peer, s.heard, s.leaving, s.config = b.Peer, v.now(), b.Leaving, b.Config
+	s.peer, s.lastBeat, s.leaving, s.config = b.Peer, v.now(), b.Leaving, b.Config
 	if b.Loaded {
-		s.load = b.InFlight
+		s.inFlight = b.InFlight
 	}
 	v.mu.Unlock()
 	for _, l := range v.listeners {
@@ -220,28 +220,29 @@
 	}
 }
 
-// beat is this instance's heartbeat, with or without its requests in progress.
+// beat returns this instance's heartbeat, with or without its requests in progress.
 func (v *View) beat(withLoad bool) Beat {
 	v.mu.RLock()
 	b := Beat{Peer: v.self, Leaving: v.leaving}
 	v.mu.RUnlock()
 	b.Config = v.config()
 	if withLoad {
-		b.InFlight = v.load()
+		b.InFlight = v.inFlight()
 		b.Loaded = true
 	}
 	return b
 }
 
-// InFlight is the number of requests that the zone's other instances have at an endpoint, as they last said.
+// InFlight returns the number of requests that the zone's other instances have in progress at an endpoint, by their
+// last heartbeats.
 func (v *View) InFlight(endpoint string) int {
 	now := v.now()
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	n := 0
 	for _, s := range v.peers {
-		if s.load != nil && v.fresh(s, now) {
-			n += s.load[endpoint]
+		if s.inFlight != nil && v.fresh(s, now) {
+			n += s.inFlight[endpoint]
 		}
 	}
 	return n
@@ -249,7 +250,7 @@
 
 func (v *View) beatAll(ctx context.Context) {
 	v.beats++
-	near, far := v.beat(v.beats%loadEvery == 0), v.beat(false)
+	zoneBeat, farBeat := v.beat(v.beats%loadBeatInterval == 0), v.beat(false)
 	var wg sync.WaitGroup
 	sem := make(chan struct{}, beatConcurrency)
 	for _, p := range v.targets() {
@@ -257,10 +258,10 @@
 		wg.Go(func() {
 			defer func() { <-sem }()
 			if p.Zone == v.self.Zone {
-				v.send(ctx, p, near)
+				v.send(ctx, p, zoneBeat)
 				return
 			}
-			v.send(ctx, p, far)
+			v.send(ctx, p, farBeat)
 		})
 	}
 	wg.Wait()
@@ -269,20 +270,21 @@
 func (v *View) send(ctx context.Context, p mesh.Peer, b Beat) {
 	ctx, cancel := context.WithTimeout(ctx, v.every)
 	defer cancel()
-	back, err := mesh.Call[Beat, Beat](ctx, v.caller, p.Addr, KindBeat, b)
+	reply, err := mesh.Call[Beat, Beat](ctx, v.caller, p.Addr, KindBeat, b)
 	if err == nil {
-		v.Receive(ctx, back)
+		v.Receive(ctx, reply)
 	}
 }
 
-// targets are the zone's instances and a few in other zones, chosen by hash so that links spread evenly.
+// targets returns the zone's instances and a few in other zones. The latter are chosen by hash, so that links spread
+// evenly.
 func (v *View) targets() []mesh.Peer {
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	var zone, far []mesh.Peer
 	now := v.now()
 	for _, s := range v.peers {
-		if !s.listed && now.Sub(s.heard) > time.Duration(missedBeats)*v.every {
+		if !s.listed && now.Sub(s.lastBeat) > time.Duration(maxMissedBeats)*v.every {
 			continue
 		}
 		if s.peer.Zone == v.self.Zone {
@@ -295,11 +297,12 @@
 	return append(zone, far[:min(len(far), crossZoneLinks)]...)
 }
 
-func (v *View) fresh(s *seen, now time.Time) bool {
-	return !s.heard.IsZero() && now.Sub(s.heard) <= time.Duration(missedBeats)*v.every
+func (v *View) fresh(s *peerState, now time.Time) bool {
+	return !s.lastBeat.IsZero() && now.Sub(s.lastBeat) <= time.Duration(maxMissedBeats)*v.every
 }
 
-// Alive reports whether a process, named as by mesh.Peer.Who, was heard lately. Leaving ones are alive.
+// Alive reports whether a heartbeat of a process, named as by mesh.Peer.Who, was received recently. Leaving processes
+// are alive.
 func (v *View) Alive(who string) bool {
 	id, inc := mesh.SplitWho(who)
 	if id == v.self.ID {
@@ -311,7 +314,8 @@
 	return ok && s.peer.Inc == inc && v.fresh(s, v.now())
 }
 
-// Zone returns the live, staying instances of this zone, ordered by id; this one among them unless it is leaving.
+// Zone returns the live instances of this zone that are not leaving, ordered by ID. It includes this one unless it is
+// leaving.
 func (v *View) Zone() []mesh.Peer {
 	now := v.now()
 	v.mu.RLock()
@@ -337,7 +341,7 @@
 	return out
 }
 
-// Fleet returns every instance that is listed or was heard lately, this one among them, ordered by id.
+// Fleet returns every instance that is listed or has sent a recent heartbeat, including this one, ordered by ID.
 func (v *View) Fleet() []mesh.Peer {
 	now := v.now()
 	v.mu.RLock()
@@ -352,7 +356,7 @@
 	return out
 }
 
-// Find returns the instance of a process, wherever it is; the process itself may have been replaced.
+// Find returns the instance of a process in any zone. The process itself may have been replaced.
 func (v *View) Find(who string) (mesh.Peer, bool) {
 	id, _ := mesh.SplitWho(who)
 	if id == v.self.ID {
@@ -367,7 +371,8 @@
 	return s.peer, true
 }
 
-// Gone reports whether a process is neither listed nor heard lately, or has been replaced by another of its instance.
+// Lost reports whether a process is neither listed nor has sent a recent heartbeat, or was replaced by another process
+// of its instance.
 func (v *View) Lost(who string) bool {
 	id, inc := mesh.SplitWho(who)
 	if id == v.self.ID {
@@ -385,7 +390,7 @@
 	return !s.listed && !v.fresh(s, v.now())
 }
 
-// Status is one line of the operators' view.
+// Status is an entry of the operators' view.
 type Status struct {
 	ID      string `json:"id"`
 	Zone    string `json:"zone"`
@@ -396,7 +401,7 @@
 	Config  int64  `json:"config_version"`
 }
 
-// Statuses returns every known peer and this instance, ordered by id.
+// Statuses returns every known peer and this instance, ordered by ID.
 func (v *View) Statuses() []Status {
 	now := v.now()
 	v.mu.RLock()
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -14,12 +14,12 @@
 	"github.com/ledgemount/ledgemount/internal/standin/clock"
 )
 
-// list is an instance list that tests set; nil means that it cannot be read.
-type list struct{ insts []external.Instance }
+// fakeList is an instance list that tests set. Its reads fail while insts is nil.
+type fakeList struct{ insts []external.Instance }
 
-func (l *list) Instances(context.Context) ([]external.Instance, error) {
+func (l *fakeList) Instances(context.Context) ([]external.Instance, error) {
 	if l.insts == nil {
-		return nil, errors.New("the list is away")
+		return nil, errors.New("the list is unavailable")
 	}
 	return l.insts, nil
 }
@@ -27,7 +27,7 @@
 func TestView(t *testing.T) {
 	ctx := context.Background()
 	Convey("Given two listed instances of a zone", t, func() {
-		c, l, net := clock.New(), &list{}, meshtest.New()
+		c, l, net := clock.New(), &fakeList{}, meshtest.New()
 		l.insts = []external.Instance{{ID: "a", Zone: "z", Addr: "a", State: external.StateLive}, {ID: "b", Zone: "z", Addr: "b", State: external.StateLive}}
 		join := func(id, inc string) *View {
 			p := mesh.Peer{ID: id, Zone: "z", Addr: id, Inc: inc}
@@ -36,13 +36,13 @@
 		}
 		a, b := join("a", "1"), join("b", "1")
 		a.refresh(ctx)
-		Convey("a listed peer counts only once it is heard", func() {
+		Convey("a listed peer counts only after its first heartbeat", func() {
 			So(len(a.Zone()), ShouldEqual, 1)
 			a.beatAll(ctx)
 			So(len(a.Zone()), ShouldEqual, 2)
 			So(a.Alive(b.self.Who()), ShouldBeTrue)
 		})
-		Convey("a silent peer is not alive, but is gone only when it is off the list too", func() {
+		Convey("a silent peer is not alive, but is lost only when it is removed from the list too", func() {
 			a.beatAll(ctx)
 			net.SetDown("b", true)
 			c.Advance(10 * time.Second)
@@ -58,21 +58,21 @@
 			a.refresh(ctx)
 			So(len(a.Fleet()), ShouldEqual, 2)
 		})
-		Convey("a restarted process is someone else: the former one is gone", func() {
+		Convey("a restarted process is a different one: the former one is lost", func() {
 			a.beatAll(ctx)
 			join("b", "2")
 			a.beatAll(ctx)
 			So(a.Lost("b~1"), ShouldBeTrue)
 			So(a.Alive("b~2"), ShouldBeTrue)
 		})
-		Convey("a leaving instance is alive, but no home", func() {
+		Convey("a leaving instance is alive, but not in its zone's list", func() {
 			b.Leave()
 			a.beatAll(ctx)
 			So(a.Alive(b.self.Who()), ShouldBeTrue)
 			So(len(a.Zone()), ShouldEqual, 1)
 		})
 	})
-	Convey("Rendezvous moves only the keys of the peer that goes", t, func() {
+	Convey("Rendezvous hashing moves only the keys of the peer that is removed", t, func() {
 		peers := []mesh.Peer{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 		for _, key := range []string{"k1", "k2", "k3", "k4", "k5", "k6"} {
 			before, _ := Top(key, peers, "")
--- a/internal/member/rendezvous.go
+++ b/internal/member/rendezvous.go
@@ -31,22 +31,23 @@
 	return out
 }
 
-// Top returns the best peer for a key other than the one named not; without any other, the one named not itself.
-func Top(key string, peers []mesh.Peer, not string) (mesh.Peer, bool) {
-	var best, last mesh.Peer
-	var high uint64
-	found, only := false, false
+// Top returns the best peer for a key, except the one with the ID exclude. If there is no other peer, it returns the
+// excluded one.
+func Top(key string, peers []mesh.Peer, exclude string) (mesh.Peer, bool) {
+	var best, excluded mesh.Peer
+	var bestScore uint64
+	found, sawExcluded := false, false
 	for _, p := range peers {
-		if p.ID == not {
-			last, only = p, true
+		if p.ID == exclude {
+			excluded, sawExcluded = p, true
 			continue
 		}
-		if s := score(key, p.ID); !found || s > high || (s == high && p.ID < best.ID) {
-			best, high, found = p, s, true
+		if s := score(key, p.ID); !found || s > bestScore || (s == bestScore && p.ID < best.ID) {
+			best, bestScore, found = p, s, true
 		}
 	}
 	if found {
 		return best, true
 	}
-	return last, only
+	return excluded, sawExcluded
 }
--- a/internal/rollout/cache_test.go
+++ b/internal/rollout/cache_test.go
@@ -16,13 +16,13 @@
 	"github.com/ledgemount/ledgemount/internal/standin/engine"
 )
 
-// table remembers what it is told.
-type table struct {
+// recordingTable records the events that it receives.
+type recordingTable struct {
 	events []wire.CacheEvent
 	gaps   int
 }
 
-func (t *table) CacheEvents(_ string, events []wire.CacheEvent, gap bool) {
+func (t *recordingTable) CacheEvents(_ string, events []wire.CacheEvent, gap bool) {
 	t.events = append(t.events, events...)
 	if gap {
 		t.gaps++
@@ -46,9 +46,9 @@
 			So(resp.Body.Close(), ShouldBeNil)
 			return pool.Blocks(body)
 		}
-		tb := &table{}
-		s := &Cache{reader: d, table: tb, members: lone{}, after: make(map[string]int64)}
-		Convey("its blocks become known, and can be moved to another engine", func() {
+		tb := &recordingTable{}
+		s := &Cache{reader: d, table: tb, members: singleInstance{}, lastSeq: make(map[string]int64)}
+		Convey("its blocks are reported, and can be moved to another engine", func() {
 			blocks := ask("hello ")
 			s.read(ctx, "e", srv.URL)
 			So(len(tb.events), ShouldEqual, len(blocks))
@@ -63,7 +63,7 @@
 			_, err = d.ExportKV(ctx, other.URL, blocks[0])
 			So(err, ShouldBeNil)
 		})
-		Convey("a gap is noticed", func() {
+		Convey("a gap is detected", func() {
 			e.Set(engine.CacheGap, true)
 			ask("other ")
 			s.read(ctx, "e", srv.URL)
--- a/internal/rollout/feed.go
+++ b/internal/rollout/feed.go
@@ -1,4 +1,4 @@
-// Package rollout brings the accepted configuration to every instance and carries out endpoint orders.
+// Package rollout distributes the accepted configuration to every instance and sends orders to endpoints.
 package rollout
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// FeedName is the feed's name in the kernel.
+// FeedName is the kernel service name of Feed.
 const FeedName = "rollout.feed"
 
 // The feed's messages.
@@ -26,26 +26,26 @@
 )
 
 const (
-	readersPerZone = 2
-	defaultPoll    = 30 * time.Second
-	watchPause     = 300 * time.Millisecond
-	pushTimeout    = time.Second
-	roleCheck      = time.Second
+	readersPerZone    = 2
+	defaultPoll       = 30 * time.Second
+	watchPause        = 300 * time.Millisecond
+	pushTimeout       = time.Second
+	roleCheckInterval = time.Second
 )
 
-// Snapshot is a document as it travels between instances.
+// Snapshot is a document as it is sent between instances.
 type Snapshot struct {
 	Version int64  `cbor:"1,keyasint"`
-	Data    []byte `cbor:"2,keyasint"` // the document's JSON as it stands in the store
+	Data    []byte `cbor:"2,keyasint"` // the document's JSON as it is stored
 }
 
 // Listener is notified of every newer document.
 type Listener func(doc *declare.Document)
 
-// Feed holds the newest accepted document that this instance has heard of. It never goes back.
+// Feed holds the newest accepted document that this instance has received. Its version never decreases.
 //
-// A document is proved accepted by where it comes from: the store, or a peer whose certificate is of this fleet, and
-// which took it under the same rule.
+// The source of a document proves that it was accepted: the store, or a peer that has a certificate of this fleet and
+// adopted the document under the same rule.
 type Feed struct {
 	store   external.Store
 	members members
@@ -60,10 +60,10 @@
 	listeners []Listener
 	changed   chan struct{}
 	adoptedAt time.Time
-	inPush    sync.WaitGroup
+	pushes    sync.WaitGroup
 }
 
-// members is what the feed uses of the membership view.
+// members is the part of the membership view that this package uses.
 type members interface {
 	Self() mesh.Peer
 	Zone() []mesh.Peer
@@ -72,13 +72,13 @@
 // FeedOption changes a Feed.
 type FeedOption func(*Feed)
 
-// WithPoll sets the time between backstop reads of the store.
+// WithPoll sets the interval between reads of the store that back up the watch.
 func WithPoll(d time.Duration) FeedOption { return func(f *Feed) { f.poll = d } }
 
 // WithFeedLogger sets the logger.
 func WithFeedLogger(log zerolog.Logger) FeedOption { return func(f *Feed) { f.log = log } }
 
-// NewFeed makes a feed with an empty document of version 0 and registers its messages.
+// NewFeed makes a feed with an empty document of version 0 and registers its message handlers.
 func NewFeed(store external.Store, members members, caller mesh.Caller, router *mesh.Router, opts ...FeedOption) *Feed {
 	f := &Feed{
 		store:   store,
@@ -106,24 +106,24 @@
 // Name implements kernel.Service.
 func (f *Feed) Name() string { return FeedName }
 
-// OnChange adds a listener; call it before Run.
+// OnChange adds a listener. It must be called before Run.
 func (f *Feed) OnChange(l Listener) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.listeners = append(f.listeners, l)
 }
 
-// Document is the document in force. It must not be changed.
+// Document returns the document in force. It must not be modified.
 func (f *Feed) Document() *declare.Document {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
 	return f.doc
 }
 
-// Version is the version in force.
+// Version returns the version in force.
 func (f *Feed) Version() int64 { return f.Document().Version }
 
-// Await waits until at least a version is in force.
+// Await waits until the given version or a newer one is in force.
 func (f *Feed) Await(ctx context.Context, version int64) error {
 	for {
 		f.mu.RLock()
@@ -140,7 +140,7 @@
 	}
 }
 
-// Adopt takes a document if it is newer than the one in force.
+// Adopt puts a document in force if it is newer than the current one.
 func (f *Feed) Adopt(data []byte, rev int64) error {
 	if len(data) == 0 {
 		return nil
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// push tells the zone's other instances, if this one is a reader.
+// push sends a document to the zone's other instances if this one is a reader.
 func (f *Feed) push(s Snapshot) {
 	if !f.isReader() {
 		return
@@ -181,7 +181,7 @@
 		if p.ID == self.ID {
 			continue
 		}
-		f.inPush.Go(func() {
+		f.pushes.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), pushTimeout)
 			defer cancel()
 			_, _ = mesh.Call[Snapshot, mesh.Empty](ctx, f.caller, p.Addr, KindPush, s)
@@ -199,12 +199,12 @@
 	return false
 }
 
-// HandleBeat is notified of heartbeats: a peer with a newer version is asked for it.
+// HandleBeat processes a heartbeat. If the sender has a newer version, it is fetched from the sender.
 func (f *Feed) HandleBeat(_ context.Context, b member.Beat) {
 	if b.Config <= f.Version() {
 		return
 	}
-	f.inPush.Go(func() {
+	f.pushes.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), pushTimeout)
 		defer cancel()
 		s, err := mesh.Call[mesh.Empty, Snapshot](ctx, f.caller, b.Peer.Addr, KindFetch, mesh.Empty{})
@@ -223,13 +223,13 @@
 	return f.Adopt(e.Data, e.Revision)
 }
 
-// Run implements kernel.Service: readers watch the store, everyone reads it slowly.
+// Run implements kernel.Service. Readers watch the store; every instance also reads it at long intervals.
 func (f *Feed) Run(ctx context.Context) error {
-	defer f.inPush.Wait()
+	defer f.pushes.Wait()
 	if err := f.Read(ctx); err != nil {
 		f.log.Debug().Str("event", "config_unread").Err(err).Msg("configuration not read")
 	}
-	poll, role := time.NewTicker(f.poll), time.NewTicker(roleCheck)
+	poll, role := time.NewTicker(f.poll), time.NewTicker(roleCheckInterval)
 	defer poll.Stop()
 	defer role.Stop()
 	var watch sync.WaitGroup
@@ -262,7 +262,7 @@
 	}
 }
 
-// watch follows the store until ctx ends; a broken watch is opened again.
+// watch watches the store until ctx ends. It reopens a broken watch.
 func (f *Feed) watch(ctx context.Context) {
 	ctx = external.WithDuty(ctx, external.DutyConfig)
 	for ctx.Err() == nil {
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -15,21 +15,21 @@
 	"github.com/ledgemount/ledgemount/internal/step"
 )
 
-// OrdersName is the name of the order service in the kernel.
+// OrdersName is the kernel service name of Orders.
 const OrdersName = "rollout.orders"
 
 const (
-	ordersEvery  = time.Second
-	orderTimeout = 2 * time.Second
+	ordersInterval = time.Second
+	orderTimeout   = 2 * time.Second
 )
 
-// Commander gives an order to an endpoint.
+// Commander sends an order to an endpoint.
 type Commander interface {
 	Order(ctx context.Context, url string, o wire.Order) error
 }
 
-// Orders tells the zone's endpoints that check what the configuration wants of them. Each endpoint has one instance
-// of its zone that does it; two that both think so do no harm, since orders carry rising fences.
+// Orders sends the configuration's settings to the zone's endpoints that check fencing numbers. One instance of the
+// zone owns each endpoint. It is safe if two instances both act as owner, because orders carry rising fencing numbers.
 type Orders struct {
 	feed      *Feed
 	members   members
@@ -38,12 +38,12 @@
 	hook      step.Hook
 	log       zerolog.Logger
 
-	given map[string]int64 // the fence that an endpoint has taken
+	takenFences map[string]int64 // last fence that each endpoint has taken
 }
 
 // NewOrders makes the service.
 func NewOrders(feed *Feed, m members, c Commander, weights external.WeightStore, hook step.Hook, log zerolog.Logger) *Orders {
-	return &Orders{feed: feed, members: m, commander: c, weights: weights, hook: hook, log: log, given: make(map[string]int64)}
+	return &Orders{feed: feed, members: m, commander: c, weights: weights, hook: hook, log: log, takenFences: make(map[string]int64)}
 }
 
 // Name implements kernel.Service.
@@ -51,30 +51,30 @@
 
 // Run implements kernel.Service.
 func (o *Orders) Run(ctx context.Context) error {
-	kernel.Every(ctx, ordersEvery, o.Tick)
+	kernel.Every(ctx, ordersInterval, o.Tick)
 	return nil
 }
 
-// Tick gives the orders that are due, one after another, so that loads of weights are staggered.
+// Tick sends the orders that are due one after another, so that loads of weights are staggered.
 func (o *Orders) Tick(ctx context.Context) {
 	doc := o.feed.Document()
 	for name, e := range doc.Decl.Endpoints {
 		fence := doc.Fences[name]
-		if !e.Checks || o.given[name] >= fence || !isHome(o.members, name, e.Zone) {
+		if !e.Checks || o.takenFences[name] >= fence || !isOwner(o.members, name, e.Zone) {
 			continue
 		}
-		if err := o.give(ctx, doc, e, fence); err != nil {
-			o.log.Warn().Str("event", "order_failed").Str("endpoint", name).Err(err).Msg("endpoint has not taken its order")
+		if err := o.giveOrder(ctx, doc, e, fence); err != nil {
+			o.log.Warn().Str("event", "order_failed").Str("endpoint", name).Err(err).Msg("endpoint did not accept its order")
 			continue
 		}
-		o.given[name] = fence
-		o.log.Info().Str("event", "order_taken").Str("endpoint", name).Int64("fence", fence).Msg("endpoint has taken its order")
+		o.takenFences[name] = fence
+		o.log.Info().Str("event", "order_taken").Str("endpoint", name).Int64("fence", fence).Msg("endpoint accepted its order")
 	}
 }
 
-// isHome reports whether this instance is the one of an endpoint's zone that speaks to the endpoint for all. Two that both
-// think so do no harm.
-func isHome(m members, endpoint, zone string) bool {
+// isOwner reports whether this instance is the one of an endpoint's zone that communicates with the endpoint for all.
+// It is safe if two instances both act as owner.
+func isOwner(m members, endpoint, zone string) bool {
 	self := m.Self()
 	if zone != self.Zone {
 		return false
@@ -83,7 +83,7 @@
 	return ok && p.ID == self.ID
 }
 
-func (o *Orders) give(ctx context.Context, doc *declare.Document, e declare.Endpoint, fence int64) error {
+func (o *Orders) giveOrder(ctx context.Context, doc *declare.Document, e declare.Endpoint, fence int64) error {
 	if err := o.hook(ctx, step.Drain); err != nil {
 		return err
 	}
