--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -55,8 +55,8 @@
 
 // New makes a clock.
 func New(opts ...Option) *Clock {
-	begun := time.Now()
-	c := &Clock{read: Read, steady: func() time.Duration { return time.Since(begun) }}
+	start := time.Now()
+	c := &Clock{read: Read, steady: func() time.Duration { return time.Since(start) }}
 	for _, opt := range opts {
 		opt(c)
 	}
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -17,35 +17,35 @@
 			WithRead(func() (time.Duration, error) { return boot + steady + suspended, readErr }))
 		var reported []time.Duration
 		c.OnResume(func(d time.Duration) { reported = append(reported, d) })
-		begun := c.Now()
+		start := c.Now()
 
 		Convey("follows the steady clock and reports nothing", func() {
 			steady = 3 * time.Second
 			c.Check()
-			So(c.Now().Sub(begun), ShouldEqual, 3*time.Second)
+			So(c.Now().Sub(start), ShouldEqual, 3*time.Second)
 			So(reported, ShouldBeEmpty)
 		})
 
 		Convey("adds a suspension at the next check, and reports it once", func() {
 			steady, suspended = time.Second, 8*time.Second
-			So(c.Now().Sub(begun), ShouldEqual, time.Second)
+			So(c.Now().Sub(start), ShouldEqual, time.Second)
 			c.Check()
 			c.Check()
-			So(c.Now().Sub(begun), ShouldEqual, 9*time.Second)
+			So(c.Now().Sub(start), ShouldEqual, 9*time.Second)
 			So(reported, ShouldResemble, []time.Duration{8 * time.Second})
 			suspended += 2 * time.Second
 			c.Check()
-			So(c.Now().Sub(begun), ShouldEqual, 11*time.Second)
+			So(c.Now().Sub(start), ShouldEqual, 11*time.Second)
 			So(len(reported), ShouldEqual, 2)
 		})
 
 		Convey("never steps back, and follows the steady clock if the boot time cannot be read", func() {
 			suspended = -5 * time.Second
 			c.Check()
-			So(c.Now(), ShouldEqual, begun)
+			So(c.Now(), ShouldEqual, start)
 			readErr, suspended = errors.New("not there"), 8*time.Second
 			c.Check()
-			So(c.Now(), ShouldEqual, begun)
+			So(c.Now(), ShouldEqual, start)
 		})
 	})
 
--- a/internal/external/observed.go
+++ b/internal/external/observed.go
@@ -41,7 +41,7 @@
 	if err := o.backoff.check(); err != nil && !isFinalCall(ctx) {
 		return err
 	}
-	begun := time.Now()
+	start := time.Now()
 	err := f()
 	var retryAfter *RetryAfterError
 	if errors.As(err, &retryAfter) && o.backoff.start(retryAfter) {
@@ -50,7 +50,7 @@
 		}
 	}
 	if notify := o.onCall.Load(); notify != nil {
-		(*notify)(Call{Name: name, Duty: DutyOf(ctx), Stale: Stale(ctx), Outcome: outcomeOf(err), Took: time.Since(begun)})
+		(*notify)(Call{Name: name, Duty: DutyOf(ctx), Stale: Stale(ctx), Outcome: outcomeOf(err), Took: time.Since(start)})
 	}
 	return err
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -71,15 +71,15 @@
 }
 
 // cursor returns the position of the requesting instance. A request without an epoch is taken to be of the present one.
-func (q updateRequest) cursor(present int64) follow.Cursor {
-	epoch := q.Epoch
+func (r updateRequest) cursor(present int64) follow.Cursor {
+	epoch := r.Epoch
 	if epoch == 0 {
 		epoch = present
 	}
-	if q.At == 0 {
+	if r.At == 0 {
 		return follow.Cursor{}
 	}
-	return follow.Cursor{At: external.Revision(epoch, q.At), ConfigAt: external.Revision(epoch, q.ConfigAt)}
+	return follow.Cursor{At: external.Revision(epoch, r.At), ConfigAt: external.Revision(epoch, r.ConfigAt)}
 }
 
 // updateReply answers an updateRequest.
@@ -126,12 +126,12 @@
 	builtAt time.Time
 }
 
-func (s *server) handleUpdate(_ context.Context, _ mesh.Peer, q updateRequest) (updateReply, error) {
-	if q.Epoch > 0 && s.epochs.Observe(q.Epoch, 0) != nil {
-		q.At = 0 // the requester follows an earlier epoch and needs everything
+func (s *server) handleUpdate(_ context.Context, _ mesh.Peer, req updateRequest) (updateReply, error) {
+	if req.Epoch > 0 && s.epochs.Observe(req.Epoch, 0) != nil {
+		req.At = 0 // the requester follows an earlier epoch and needs everything
 	}
 	present := s.epochs.Current()
-	since := q.cursor(present)
+	since := req.cursor(present)
 	u, ok := s.follower.UpdateSince(since)
 	if !ok || external.EpochOf(u.At) < present {
 		return updateReply{}, nil
@@ -140,23 +140,23 @@
 		return updateReply{Known: true, AgeMs: u.Age.Milliseconds()}, nil // too old for any requester
 	}
 	epoch := external.EpochOf(u.At)
-	n := updateReply{
+	reply := updateReply{
 		Known: true, At: external.NumberOf(u.At), ConfigAt: numberIn(epoch, u.ConfigAt), Whole: u.Complete, Endpoints: u.Endpoints, Gone: u.Removed,
 		AgeMs: u.Age.Milliseconds(), OperatorAt: numberIn(epoch, u.OperatorAt), Evacuated: u.Evacuated.Zones, Epoch: epoch,
 	}
 	var err error
 	if u.Complete {
-		n.Endpoints = nil
+		reply.Endpoints = nil
 		var at int64
-		if n.All, at, err = s.encodedEndpoints(u, since.At); err != nil {
+		if reply.All, at, err = s.encodedEndpoints(u, since.At); err != nil {
 			return updateReply{}, err
 		}
-		n.At = external.NumberOf(at)
+		reply.At = external.NumberOf(at)
 	}
 	if u.Config != nil {
-		n.Config, err = s.encodedConfig(u.Config)
+		reply.Config, err = s.encodedConfig(u.Config)
 	}
-	return n, err
+	return reply, err
 }
 
 // encodedEndpoints returns an encoded list of all endpoints and its revision. The list is shared by all requests within
@@ -352,47 +352,47 @@
 func (s *Source) fetchFrom(ctx context.Context, p mesh.Peer, since follow.Cursor, maxAge time.Duration) (follow.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
-	n, err := peers.Call[updateRequest, updateReply](ctx, s.dir, p, KindUpdate, newRequest(since, s.epochs.Current()))
-	age := time.Duration(n.AgeMs) * time.Millisecond
+	reply, err := peers.Call[updateRequest, updateReply](ctx, s.dir, p, KindUpdate, newRequest(since, s.epochs.Current()))
+	age := time.Duration(reply.AgeMs) * time.Millisecond
 	switch {
 	case err != nil:
 		return follow.Update{}, err
-	case !n.Known:
+	case !reply.Known:
 		return follow.Update{}, errLeadersStarting
 	case age > maxAge:
 		return follow.Update{}, errLeadersStale
-	case !n.Whole && (since.At == 0 || external.EpochOf(since.At) < s.epochs.Current()):
+	case !reply.Whole && (since.At == 0 || external.EpochOf(since.At) < s.epochs.Current()):
 		return follow.Update{}, errNoLeader
 	}
-	if err := s.checkEpoch(&n); err != nil {
+	if err := s.checkEpoch(&reply); err != nil {
 		return follow.Update{}, err
 	}
-	operator := external.Revision(n.Epoch, n.OperatorAt)
+	operator := external.Revision(reply.Epoch, reply.OperatorAt)
 	u := follow.Update{
-		At: external.Revision(n.Epoch, n.At), ConfigAt: external.Revision(n.Epoch, n.ConfigAt), Complete: n.Whole, Endpoints: n.Endpoints, Removed: n.Gone,
-		Events: 1, FromPeer: true, Age: age, OperatorAt: operator, Evacuated: &evacuation.Set{At: operator, Zones: n.Evacuated},
+		At: external.Revision(reply.Epoch, reply.At), ConfigAt: external.Revision(reply.Epoch, reply.ConfigAt), Complete: reply.Whole, Endpoints: reply.Endpoints, Removed: reply.Gone,
+		Events: 1, FromPeer: true, Age: age, OperatorAt: operator, Evacuated: &evacuation.Set{At: operator, Zones: reply.Evacuated},
 	}
-	if len(n.All) > 0 {
-		if u.Endpoints, err = unpack[[]pool.Endpoint](n.All); err != nil {
+	if len(reply.All) > 0 {
+		if u.Endpoints, err = unpack[[]pool.Endpoint](reply.All); err != nil {
 			return follow.Update{}, err
 		}
 	}
-	if len(n.Config) > 0 {
-		u.Config, err = unpack[*route.Config](n.Config)
+	if len(reply.Config) > 0 {
+		u.Config, err = unpack[*route.Config](reply.Config)
 	}
 	return u, err
 }
 
 // checkEpoch checks the epoch of a reply. A reply without an epoch is rejected once the store was restored, because it
 // may be of an earlier epoch.
-func (s *Source) checkEpoch(n *updateReply) error {
+func (s *Source) checkEpoch(reply *updateReply) error {
 	switch {
-	case n.Epoch > 0:
-		return s.epochs.Observe(n.Epoch, n.At)
+	case reply.Epoch > 0:
+		return s.epochs.Observe(reply.Epoch, reply.At)
 	case s.epochs.Restored():
 		return errNoLeader
 	}
-	n.Epoch = s.epochs.Current()
+	reply.Epoch = s.epochs.Current()
 	return nil
 }
 
@@ -405,20 +405,20 @@
 }
 
 // active reports whether calls to the store are suspended now.
-func (r *storeBackoff) active(now time.Time) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return now.Before(r.until)
+func (b *storeBackoff) active(now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return now.Before(b.until)
 }
 
 // recordResult takes the result of a call to the store.
-func (r *storeBackoff) recordResult(now time.Time, err error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (b *storeBackoff) recordResult(now time.Time, err error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if err == nil {
-		r.pause, r.until = 0, time.Time{}
+		b.pause, b.until = 0, time.Time{}
 		return
 	}
-	r.pause = min(max(2*r.pause, firstPause), maxPause)
-	r.until = now.Add(r.pause)
+	b.pause = min(max(2*b.pause, firstPause), maxPause)
+	b.until = now.Add(b.pause)
 }
--- a/internal/fleettime/fleettime.go
+++ b/internal/fleettime/fleettime.go
@@ -81,10 +81,10 @@
 
 // New makes a clock and registers its message handler.
 func New(dir *peers.Directory, self string, router *mesh.Router, opts ...Option) *Clock {
-	begun := time.Now()
+	start := time.Now()
 	c := &Clock{
 		dir: dir, self: self, readings: make(map[string]reading), wall: time.Now,
-		steady: func() time.Duration { return time.Since(begun) },
+		steady: func() time.Duration { return time.Since(start) },
 	}
 	for _, opt := range opts {
 		opt(c)
@@ -144,15 +144,15 @@
 func (c *Clock) ask(ctx context.Context, coordinator mesh.Peer) bool {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	begun := c.steady()
-	a, err := peers.Call[clockReport, boundsReply](ctx, c.dir, coordinator, KindAsk, clockReport{WallMs: c.wall().UnixMilli()})
+	start := c.steady()
+	reply, err := peers.Call[clockReport, boundsReply](ctx, c.dir, coordinator, KindAsk, clockReport{WallMs: c.wall().UnixMilli()})
 	if err != nil {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a.LowMs != 0 && c.steady()-begun <= maxDelay {
-		c.setBounds(Bounds{Low: time.UnixMilli(a.LowMs), High: time.UnixMilli(a.HighMs)})
+	if reply.LowMs != 0 && c.steady()-start <= maxDelay {
+		c.setBounds(Bounds{Low: time.UnixMilli(reply.LowMs), High: time.UnixMilli(reply.HighMs)})
 	}
 	return true
 }
--- a/internal/fleettime/fleettime_test.go
+++ b/internal/fleettime/fleettime_test.go
@@ -24,7 +24,7 @@
 
 func newFixture(ctx context.Context, n int) *fixture {
 	b := &fixture{net: meshtest.New(), now: time.Unix(1_000_000, 0), offsets: make(map[string]time.Duration)}
-	begun := b.now
+	start := b.now
 	list := make([]mesh.Peer, 0, n)
 	for i := range n {
 		list = append(list, mesh.Peer{ID: fmt.Sprintf("i-%d", i), Zone: "a", Addr: fmt.Sprintf("i-%d:1", i)})
@@ -33,7 +33,7 @@
 	So(err, ShouldBeNil)
 	for _, x := range fleet {
 		b.clocks = append(b.clocks, New(x.Dir, x.Self.ID, x.Router,
-			WithSteady(func() time.Duration { return b.now.Sub(begun) }),
+			WithSteady(func() time.Duration { return b.now.Sub(start) }),
 			WithWall(func() time.Time { return b.now.Add(b.offsets[x.Self.ID]) })))
 	}
 	return b
