--- a/internal/escrow/leave.go
+++ b/internal/escrow/leave.go
@@ -12,7 +12,7 @@
 
 // Leave returns everything unspent and removes the holder from every page. It retries until ctx ends.
 func (h *Holder) Leave(ctx context.Context) error {
-	ctx = external.WithLast(ctx)
+	ctx = external.WithFinalCall(ctx)
 	for _, p := range h.pages {
 		for {
 			err := h.leaveOnce(ctx, p)
--- a/internal/escrow/property_test.go
+++ b/internal/escrow/property_test.go
@@ -374,10 +374,10 @@
 		n.hasFleetTime = n.hasFleetTime && rapid.Bool().Draw(t, "timed")
 		w.powerLoss(n)
 	case 13:
-		w.store.SetLose(rapid.Bool().Draw(t, "lose"))
+		w.store.SetLoseResponses(rapid.Bool().Draw(t, "lose"))
 	case 14:
-		w.store.SetLate(rapid.Bool().Draw(t, "late"))
-		w.store.Release()
+		w.store.SetDelayWrites(rapid.Bool().Draw(t, "late"))
+		w.store.ReleaseWrites()
 	case 15:
 		w.stopAndRestart(n)
 	case 16, 17:
@@ -450,8 +450,8 @@
 	if len(reach) == 0 {
 		return
 	}
-	w.store.SetLose(false)
-	w.store.SetLate(false)
+	w.store.SetLoseResponses(false)
+	w.store.SetDelayWrites(false)
 	number := w.store.Number()
 	w.store.RestoreTo(rapid.Int64Range(max(0, number-maxRollback), number).Draw(t, "restored to"))
 	first := reach[rapid.IntRange(0, len(reach)-1).Draw(t, "first")]
@@ -473,8 +473,8 @@
 // pages. All holders that have written since the copy are alive, notice the restoration, and restate their rows within
 // restateWait, some of them several times.
 func (w *world) restoreWithoutCopies(t *rapid.T) {
-	w.store.SetLose(false)
-	w.store.SetLate(false)
+	w.store.SetLoseResponses(false)
+	w.store.SetDelayWrites(false)
 	for _, n := range w.nodes {
 		n.store.unreachable, n.link, n.leadsZone = false, linkNone, false
 		for range 3 {
@@ -579,7 +579,7 @@
 				n.link = rapid.IntRange(linkNone, linkModes-1).Draw(t, "link")
 				lost = lost || n.link == linkDelayed // rows may be written after their holder has stopped
 			case 12:
-				w.store.SetLate(rapid.Bool().Draw(t, "late"))
+				w.store.SetDelayWrites(rapid.Bool().Draw(t, "late"))
 			case 13:
 				w.spendAll(n, customer)
 			}
@@ -600,8 +600,8 @@
 				perform()
 			}
 		}
-		w.store.SetLate(false)
-		w.store.Release()
+		w.store.SetDelayWrites(false)
+		w.store.ReleaseWrites()
 		w.spendInTurns(4)
 		w.check(t)
 		for c, spent := range w.spent {
--- a/internal/escrow/restore_test.go
+++ b/internal/escrow/restore_test.go
@@ -87,10 +87,10 @@
 			left := a.holder.View(north).Available
 			So(left, ShouldBeLessThan, 20_000)
 			So(w.reserveAfterRefresh(b, north, 30_000), ShouldBeTrue)
-			w.store.SetLose(true)
+			w.store.SetLoseResponses(true)
 			w.useTokens(a, north, 1)
 			w.refresh(a)
-			w.store.SetLose(false)
+			w.store.SetLoseResponses(false)
 			a.forgetPages()
 			w.restoreTo(copied)
 			w.observe(a)
--- a/internal/load/limits.go
+++ b/internal/load/limits.go
@@ -133,7 +133,7 @@
 func (x *Exchange) updateClaims() {
 	now := x.now()
 	limited := x.pool.Limited()
-	part := x.dir.Part(limit.SettleTime)
+	part := x.dir.EvenShare(limit.SettleTime)
 	rates, claims := make(map[uint32]limit.Rate, len(limited)), make(limit.Claims, len(limited))
 	for key, l := range limited {
 		rates[key] = l.Rate
@@ -141,7 +141,7 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.dir.Part(limit.LeaseDuration) == 0 {
+	if x.dir.EvenShare(limit.LeaseDuration) == 0 {
 		clear(rates) // leases granted by the previous process of this instance may still be in use
 	}
 	x.rates, x.lastExchange = rates, now
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -142,7 +142,7 @@
 	defer cancel()
 	x.updateClaims()
 	defer x.applyLeases()
-	gatherers := x.dir.Keepers()
+	gatherers := x.dir.Coordinators()
 	if len(gatherers) == 0 {
 		x.exchangeZones(ctx)
 		x.applyOthers(x.reportExcept(""))
@@ -183,7 +183,7 @@
 	mine := pack(x.zoneReport(), x.now())
 	leader, ok := x.fleetLeader()
 	var wg sync.WaitGroup
-	for _, p := range x.dir.Heads() {
+	for _, p := range x.dir.OtherZoneLeaders() {
 		wg.Go(func() {
 			requestedAt := x.now()
 			mine := digest{Lines: mine.Lines, Leaving: mine.Leaving, Limits: mine.Limits, Piggyback: x.piggyback.Payload(p.ID)}
--- a/internal/pool/connections.go
+++ b/internal/pool/connections.go
@@ -43,7 +43,7 @@
 	if c == nil || (!c.checked.IsZero() && now.Sub(c.checked) < ownersTTL) {
 		return c
 	}
-	place, size := l.owners.Place()
+	place, size := l.owners.Position()
 	c.place, c.size = uint64(max(0, place)), uint64(max(1, size)) //nolint:gosec // neither is below 0
 	c.share = c.limit / max(1, size)
 	c.checked = now
--- a/internal/pool/connections_test.go
+++ b/internal/pool/connections_test.go
@@ -13,9 +13,9 @@
 // places, rotated by the key.
 type fleetMember struct{ place, size int }
 
-func (fleetMember) Known() bool         { return true }
-func (o fleetMember) Place() (int, int) { return o.place, o.size }
-func (o fleetMember) Size() int         { return o.size }
+func (fleetMember) IsDiscovered() bool     { return true }
+func (o fleetMember) Position() (int, int) { return o.place, o.size }
+func (o fleetMember) Size() int            { return o.size }
 func (o fleetMember) Owns(key string, first int) bool {
 	return (o.place+int(key[len(key)-1]))%o.size < first
 }
--- a/internal/pool/limits_test.go
+++ b/internal/pool/limits_test.go
@@ -12,10 +12,10 @@
 // fleetOf is a fleet of that many instances, each of which owns every key.
 type fleetOf int
 
-func (fleetOf) Known() bool           { return true }
-func (n fleetOf) Size() int           { return int(n) }
-func (fleetOf) Owns(string, int) bool { return true }
-func (n fleetOf) Place() (int, int)   { return 0, int(n) }
+func (fleetOf) IsDiscovered() bool     { return true }
+func (n fleetOf) Size() int            { return int(n) }
+func (fleetOf) Owns(string, int) bool  { return true }
+func (n fleetOf) Position() (int, int) { return 0, int(n) }
 
 // countTaken counts the requests that the endpoint gets in a period, of 100 a second.
 func (p *noticePool) countTaken(d time.Duration) int {
--- a/internal/pool/warm.go
+++ b/internal/pool/warm.go
@@ -24,12 +24,12 @@
 
 // Owners determines which instances own what, in an order that each instance computes by itself.
 type Owners interface {
-	// Known reports whether the other instances are known at all.
-	Known() bool
+	// IsDiscovered reports whether the other instances are known at all.
+	IsDiscovered() bool
 	// Size is the number of instances, including this one.
 	Size() int
-	// Place is this instance's place among all, from 0, and their number. All instances compute the same order.
-	Place() (place, size int)
+	// Position is this instance's place among all, from 0, and their number. All instances compute the same order.
+	Position() (place, size int)
 	// Owns reports whether this instance is among the first ones in the order for a key.
 	Owns(key string, first int) bool
 }
@@ -43,10 +43,10 @@
 // singleInstance is a fleet of one instance.
 type singleInstance struct{}
 
-func (singleInstance) Known() bool           { return true }
+func (singleInstance) IsDiscovered() bool    { return true }
 func (singleInstance) Size() int             { return 1 }
 func (singleInstance) Owns(string, int) bool { return true }
-func (singleInstance) Place() (int, int)     { return 0, 1 }
+func (singleInstance) Position() (int, int)  { return 0, 1 }
 
 // warming is the state of a cold endpoint.
 type warming struct {
@@ -116,7 +116,7 @@
 	w := &m.warming
 	if now.Sub(w.checked) > ownersTTL {
 		w.share = slowstart.Plan(l.warmups[m.Service], l.coldBounds, l.owners.Size())
-		w.owns = l.owners.Known() && l.owners.Owns(m.ID, w.share.Owners)
+		w.owns = l.owners.IsDiscovered() && l.owners.Owns(m.ID, w.share.Owners)
 		w.checked = now
 	}
 	return w.owns && w.bucket.Has(now, w.share)
--- a/internal/pool/warm_test.go
+++ b/internal/pool/warm_test.go
@@ -84,9 +84,9 @@
 	list []mesh.Peer
 }
 
-func (r rankedOwners) Known() bool { return true }
-func (r rankedOwners) Size() int   { return len(r.list) }
-func (r rankedOwners) Place() (int, int) {
+func (r rankedOwners) IsDiscovered() bool { return true }
+func (r rankedOwners) Size() int          { return len(r.list) }
+func (r rankedOwners) Position() (int, int) {
 	return slices.IndexFunc(r.list, func(p mesh.Peer) bool { return p.ID == r.self }), len(r.list)
 }
 
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -166,7 +166,7 @@
 // begin reads the store once, unless there are others that tell.
 func (s *Replicator) begin(ctx context.Context) {
 	select {
-	case <-s.dir.Met():
+	case <-s.dir.Discovered():
 	case <-time.After(lookEvery):
 	case <-ctx.Done():
 		return
@@ -178,7 +178,7 @@
 
 // isolated reports whether the store is the only one that can tell of other instances. A small fleet hears it from the store in any case.
 func (s *Replicator) isolated() bool {
-	return s.dir.Large() && (s.dir.Stranded() || (s.dir.Leads() && s.dir.Cut()))
+	return s.dir.Large() && (s.dir.LeadersUnreachable() || (s.dir.Leads() && s.dir.NotifyTargetUnreachable()))
 }
 
 // Payload is what is to be told to another instance now; nil: nothing.
@@ -258,7 +258,7 @@
 	var g sync.WaitGroup
 	var mu sync.Mutex
 	missed := false
-	for _, p := range s.dir.Spread() {
+	for _, p := range s.dir.NotifyTargets() {
 		g.Go(func() {
 			if err := s.pushTo(ctx, p); err != nil {
 				mu.Lock()
@@ -268,7 +268,7 @@
 		})
 	}
 	g.Wait()
-	if missed || s.dir.Cut() || !s.dir.Linked() {
+	if missed || s.dir.NotifyTargetUnreachable() || !s.dir.Linked() {
 		s.mu.Lock()
 		s.unsaved = true
 		s.mu.Unlock()
