--- a/internal/relay/core.go
+++ b/internal/relay/core.go
@@ -169,7 +169,7 @@
 	headerSent  bool         // the response header has been sent to the caller
 	events      int64
 	lastEventAt time.Time // when the last event was received
-	// billInFull: the caller has a response that is not a stream, whose tokens cannot be counted
+	// billInFull is set if the caller received a response that is not a stream, whose tokens cannot be counted.
 	billInFull      bool
 	lastEventID     string // ID of the last event that was forwarded
 	cachedDigest    *quarantine.Digest
--- a/internal/router/calls.go
+++ b/internal/router/calls.go
@@ -12,7 +12,7 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// callCounts counts calls to the store by what they are for.
+// callCounts holds counters by purpose: calls to the store, or bytes sent to other instances.
 type callCounts struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -20,14 +20,15 @@
 
 func newCallCounts() *callCounts { return &callCounts{counts: make(map[string]int)} }
 
-// sent counts the bytes of a message to another instance, by its kind.
+// sent adds the size of a message to another instance to the counter of its kind.
 func (c *callCounts) sent(kind mesh.Kind, bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[string(kind)] += bytes
 }
 
-// add counts a call as DUTY_CALL, with _stale for those that a copy was good enough for and _failed for those without an answer.
+// add counts a call to the store as DUTY_CALL, followed by _stale if a stale read was acceptable, and by the outcome
+// unless the call succeeded.
 func (c *callCounts) add(call external.Call) {
 	name := string(call.Duty) + "_" + call.Name
 	if call.Stale {
@@ -41,8 +42,8 @@
 	c.counts[name]++
 }
 
-// take returns what was counted since it was last called.
-func (c *callCounts) take() map[string]int {
+// drain returns the counters and resets them.
+func (c *callCounts) drain() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := c.counts
@@ -50,7 +51,7 @@
 	return out
 }
 
-// callLog is the service that logs how often the store was called, and what was sent to other instances, and what for.
+// callLog is the service that periodically logs the calls to the store and the bytes sent to other instances, by purpose.
 type callLog struct {
 	counts *callCounts
 	sent   *callCounts
@@ -58,17 +59,17 @@
 	log    zerolog.Logger
 }
 
-// Role is what an instance does for others.
+// Role is the role of an instance in its fleet.
 type Role string
 
-// The roles.
+// Roles of instances.
 const (
-	RoleMember Role = "member" // nothing, or its fleet is small
-	RoleLeader Role = "leader" // it leads its zone
-	RoleWriter Role = "writer" // it also follows the store and writes budgets for the leaders of other zones
+	RoleMember Role = "member" // has no tasks for others, or the fleet is small
+	RoleLeader Role = "leader" // leads its availability zone
+	RoleWriter Role = "writer" // a leader that also watches the store and writes budgets for the leaders of other zones
 )
 
-// role tells this instance's role as far as it knows it.
+// role returns this instance's role according to its own view of the fleet.
 func (r *Router) role() Role {
 	switch {
 	case !r.peers.Large() || !r.peers.Leads():
@@ -79,30 +80,30 @@
 	return RoleWriter
 }
 
-// storeCalls is the event of the line that reports calls to the store.
-const storeCalls = "store_calls"
+// eventStoreCalls is the event name of log lines that report calls to the store.
+const eventStoreCalls = "store_calls"
 
-// meshSent is the event of the line that reports bytes sent to other instances.
-const meshSent = "mesh_sent"
+// eventMeshSent is the event name of log lines that report bytes sent to other instances.
+const eventMeshSent = "mesh_sent"
 
-// callLogEvery bounds the lines that tell of calls.
-const callLogEvery = 5 * time.Second
+// callLogInterval is the interval at which counters are logged.
+const callLogInterval = 5 * time.Second
 
 // Name implements kernel.Service.
 func (*callLog) Name() string { return "call-log" }
 
 // Run implements kernel.Service.
 func (l *callLog) Run(ctx context.Context) error {
-	kernel.Every(ctx, callLogEvery, func(context.Context) { l.write() })
+	kernel.Every(ctx, callLogInterval, func(context.Context) { l.write() })
 	return nil
 }
 
 func (l *callLog) write() {
-	l.line(storeCalls, "calls", l.counts.take(), "calls to the store, by what they are for")
-	l.line(meshSent, "bytes", l.sent.take(), "bytes sent to other instances, by what they are for")
+	l.logCounts(eventStoreCalls, "calls", l.counts.drain(), "calls to the store, by what they are for")
+	l.logCounts(eventMeshSent, "bytes", l.sent.drain(), "bytes sent to other instances, by what they are for")
 }
 
-func (l *callLog) line(event, field string, counts map[string]int, msg string) {
+func (l *callLog) logCounts(event, field string, counts map[string]int, msg string) {
 	if len(counts) == 0 {
 		return
 	}
--- a/internal/router/calls_test.go
+++ b/internal/router/calls_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestCallLog(t *testing.T) {
-	Convey("Calls to the store are logged by what they are for, and only once", t, func() {
+	Convey("Calls to the store are logged by purpose, and each only once", t, func() {
 		var out bytes.Buffer
 		l := &callLog{counts: newCallCounts(), sent: newCallCounts(), role: func() Role { return RoleLeader }, log: zerolog.New(&out)}
 		kv := memkv.New()
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -19,18 +19,18 @@
 	"github.com/ledgemount/ledgemount/internal/relay"
 )
 
-// meters are the counters and histograms of a router.
+// meters holds the counters and histograms of a router.
 type meters struct {
 	metrics *observe.Metrics
 	first   tally.Histogram
 	total   tally.Histogram
 	store   tally.Histogram
 	calls   *callCounts
-	sent    *callCounts // bytes
+	sent    *callCounts // bytes sent to other instances
 }
 
-func newMeters(set *Settings) *meters {
-	m := observe.NewMetrics(set.Instance.ID, set.Instance.Zone)
+func newMeters(settings *Settings) *meters {
+	m := observe.NewMetrics(settings.Instance.ID, settings.Instance.Zone)
 	const smallest, growth, steps = time.Millisecond, 2, 15
 	buckets := tally.MustMakeExponentialDurationBuckets(smallest, growth, steps)
 	m.Scope().Tagged(map[string]string{"build": buildinfo.Revision(), "formats": strconv.Itoa(compat.Generation)}).Gauge("build_info").Update(1)
@@ -44,38 +44,39 @@
 	}
 }
 
-// started keeps how long a step of the start took.
-func (m *meters) started(step Step, took time.Duration) {
+// recordStartStep records the time from the start of the process to a step of its start.
+func (m *meters) recordStartStep(step Step, took time.Duration) {
 	m.metrics.Scope().Tagged(map[string]string{"step": string(step)}).Gauge("start_step_seconds").Update(took.Seconds())
 }
 
-// folded counts tokens of holders that were lost: those that they had reported as spent, and those that only may have been.
-func (m *meters) folded(f escrow.Folded) {
+// recordFolded counts the tokens that were settled for lost holders: those that the holders had reported as spent
+// (proven), and those that they may have spent.
+func (m *meters) recordFolded(f escrow.Folded) {
 	m.metrics.Scope().Tagged(map[string]string{"proven": "yes"}).Counter("escrow_settled_tokens_total").Inc(f.Spent)
 	m.metrics.Scope().Tagged(map[string]string{"proven": "no"}).Counter("escrow_settled_tokens_total").Inc(f.Unproven())
 }
 
-// called counts a call to the store.
-func (m *meters) called(c external.Call) {
+// recordStoreCall records a call to the store.
+func (m *meters) recordStoreCall(c external.Call) {
 	scope := m.metrics.Scope().Tagged(map[string]string{"call": c.Name, "duty": string(c.Duty), "outcome": c.Outcome})
 	scope.Counter("store_calls_total").Inc(1)
 	m.store.RecordDuration(c.Took)
 	m.calls.add(c)
 }
 
-// sentTo counts a message to another instance.
-func (m *meters) sentTo(kind mesh.Kind, bytes int) {
+// recordMeshSent records a message to another instance.
+func (m *meters) recordMeshSent(kind mesh.Kind, bytes int) {
 	m.metrics.Scope().Tagged(map[string]string{"kind": string(kind)}).Counter("mesh_sent_bytes_total").Inc(int64(bytes))
 	m.sent.sent(kind, bytes)
 }
 
 func (m *meters) handler() http.Handler { return m.metrics.Handler() }
 
-// Close ends the reporting.
+// Close flushes the metrics and stops reporting them.
 func (m *meters) Close() error { return m.metrics.Close() }
 
-// record counts a request that has ended.
-func (m *meters) record(o *relay.Outcome) {
+// recordRequest records the outcome of a request.
+func (m *meters) recordRequest(o *relay.Outcome) {
 	reason := string(o.Code)
 	if reason == "" {
 		reason = "served"
@@ -92,9 +93,9 @@
 	m.total.RecordDuration(o.Total)
 }
 
-// ended logs and counts a request that has ended: one line that reports what was decided and on what.
-func (r *Router) ended(o relay.Outcome) {
-	r.metrics.record(&o)
+// logRequest logs and records the outcome of a request. The log line states what was decided and on which data.
+func (r *Router) logRequest(o relay.Outcome) {
+	r.metrics.recordRequest(&o)
 	if o.Code == "" {
 		r.start.reached(StepServed)
 	}
@@ -102,7 +103,7 @@
 	if o.Code != "" {
 		e = r.log.Warn()
 	}
-	e = e.Str("event", requestEnded).Str("request", o.Request.ID).Str("route", o.Route).Str("kind", o.Kind).
+	e = e.Str("event", eventRequestEnded).Str("request", o.Request.ID).Str("route", o.Route).Str("kind", o.Kind).
 		Str("service", o.Service).Str("customer", o.Customer).Int64("version", o.Version).Int("status", o.Status).
 		Str("verdict", o.Verdict.String()).Int("attempts", o.Attempts).Int64("events", o.Events).
 		Int64("reserved", o.Reserved).Int64("used", o.Used).Int64("escrow_left", o.Budget.Left).
@@ -123,16 +124,16 @@
 		e = e.Str("code", string(o.Code)).Str("detail", o.Detail)
 	}
 	if len(o.Endpoints) > 0 {
-		e = e.Array("endpoints", steps(o.Endpoints))
+		e = e.Array("endpoints", attemptList(o.Endpoints))
 	}
 	e.Msg("a request has ended")
 }
 
-// steps writes attempts into a log line.
-type steps []relay.AttemptOutcome
+// attemptList writes the attempts of a request into a log line.
+type attemptList []relay.AttemptOutcome
 
 // MarshalZerologArray implements zerolog.LogArrayMarshaler.
-func (s steps) MarshalZerologArray(a *zerolog.Array) {
+func (s attemptList) MarshalZerologArray(a *zerolog.Array) {
 	for _, x := range s {
 		d := zerolog.Dict().Str("endpoint", x.Endpoint).Str("reason", x.Reason).Str("end", x.Result).Int64("at_ms", x.At.Milliseconds())
 		if x.ProcessExited {
@@ -145,21 +146,23 @@
 	}
 }
 
-// lateEnd logs that an endpoint ended under a request, seen after the request's own line.
-func (r *Router) lateEnd(l relay.DelayedExit) {
+// logDelayedExit logs that an endpoint's process exited while it ran a request. It is called if this was detected after
+// the line of the request was logged.
+func (r *Router) logDelayedExit(l relay.DelayedExit) {
 	quarantine.LogEnd(r.log, l.Endpoint, l.Digest)
 }
 
-// rejected counts a record that cannot be read.
-func (m *meters) rejected() { m.metrics.Scope().Counter("records_rejected_total").Inc(1) }
+// recordRejected counts a record that cannot be decoded.
+func (m *meters) recordRejected() { m.metrics.Scope().Counter("records_rejected_total").Inc(1) }
 
-// limited keeps how many endpoints name limits, and how many requests a second this instance may send to all of them.
-func (m *meters) limited(endpoints int, perSecond float64) {
+// recordLimits records how many endpoints state limits, and how many requests per second this instance may send to all of
+// them together.
+func (m *meters) recordLimits(endpoints int, perSecond float64) {
 	m.metrics.Scope().Gauge("endpoints_limited").Update(float64(endpoints))
 	m.metrics.Scope().Gauge("limits_lent_per_second").Update(perSecond)
 }
 
-// noticeTaken counts what an endpoint reports of itself in an answer.
-func (m *meters) noticeTaken(h pool.NoticeTaken) {
-	m.metrics.Scope().Tagged(map[string]string{"word": h.Word.Name()}).Counter("endpoint_words_total").Inc(1)
+// recordNotice counts a notice that an endpoint sent in a response.
+func (m *meters) recordNotice(n pool.NoticeTaken) {
+	m.metrics.Scope().Tagged(map[string]string{"word": n.Word.Name()}).Counter("endpoint_words_total").Inc(1)
 }
--- a/internal/router/experiment.go
+++ b/internal/router/experiment.go
@@ -13,34 +13,34 @@
 	"github.com/ledgemount/ledgemount/internal/relay"
 )
 
-// Mechanism is something that a router does to decide better, and that can be switched off.
+// Mechanism is an optimization of a router that can be disabled for experiments.
 type Mechanism string
 
-// The mechanisms.
+// Mechanisms that can be disabled.
 const (
-	Affinity    Mechanism = "affinity"     // requests that share a prompt go to one endpoint
-	Loads       Mechanism = "loads"        // instances tell each other what they have under way at endpoints
-	FleetTime   Mechanism = "fleet-time"   // the fleet's time tells how old a dead holder's report is
+	Affinity    Mechanism = "affinity"     // requests with a common prompt prefix go to the same endpoint
+	Loads       Mechanism = "loads"        // instances exchange their requests in progress at endpoints
+	FleetTime   Mechanism = "fleet-time"   // the age of a lost holder's last report is determined by a fleet-wide clock
 	Loans       Mechanism = "loans"        // instances lend each other tokens
-	Pools       Mechanism = "pools"        // a zone's tokens are pooled in a large fleet
-	Leaders     Mechanism = "leaders"      // a zone is led in a large fleet
-	CrowdedLink Mechanism = "crowded-link" // callers are sent away before the link is full
-	Ranks       Mechanism = "ranks"        // a customer's last ranks give way
-	Patience    Mechanism = "patience"     // silence is judged by the length of the prompt
-	Retries     Mechanism = "retries"      // requests are sent again within a shared budget
-	Health      Mechanism = "health"       // endpoints are avoided for what went wrong there
-	Scarcity    Mechanism = "scarcity"     // less is held of a budget that runs out
+	Pools       Mechanism = "pools"        // in a large fleet, the instances of an availability zone pool their tokens
+	Leaders     Mechanism = "leaders"      // in a large fleet, each availability zone has a leader
+	CrowdedLink Mechanism = "crowded-link" // callers are redirected before this instance's link is saturated
+	Ranks       Mechanism = "ranks"        // without contact to the store, low-priority requests yield to urgent ones
+	Patience    Mechanism = "patience"     // the response timeout of an endpoint grows with the length of the prompt
+	Retries     Mechanism = "retries"      // requests are retried within a shared budget
+	Health      Mechanism = "health"       // endpoints with recent failures are avoided
+	Scarcity    Mechanism = "scarcity"     // instances hold fewer tokens of a budget that is nearly exhausted
 )
 
-// without reports whether a mechanism is switched off.
-func (s *Settings) without(m Mechanism) bool { return slices.Contains(s.Without, m) }
+// disabled reports whether a mechanism is disabled.
+func (s *Settings) disabled(m Mechanism) bool { return slices.Contains(s.Without, m) }
 
 func (s *Settings) poolPolicy() pool.Policy {
 	p := pool.DefaultPolicy()
-	if s.without(Patience) {
+	if s.disabled(Patience) {
 		p.Patience = 0
 	}
-	if s.without(Health) {
+	if s.disabled(Health) {
 		p.ErrorShare, p.FirstPause, p.LongPause = math.Inf(1), 0, 0
 	}
 	return p
@@ -48,10 +48,10 @@
 
 func (s *Settings) escrowPolicy() escrow.Policy {
 	p := escrow.DefaultPolicy()
-	if s.without(Ranks) {
+	if s.disabled(Ranks) {
 		p.KeptInCut = 0
 	}
-	if s.without(Scarcity) {
+	if s.disabled(Scarcity) {
 		p.Scarce = 0
 	}
 	return p
@@ -59,24 +59,24 @@
 
 func (s *Settings) peersOptions() []peers.Option {
 	out := []peers.Option{peers.WithLarge(s.Peers.Large)}
-	if s.without(Leaders) {
+	if s.disabled(Leaders) {
 		out = append(out, peers.WithLarge(math.MaxInt))
 	}
-	if s.without(Pools) {
+	if s.disabled(Pools) {
 		out = append(out, peers.WithoutPools())
 	}
 	return out
 }
 
 func (s *Settings) fleetOptions() []remote.Option {
-	if s.without(Loans) {
+	if s.disabled(Loans) {
 		return []remote.Option{remote.WithoutLoans()}
 	}
 	return nil
 }
 
 func (s *Settings) relayOptions() []relay.Option {
-	if s.without(Affinity) {
+	if s.disabled(Affinity) {
 		return []relay.Option{relay.WithoutAffinity()}
 	}
 	return nil
@@ -84,15 +84,15 @@
 
 func (s *Settings) pressurePolicy() pressure.Policy {
 	p := pressure.DefaultPolicy()
-	if s.without(CrowdedLink) {
+	if s.disabled(CrowdedLink) {
 		p.Slow, p.Share = time.Hour, math.Inf(1)
 	}
 	return p
 }
 
-// retryBudget is what all instances together may send again.
+// retryBudget returns the limits on the retries of all instances together.
 func (s *Settings) retryBudget() (ratio float64, slack int) {
-	if s.without(Retries) {
+	if s.disabled(Retries) {
 		return 0, 0
 	}
 	return s.Retry.Ratio, s.Retry.Slack
--- a/internal/router/experiment_test.go
+++ b/internal/router/experiment_test.go
@@ -7,28 +7,28 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// minimal are settings with what is required.
-const minimal = `{"instance":{"id":"a-1","zone":"a"},"callers":{"listen":"127.0.0.1:1"},"probes":{"listen":"127.0.0.1:2"},
+// minimalSettings is a settings file with only the required fields; %s stands for the disabled mechanisms.
+const minimalSettings = `{"instance":{"id":"a-1","zone":"a"},"callers":{"listen":"127.0.0.1:1"},"probes":{"listen":"127.0.0.1:2"},
 	"store":{"address":"127.0.0.1:3"},"without":[%s]}`
 
 func TestWithout(t *testing.T) {
-	Convey("Each mechanism can be switched off by its name, and no other name", t, func() {
-		all, err := Decode(fmt.Appendf(nil, minimal, ""))
+	Convey("Each mechanism can be disabled by its name, and other names are rejected", t, func() {
+		all, err := Decode(fmt.Appendf(nil, minimalSettings, ""))
 		So(err, ShouldBeNil)
 		for _, m := range []Mechanism{
 			Affinity, Loads, FleetTime, Loans, Pools, Leaders, CrowdedLink, Ranks, Patience, Retries, Health, Scarcity,
 		} {
-			s, err := Decode(fmt.Appendf(nil, minimal, `"`+string(m)+`"`))
+			s, err := Decode(fmt.Appendf(nil, minimalSettings, `"`+string(m)+`"`))
 			So(err, ShouldBeNil)
-			So(s.without(m), ShouldBeTrue)
-			So(all.without(m), ShouldBeFalse)
+			So(s.disabled(m), ShouldBeTrue)
+			So(all.disabled(m), ShouldBeFalse)
 		}
-		_, err = Decode(fmt.Appendf(nil, minimal, `"gravity"`))
+		_, err = Decode(fmt.Appendf(nil, minimalSettings, `"gravity"`))
 		So(err, ShouldNotBeNil)
 		So(err.Error(), ShouldContainSubstring, "without")
 	})
 
-	Convey("Switching one off changes just that", t, func() {
+	Convey("Disabling a mechanism changes only its own options", t, func() {
 		off := func(m Mechanism) *Settings { return &Settings{Without: []Mechanism{m}} }
 		on := &Settings{}
 		So(off(Patience).poolPolicy(), ShouldNotResemble, on.poolPolicy())
--- a/internal/router/explain.go
+++ b/internal/router/explain.go
@@ -12,7 +12,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Line is one line of an instance's log that reports a request.
+// Line is a log line of an instance that reports the outcome of a request.
 type Line struct {
 	Event     string        `json:"event"`
 	Time      string        `json:"time"`
@@ -41,59 +41,59 @@
 	AgeMs     int64         `json:"escrow_age_ms"`
 	FirstMs   int64         `json:"first_ms"`
 	TotalMs   int64         `json:"total_ms"`
-	PauseMs   int64         `json:"pause_ms"` // the longest between two events
+	PauseMs   int64         `json:"pause_ms"` // longest pause between two events
 	Prompt    int64         `json:"prompt_tokens"`
-	Late      string        `json:"late"`        // what came later than the route wants it; empty: nothing
-	Restored  int64         `json:"restored_ms"` // since the store was restored from an older copy; 0: not lately
+	Late      string        `json:"late"`        // what missed its target, see relay.Lateness; empty: nothing
+	Restored  int64         `json:"restored_ms"` // time since the store was restored from an older copy; 0: not recently
 	Endpoints []AttemptLine `json:"endpoints"`
 }
 
-// AttemptLine is one sending of a request in a Line.
+// AttemptLine is one attempt of the request in a Line.
 type AttemptLine struct {
 	Endpoint   string `json:"endpoint"`
 	Reason     string `json:"reason"`
 	End        string `json:"end"`
 	AtMs       int64  `json:"at_ms"`
-	SkipReason string `json:"kept_off"` // why the first endpoint in the order of affinity got no work; empty: it has work, or is this one
+	SkipReason string `json:"kept_off"` // why the first endpoint by affinity got no work; empty: it was not skipped
 }
 
-// longestLine is the longest line of a log that is read, in bytes.
-const longestLine = 1 << 20
+// maxLineBytes is the maximum length of a log line, in bytes.
+const maxLineBytes = 1 << 20
 
-// requestEnded is the event of the line that reports a request's end.
-const requestEnded = "request_ended"
+// eventRequestEnded is the event name of log lines that report the outcome of a request.
+const eventRequestEnded = "request_ended"
 
-// EachRequestEnd hands the lines about requests that have ended to f, those that hold a text. What stands before a line's JSON, as a time
-// or a name, is passed over, and so are lines that are none of ours.
+// EachRequestEnd calls f for each log line that reports the outcome of a request and contains text. It ignores anything
+// before the JSON object of a line, such as a timestamp or a name, and lines of other programs.
 func EachRequestEnd(r io.Reader, text string, f func(Line)) error {
 	return eachLine(r, text, func(l Line) {
-		if l.Event == requestEnded {
+		if l.Event == eventRequestEnded {
 			f(l)
 		}
 	})
 }
 
-// StoreCallsLine is a line of an instance's log that tells how often it called the store since the line before.
+// StoreCallsLine is a log line of an instance that reports its calls to the store since the previous such line.
 type StoreCallsLine struct {
 	Event    string         `json:"event"`
 	Instance string         `json:"instance"`
 	Role     Role           `json:"role"`
-	Calls    map[string]int `json:"calls"` // by what they were for and how they ended; see callCounts.add
+	Calls    map[string]int `json:"calls"` // by purpose and outcome; see callCounts.add
 }
 
-// EachStoreCalls hands the lines about calls to the store to f.
+// EachStoreCalls calls f for each log line that reports calls to the store.
 func EachStoreCalls(r io.Reader, f func(StoreCallsLine)) error {
-	return eachLine(r, storeCalls, func(l StoreCallsLine) {
-		if l.Event == storeCalls {
+	return eachLine(r, eventStoreCalls, func(l StoreCallsLine) {
+		if l.Event == eventStoreCalls {
 			f(l)
 		}
 	})
 }
 
-// eachLine decodes the lines that hold a text.
+// eachLine decodes the lines that contain text and calls f for each of them.
 func eachLine[L any](r io.Reader, text string, f func(L)) error {
 	scan := bufio.NewScanner(r)
-	scan.Buffer(make([]byte, 0, longestLine/16), longestLine)
+	scan.Buffer(make([]byte, 0, maxLineBytes/16), maxLineBytes)
 	for scan.Scan() {
 		raw := scan.Bytes()
 		at := bytes.IndexByte(raw, '{')
@@ -108,7 +108,7 @@
 	return eris.Wrap(scan.Err(), "reading a log")
 }
 
-// ReadLines finds the lines about a request in a log.
+// ReadLines returns the lines of a log that report the outcome of a request.
 func ReadLines(r io.Reader, request string) ([]Line, error) {
 	var out []Line
 	err := EachRequestEnd(r, request, func(l Line) {
@@ -119,18 +119,18 @@
 	return out, err
 }
 
-// Explain tells a request's story in sentences, in the order of time.
+// Explain writes a description of a request's log lines in chronological order.
 func Explain(w io.Writer, lines []Line) error {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].Time < lines[j].Time })
 	for _, l := range lines {
-		if _, err := io.WriteString(w, l.story()); err != nil {
-			return eris.Wrap(err, "writing the story")
+		if _, err := io.WriteString(w, l.explanation()); err != nil {
+			return eris.Wrap(err, "writing the explanation")
 		}
 	}
 	return nil
 }
 
-func (l Line) story() string {
+func (l Line) explanation() string {
 	var b strings.Builder
 	_, _ = fmt.Fprintf(&b, "%s at %s: request %s of %s on route %s (%s), configuration %d\n",
 		l.Time, l.Instance, l.Request, orNone(l.Customer), orNone(l.Route), orNone(l.Kind), l.Version)
@@ -145,20 +145,20 @@
 		_, _ = fmt.Fprintf(&b, "  the store was restored from an older copy %d ms before: grants are raised again once all instances have stated theirs\n", l.Restored)
 	}
 	for i, e := range l.Endpoints {
-		_, _ = fmt.Fprintf(&b, "  attempt %d: endpoint %s by %s, %d ms in: %s%s\n", i+1, e.Endpoint, e.Reason, e.AtMs, e.End, e.keptOff())
+		_, _ = fmt.Fprintf(&b, "  attempt %d: endpoint %s by %s, %d ms in: %s%s\n", i+1, e.Endpoint, e.Reason, e.AtMs, e.End, e.skipNote())
 	}
-	_, _ = fmt.Fprintf(&b, "  %s; %d tokens billed\n", l.ending(), l.Used)
+	_, _ = fmt.Fprintf(&b, "  %s; %d tokens billed\n", l.outcome(), l.Used)
 	return b.String()
 }
 
-func (e AttemptLine) keptOff() string {
+func (e AttemptLine) skipNote() string {
 	if e.SkipReason == "" {
 		return ""
 	}
 	return " (the first by affinity gets no work: " + e.SkipReason + ")"
 }
 
-func (l Line) ending() string {
+func (l Line) outcome() string {
 	switch {
 	case l.Code != "":
 		return fmt.Sprintf("ended %d after %d ms, %s (%s): %s", l.Status, l.TotalMs, l.Code, l.Verdict, l.Detail)
--- a/internal/router/probes.go
+++ b/internal/router/probes.go
@@ -12,35 +12,35 @@
 	"github.com/rotisserie/eris"
 )
 
-// probes is the service that answers the platform's question whether callers may come, and serves metrics.
+// probes is the service that answers the platform's readiness probes and serves metrics.
 type probes struct {
 	name     string
 	listener net.Listener
 	server   *http.Server
-	leaving  atomic.Bool
+	stopping atomic.Bool
 }
 
-const probeHeader = 5 * time.Second
+const probeHeaderTimeout = 5 * time.Second
 
-func listenProbes(set Probes, ready func() bool, metrics http.Handler) (*probes, error) {
+func listenProbes(settings Probes, ready func() bool, metrics http.Handler) (*probes, error) {
 	p := &probes{name: "probes"}
 	e := echo.New()
-	e.GET(set.ReadyPath, func(c echo.Context) error {
-		if p.leaving.Load() || !ready() {
+	e.GET(settings.ReadyPath, func(c echo.Context) error {
+		if p.stopping.Load() || !ready() {
 			return c.NoContent(http.StatusServiceUnavailable)
 		}
 		return c.NoContent(http.StatusOK)
 	})
-	e.GET(set.MetricsPath, echo.WrapHandler(metrics))
-	return p, p.listen(set.Listen, e)
+	e.GET(settings.MetricsPath, echo.WrapHandler(metrics))
+	return p, p.listen(settings.Listen, e)
 }
 
-// listenMetrics serves metrics on an address of their own.
-func listenMetrics(set Probes, metrics http.Handler) (*probes, error) {
+// listenMetrics serves metrics on a separate address.
+func listenMetrics(settings Probes, metrics http.Handler) (*probes, error) {
 	p := &probes{name: "metrics"}
 	e := echo.New()
-	e.GET(set.MetricsPath, echo.WrapHandler(metrics))
-	return p, p.listen(set.MetricsListen, e)
+	e.GET(settings.MetricsPath, echo.WrapHandler(metrics))
+	return p, p.listen(settings.MetricsListen, e)
 }
 
 func (p *probes) listen(addr string, h http.Handler) error {
@@ -49,15 +49,15 @@
 		return eris.Wrapf(err, "listening for %s on %s", p.name, addr)
 	}
 	p.listener = l
-	p.server = &http.Server{Handler: h, ReadHeaderTimeout: probeHeader}
+	p.server = &http.Server{Handler: h, ReadHeaderTimeout: probeHeaderTimeout}
 	return nil
 }
 
 // Name implements kernel.Service.
 func (p *probes) Name() string { return p.name }
 
-// leave makes the instance call itself not ready.
-func (p *probes) leave() { p.leaving.Store(true) }
+// setNotReady makes the readiness probe fail from now on.
+func (p *probes) setNotReady() { p.stopping.Store(true) }
 
 // Run implements kernel.Service.
 func (p *probes) Run(ctx context.Context) error {
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -5,17 +5,19 @@
 	"github.com/ledgemount/ledgemount/internal/quarantine"
 )
 
-// observe hands a value that the fleet keeps in the store to the part that it concerns.
-func (r *Router) observe(e external.Entry) {
+// observeEntry passes a store entry that the fleet has written to the components that read such entries.
+func (r *Router) observeEntry(e external.Entry) {
 	r.escrow.Observe(e)
 	r.share.Observe(e)
 }
 
-// tries reports whether this instance is the one that tries a request again once the time is over for which it is kept back.
-func (r *Router) tries(p quarantine.Digest) bool { return r.peers.Owns(p.String(), 1) }
+// ownsProbe reports whether this instance is the one that may run a quarantined request again as a probe, once the
+// quarantine period has passed.
+func (r *Router) ownsProbe(p quarantine.Digest) bool { return r.peers.Owns(p.String(), 1) }
 
-// quarantined logs that a request is kept from endpoints from now on, or not any more, and lets what was decided here outlive the fleet.
-func (r *Router) quarantined(c quarantine.Change) {
+// onQuarantineChange logs that a request enters or leaves quarantine. A decision of this instance is saved to the store,
+// so that it survives a restart of the whole fleet.
+func (r *Router) onQuarantineChange(c quarantine.Change) {
 	if c.Held {
 		r.metrics.metrics.Scope().Counter("quarantine_requests_total").Inc(1)
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,5 +1,5 @@
-// Package router wires one instance that stands alone on a platform: it serves callers' HTTP routes and streams with nothing but
-// the platform's store behind it, and goes on without that for a while.
+// Package router assembles an instance that runs on a platform. The instance serves HTTP requests and streams of callers.
+// It depends only on the platform's store, and continues to serve for a while if the store is unavailable.
 package router
 
 import (
@@ -35,160 +35,161 @@
 	"github.com/ledgemount/ledgemount/internal/upstream"
 )
 
-// escrowPrefix is where the escrow's pages lie under the fleet's own prefix.
+// escrowPrefix is the prefix of the escrow's pages, relative to the fleet's prefix in the store.
 const escrowPrefix = "escrow/"
 
-// Platform is what a router needs of the place where it runs.
+// Platform holds what a router needs from the platform on which it runs.
 type Platform struct {
 	Store   external.KV
-	Calls   *external.Observed // of the store
-	Epochs  *external.Epochs   // of the store
+	Calls   *external.Observed // reports calls to the store
+	Epochs  *external.Epochs   // tracks epochs of the store
 	Source  follow.Source
 	Dialect relay.Dialect
 	Parser  edge.Parser
-	// Clock is the one by which ages of things outside the process are judged; nil: the machine's.
+	// Clock determines the age of data from outside the process; nil: the machine's boot-time clock.
 	Clock *boottime.Clock
 }
 
-// Router is one instance.
+// Router is an instance of the fleet.
 type Router struct {
-	set      *Settings
-	log      zerolog.Logger
-	kernel   *kernel.Kernel
-	client   *upstream.Client
-	pool     *pool.Pool
-	peers    *peers.Directory
-	clock    *fleettime.Clock
-	boot     *boottime.Clock
-	waking   waking
-	load     *load.Exchange
-	share    *quarantine.Share
-	follow   *follow.Follower
-	escrow   *escrow.Holder
-	core     *relay.Core
-	suspects *quarantine.Memory
-	callers  *edge.Server
-	probes   *probes
-	figures  *probes // metrics on an address of their own; nil: none
-	metrics  *meters
-	start    *startLine
+	settings      *Settings
+	log           zerolog.Logger
+	kernel        *kernel.Kernel
+	client        *upstream.Client
+	pool          *pool.Pool
+	peers         *peers.Directory
+	clock         *fleettime.Clock
+	boot          *boottime.Clock
+	wakeGuard     wakeGuard
+	load          *load.Exchange
+	share         *quarantine.Share
+	follow        *follow.Follower
+	escrow        *escrow.Holder
+	core          *relay.Core
+	suspects      *quarantine.Memory
+	callers       *edge.Server
+	probes        *probes
+	metricsServer *probes // metrics on a separate address; nil: none
+	metrics       *meters
+	start         *startRecorder
 
 	pressure *pressure.Gauge
-	restored restorations
+	restored restorationTracker
 }
 
-// New builds a router; it listens already, but runs only with Run.
-func New(set *Settings, on Platform, log zerolog.Logger) (*Router, error) {
-	r := &Router{set: set, log: log, kernel: kernel.New(), metrics: newMeters(set)}
-	if r.boot = on.Clock; r.boot == nil {
+// New returns a router whose listeners are open. It serves only once Run is called.
+func New(settings *Settings, platform Platform, log zerolog.Logger) (*Router, error) {
+	r := &Router{settings: settings, log: log, kernel: kernel.New(), metrics: newMeters(settings)}
+	if r.boot = platform.Clock; r.boot == nil {
 		r.boot = boottime.New()
 	}
-	r.start = newStartLine(log, r.metrics.started)
-	r.followEpochs(on.Epochs)
-	on.Calls.OnCall(r.called)
-	on.Calls.OnRest(r.storeRests)
-	id := set.Instance.ID + "/" + strings.ToLower(ulid.Make().String())
+	r.start = newStartRecorder(log, r.metrics.recordStartStep)
+	r.followEpochs(platform.Epochs)
+	platform.Calls.OnCall(r.onStoreCall)
+	platform.Calls.OnRest(r.logStoreRest)
+	id := settings.Instance.ID + "/" + strings.ToLower(ulid.Make().String())
 	links := mesh.NewRouter()
-	r.newFleet(on, links, id)
-	r.newEscrow(on, links, id)
-	r.newFollower(on, links)
-	r.newSharing(on, links)
-	r.newCore(on)
-	r.waking = waking{clock: r.boot, heard: r.follow.LastContact}
-	r.boot.OnWake(r.wake)
-	if err := r.listen(on); err != nil {
+	r.newFleet(platform, links, id)
+	r.newEscrow(platform, links, id)
+	r.newFollower(platform, links)
+	r.newSharing(platform, links)
+	r.newCore(platform)
+	r.wakeGuard = wakeGuard{clock: r.boot, lastContact: r.follow.LastContact}
+	r.boot.OnWake(r.onWake)
+	if err := r.listen(platform); err != nil {
 		return nil, err
 	}
 	r.start.reached(StepListening)
 	return r, r.kernel.Register(r.services()...)
 }
 
-// newFleet makes what reaches others: callers' link, endpoints, and the fleet's other instances.
-func (r *Router) newFleet(on Platform, links *mesh.Router, id string) {
-	set, now := r.set, r.boot.Now
+// newFleet creates the components that communicate with endpoints and other instances, and the gauge of the network link.
+func (r *Router) newFleet(platform Platform, links *mesh.Router, id string) {
+	settings, now := r.settings, r.boot.Now
 	r.pressure = pressure.New(
-		pressure.WithPolicy(set.pressurePolicy()), pressure.OnChange(r.logPressure), pressure.WithLink(set.Instance.LinkMbps), pressure.WithNow(now),
+		pressure.WithPolicy(settings.pressurePolicy()), pressure.OnChange(r.logPressure), pressure.WithLink(settings.Instance.LinkMbps), pressure.WithNow(now),
 	)
 	r.client = upstream.New(upstream.WithWrap(r.pressure.Conn), upstream.WithNow(now))
 	self := peers.Record{
-		Peer:     mesh.Peer{ID: set.Instance.ID, Zone: set.Instance.Zone, Addr: set.Peers.Listen, Inc: id},
-		Capacity: set.Instance.LinkMbps,
+		Peer:     mesh.Peer{ID: settings.Instance.ID, Zone: settings.Instance.Zone, Addr: settings.Peers.Listen, Inc: id},
+		Capacity: settings.Instance.LinkMbps,
 	}
-	r.peers = peers.New(on.Store, set.Store.Prefix, self, links,
-		append(set.peersOptions(), peers.WithNow(now), peers.WithLogger(r.log), peers.WithEpochs(on.Epochs), peers.WithTraffic(r.metrics.sentTo))...)
-	heard, silenced := pool.LogWords(r.log)
+	r.peers = peers.New(platform.Store, settings.Store.Prefix, self, links,
+		append(settings.peersOptions(), peers.WithNow(now), peers.WithLogger(r.log), peers.WithEpochs(platform.Epochs), peers.WithTraffic(r.metrics.recordMeshSent))...)
+	logNotice, logNoticeEnd := pool.LogWords(r.log)
 	opts := []pool.Option{
-		pool.WithPolicy(set.poolPolicy()), pool.OnGone(r.client.CloseIdle), pool.WithOwners(r.peers), pool.WithNow(now), pool.OnNoticeEnded(silenced),
-		pool.OnNotice(func(h pool.NoticeTaken) { r.metrics.noticeTaken(h); heard(h) }),
-		pool.WithRegions(set.Instance.Regions), pool.WithColdBounds(slowstart.Bounds{Overage: set.Cold.Overage, Slack: set.Cold.Slack}),
+		pool.WithPolicy(settings.poolPolicy()), pool.OnGone(r.client.CloseIdle), pool.WithOwners(r.peers), pool.WithNow(now), pool.OnNoticeEnded(logNoticeEnd),
+		pool.OnNotice(func(h pool.NoticeTaken) { r.metrics.recordNotice(h); logNotice(h) }),
+		pool.WithRegions(settings.Instance.Regions), pool.WithColdBounds(slowstart.Bounds{Overage: settings.Cold.Overage, Slack: settings.Cold.Slack}),
 	}
-	if !set.without(Loads) {
+	if !settings.disabled(Loads) {
 		opts = append(opts, pool.WithLeases())
 	}
-	r.pool = pool.New(set.Instance.Zone, opts...)
-	r.clock = fleettime.New(r.peers, set.Instance.ID, links, fleettime.WithSteady(r.boot.Elapsed))
+	r.pool = pool.New(settings.Instance.Zone, opts...)
+	r.clock = fleettime.New(r.peers, settings.Instance.ID, links, fleettime.WithSteady(r.boot.Elapsed))
 }
 
-// newEscrow makes the holder of budgets.
-func (r *Router) newEscrow(on Platform, links *mesh.Router, id string) {
-	set := r.set
-	r.escrow = escrow.New(on.Store, set.Store.Prefix+escrowPrefix, set.Store.pages(), set.Instance.ID, id,
-		escrow.WithLogger(r.log), escrow.WithNow(r.boot.Now), escrow.OnFolded(r.metrics.folded), escrow.WithPolicy(set.escrowPolicy()),
-		escrow.WithEpochs(on.Epochs),
-		escrow.WithFleet(remote.New(r.peers, r.clock, set.fleetOptions()...)))
+// newEscrow creates the holder of customers' budgets.
+func (r *Router) newEscrow(platform Platform, links *mesh.Router, id string) {
+	settings := r.settings
+	r.escrow = escrow.New(platform.Store, settings.Store.Prefix+escrowPrefix, settings.Store.pages(), settings.Instance.ID, id,
+		escrow.WithLogger(r.log), escrow.WithNow(r.boot.Now), escrow.OnFolded(r.metrics.recordFolded), escrow.WithPolicy(settings.escrowPolicy()),
+		escrow.WithEpochs(platform.Epochs),
+		escrow.WithFleet(remote.New(r.peers, r.clock, settings.fleetOptions()...)))
 	remote.Serve(links, r.escrow)
 }
 
-// newFollower makes what follows the configuration and the endpoints.
-func (r *Router) newFollower(on Platform, links *mesh.Router) {
-	r.follow = follow.New(feed.NewSource(r.peers, on.Source, feed.WithNow(r.boot.Now), feed.WithEpochs(on.Epochs)), r.pool,
-		follow.WithLogger(r.log), follow.WithNow(r.boot.Now), follow.OnRejected(r.metrics.rejected),
-		follow.OnTable(r.fundsOf), follow.OnTable(r.servicesOf),
-		follow.OnEntry(r.observe), follow.OnPolled(r.escrow.Tick), follow.WithOwn(func() bool { return !r.peers.Large() }))
-	feed.Serve(links, r.follow, on.Epochs)
+// newFollower creates the component that watches the configuration and the endpoints.
+func (r *Router) newFollower(platform Platform, links *mesh.Router) {
+	r.follow = follow.New(feed.NewSource(r.peers, platform.Source, feed.WithNow(r.boot.Now), feed.WithEpochs(platform.Epochs)), r.pool,
+		follow.WithLogger(r.log), follow.WithNow(r.boot.Now), follow.OnRejected(r.metrics.recordRejected),
+		follow.OnTable(r.updateBudgets), follow.OnTable(r.updateServices),
+		follow.OnEntry(r.observeEntry), follow.OnPolled(r.escrow.Tick), follow.WithOwn(func() bool { return !r.peers.Large() }))
+	feed.Serve(links, r.follow, platform.Epochs)
 }
 
-// newSharing makes what instances tell each other of endpoints, and of requests that endpoints do not outlive.
-func (r *Router) newSharing(on Platform, links *mesh.Router) {
+// newSharing creates the components through which instances exchange the load of endpoints, and quarantined requests.
+func (r *Router) newSharing(platform Platform, links *mesh.Router) {
 	now := r.boot.Now
-	r.suspects = quarantine.New(quarantine.WithNow(now), quarantine.WithProber(r.tries), quarantine.OnChange(r.quarantined),
+	r.suspects = quarantine.New(quarantine.WithNow(now), quarantine.WithProber(r.ownsProbe), quarantine.OnChange(r.onQuarantineChange),
 		quarantine.OnNews(func() { r.share.Changed() }))
-	r.share = quarantine.NewShare(r.suspects, r.peers, on.Store, r.set.Store.Prefix, links,
-		quarantine.WithLogger(r.log), quarantine.WithEpochs(on.Epochs))
-	r.load = load.New(r.peers, r.pool, links, load.WithRider(r.share), load.WithNow(now), load.OnLimits(r.metrics.limited))
+	r.share = quarantine.NewShare(r.suspects, r.peers, platform.Store, r.settings.Store.Prefix, links,
+		quarantine.WithLogger(r.log), quarantine.WithEpochs(platform.Epochs))
+	r.load = load.New(r.peers, r.pool, links, load.WithRider(r.share), load.WithNow(now), load.OnLimits(r.metrics.recordLimits))
 }
 
-// newCore makes what serves requests.
-func (r *Router) newCore(on Platform) {
-	ratio, slack := r.set.retryBudget()
-	retries := retry.NewFleetBudget(ratio, slack, r.set.Retry.Window, r.fleetSize, r.boot.Now)
+// newCore creates the component that serves requests.
+func (r *Router) newCore(platform Platform) {
+	ratio, slack := r.settings.retryBudget()
+	retries := retry.NewFleetBudget(ratio, slack, r.settings.Retry.Window, r.fleetSize, r.boot.Now)
 	r.core = relay.New(relay.Deps{
-		Table: r.follow.Table, Pool: r.pool, Budgets: r.escrow, Retries: retries, Client: r.client, Dialect: on.Dialect,
-	}, append(r.set.relayOptions(), relay.WithNow(r.boot.Now), relay.OnOutcome(r.ended), relay.OnDelayedExit(r.lateEnd),
-		relay.WithQuarantine(r.suspects), relay.WithStateFresh(r.waking.over), relay.OnDial(r.dialed), relay.WithCongested(r.pressure.Crowded))...)
+		Table: r.follow.Table, Pool: r.pool, Budgets: r.escrow, Retries: retries, Client: r.client, Dialect: platform.Dialect,
+	}, append(r.settings.relayOptions(), relay.WithNow(r.boot.Now), relay.OnOutcome(r.logRequest), relay.OnDelayedExit(r.logDelayedExit),
+		relay.WithQuarantine(r.suspects), relay.WithStateFresh(r.wakeGuard.stateFresh), relay.OnDial(r.recordDial), relay.WithCongested(r.pressure.Crowded))...)
 }
 
-// fleetSize is among how many instances is divided what all may do together. An instance that has just started knows few holders of budgets, and
-// one that starts in a fleet of many knows few records: the greater number leaves no one too much.
+// fleetSize returns the number of instances among which fleet-wide limits are divided. Right after its start, an instance
+// may have seen only a few of the holders of budgets, or only a few records of a large fleet. The larger of both numbers
+// keeps its share from being too large.
 func (r *Router) fleetSize() int { return max(r.escrow.Holders(), r.peers.Size()) }
 
-// called takes how a call to the store has ended.
-func (r *Router) called(c external.Call) {
-	r.metrics.called(c)
+// onStoreCall handles the outcome of a call to the store.
+func (r *Router) onStoreCall(c external.Call) {
+	r.metrics.recordStoreCall(c)
 	if c.Outcome == "ok" {
 		r.start.reached(StepStore)
 	}
 }
 
-// storeRests reports that the store wants no calls for a while.
-func (r *Router) storeRests(after time.Duration) {
+// logStoreRest logs and counts that the store has asked for a pause in calls.
+func (r *Router) logStoreRest(after time.Duration) {
 	r.metrics.metrics.Scope().Counter("store_rests_total").Inc(1)
-	r.log.Info().Str("event", "store_rests").Dur("rest", after).Msg("the store has asked for rest, and is not called for so long")
+	r.log.Info().Str("event", "store_rests").Dur("rest", after).Msg("the store has asked for rest: calls are paused")
 }
 
-// startWatch is the service that measures the start.
-func (r *Router) startWatch() *startWatch {
-	return &startWatch{line: r.start, steps: map[Step]func() bool{
+// startWatch returns the service that measures the start of the instance.
+func (r *Router) startWatch() *startWatcher {
+	return &startWatcher{recorder: r.start, steps: map[Step]func() bool{
 		StepFleet:         r.peers.Known,
 		StepConfiguration: func() bool { return r.follow.Table() != nil },
 		StepEndpoints:     func() bool { return r.pool.Len() > 0 },
@@ -197,83 +198,84 @@
 	}}
 }
 
-// services are the parts that run, in the order in which they start.
+// services returns the services of the instance in the order in which they start.
 func (r *Router) services() []kernel.Service {
 	list := []kernel.Service{r.boot, r.peers}
-	if !r.set.without(FleetTime) {
+	if !r.settings.disabled(FleetTime) {
 		list = append(list, r.clock)
 	}
-	if !r.set.without(Loads) {
+	if !r.settings.disabled(Loads) {
 		list = append(list, r.load)
 	}
 	list = append(list, r.share, r.follow, r.escrow, r.escrow.Repayments(), &sweeper{client: r.client}, &callLog{counts: r.metrics.calls, sent: r.metrics.sent, role: r.role, log: r.log}, r.startWatch(), r.callers, r.probes)
-	if r.figures != nil {
-		list = append(list, r.figures)
+	if r.metricsServer != nil {
+		list = append(list, r.metricsServer)
 	}
 	return list
 }
 
-func (r *Router) listen(on Platform) error {
+func (r *Router) listen(platform Platform) error {
 	var err error
-	r.callers, err = edge.Listen(r.set.Callers.Listen, r.core, on.Parser, edge.DefaultTimes(), edge.WithNow(r.arrived), edge.WithAway(r.pressure.Away), edge.WithWrap(r.pressure.Listener))
+	r.callers, err = edge.Listen(r.settings.Callers.Listen, r.core, platform.Parser, edge.DefaultTimes(), edge.WithNow(r.arrivalTime), edge.WithAway(r.pressure.Away), edge.WithWrap(r.pressure.Listener))
 	if err != nil {
 		return err
 	}
-	r.probes, err = listenProbes(r.set.Probes, r.ready, r.metrics.handler())
-	if err != nil || r.set.Probes.MetricsListen == "" {
+	r.probes, err = listenProbes(r.settings.Probes, r.ready, r.metrics.handler())
+	if err != nil || r.settings.Probes.MetricsListen == "" {
 		return err
 	}
-	r.figures, err = listenMetrics(r.set.Probes, r.metrics.handler())
+	r.metricsServer, err = listenMetrics(r.settings.Probes, r.metrics.handler())
 	return err
 }
 
-// servicesOf tells the pool what a newer configuration says of endpoints.
-func (r *Router) servicesOf(t *route.Table) {
+// updateServices applies the endpoint settings of a newer configuration to the pool.
+func (r *Router) updateServices(t *route.Table) {
 	r.pool.SetWarmups(t.Warmups())
 	r.pool.SetConnections(t.Connections())
 }
 
-// fundsOf tells the escrow of the prepaid figures of a newer configuration.
-func (r *Router) fundsOf(t *route.Table) {
+// updateBudgets applies the prepaid amounts of a newer configuration to the escrow.
+func (r *Router) updateBudgets(t *route.Table) {
 	list := make([]escrow.Prepaid, 0, len(t.Customers()))
 	for _, c := range t.Customers() {
 		list = append(list, escrow.Prepaid{Customer: c.Name, Tokens: c.Prepaid})
 	}
 	r.escrow.SetPrepaid(list)
-	figures := zerolog.Dict()
+	prepaid := zerolog.Dict()
 	for _, p := range list {
-		figures = figures.Int64(p.Customer, p.Tokens)
+		prepaid = prepaid.Int64(p.Customer, p.Tokens)
 	}
-	r.log.Info().Str("event", "budgets_taken").Int64("version", t.Version()).Dict("prepaid", figures).
-		Msg("prepaid figures are in force")
+	r.log.Info().Str("event", "budgets_taken").Int64("version", t.Version()).Dict("prepaid", prepaid).
+		Msg("prepaid budgets are in force")
 }
 
-// dialed tells the gauge of this instance's link of connections within the zone: others may be slow for other reasons.
-func (r *Router) dialed(zone string, took time.Duration) {
-	if zone == r.set.Instance.Zone {
+// recordDial passes the connection times of endpoints in the same availability zone to the gauge of this instance's link.
+// Connections to other zones may be slow for other reasons.
+func (r *Router) recordDial(zone string, took time.Duration) {
+	if zone == r.settings.Instance.Zone {
 		r.pressure.Dialed(took)
 	}
 }
 
-// logPressure reports that the instance begins or ends to send callers away.
+// logPressure logs that the instance starts or stops redirecting callers to other instances.
 func (r *Router) logPressure(away bool) {
 	if away {
-		r.log.Warn().Str("event", "link_crowded").Msg("connections come up slowly: callers are sent to other instances")
+		r.log.Warn().Str("event", "link_crowded").Msg("the network link is congested: callers are redirected to other instances")
 		return
 	}
-	r.log.Info().Str("event", "link_calm").Msg("callers may come again")
+	r.log.Info().Str("event", "link_calm").Msg("the network link is no longer congested: callers are accepted again")
 }
 
-// ready reports whether callers may be sent here: the configuration, the endpoints and the escrow are known, and the link is calm; after a
-// suspension all that was heard again.
+// ready reports whether the instance accepts callers: the configuration, endpoints and escrow are known, the network link
+// is not congested, and all data has been received again after a suspension of the machine.
 func (r *Router) ready() bool {
-	return !r.pressure.Away() && r.waking.over() && r.follow.Table() != nil && r.escrow.Ready() && r.pool.Len() > 0
+	return !r.pressure.Away() && r.wakeGuard.stateFresh() && r.follow.Table() != nil && r.escrow.Ready() && r.pool.Len() > 0
 }
 
-// Run runs the router until ctx ends, without a planned stop: use Stop for that.
+// Run runs the router until ctx ends. It performs no planned stop; see Stop.
 func (r *Router) Run(ctx context.Context) error {
-	r.log.Info().Str("event", "instance_started").Str("callers", r.callers.Addr()).Str("probes", r.set.Probes.Listen).
-		Str("store", r.set.Store.Address).Str("build", buildinfo.Revision()).Int("formats", compat.Generation).Int("retry_slack", r.set.Retry.Slack).Dur("stop_within", r.set.Stop.Within).
+	r.log.Info().Str("event", "instance_started").Str("callers", r.callers.Addr()).Str("probes", r.settings.Probes.Listen).
+		Str("store", r.settings.Store.Address).Str("build", buildinfo.Revision()).Int("formats", compat.Generation).Int("retry_slack", r.settings.Retry.Slack).Dur("stop_within", r.settings.Stop.Within).
 		Msg("instance started")
 	err := r.kernel.Run(ctx)
 	_ = r.client.Close()
@@ -281,57 +283,57 @@
 	return err
 }
 
-// The parts of a planned stop.
+// Phases of a planned stop. Callers still arrive until the platform has noticed that the instance is not ready.
 const (
-	lingerShare = 0.35                   // of the time for a stop: callers still come until the platform has noticed
-	giveBack    = 600 * time.Millisecond // for the escrow, before the end
-	exitMargin  = 250 * time.Millisecond
+	lingerShare      = 0.35                   // share of the time for a stop in which callers still arrive
+	escrowReturnTime = 600 * time.Millisecond // time for returning the escrow, before exitMargin
+	exitMargin       = 250 * time.Millisecond // time left before the process is killed
 )
 
-// Stop is a planned stop: the instance calls itself not ready, serves those who still come, ends open requests, gives its escrow
-// back, and ends.
+// Stop performs a planned stop. The instance reports that it is not ready, serves the requests that still arrive,
+// waits for open requests to end, returns its escrow, and stops its services.
 func (r *Router) Stop() error {
-	begun := time.Now()
+	started := time.Now()
 	r.log.Info().Str("event", "instance_stopping").Msg("planned stop")
-	r.probes.leave()
+	r.probes.setNotReady()
 	r.callers.Leave()
 	r.escrow.Shrink()
 	errPeers := r.leavePeers()
-	time.Sleep(time.Duration(float64(r.set.Stop.Within) * lingerShare))
-	open, cancel := context.WithDeadline(context.Background(), begun.Add(r.set.Stop.Within-giveBack-exitMargin))
-	defer cancel()
-	err := r.callers.Stop(open)
-	back, cancelBack := context.WithDeadline(context.Background(), begun.Add(r.set.Stop.Within-exitMargin))
-	defer cancelBack()
-	errBack := r.escrow.Leave(back)
-	r.log.Info().Str("event", "instance_stopped").AnErr("requests", err).AnErr("escrow", errBack).AnErr("peers", errPeers).
-		Dur("took", time.Since(begun)).Msg("instance stopped")
-	return eris.Wrap(r.kernel.Close(), "ending the services")
+	time.Sleep(time.Duration(float64(r.settings.Stop.Within) * lingerShare))
+	drainCtx, cancelDrain := context.WithDeadline(context.Background(), started.Add(r.settings.Stop.Within-escrowReturnTime-exitMargin))
+	defer cancelDrain()
+	err := r.callers.Stop(drainCtx)
+	returnCtx, cancelReturn := context.WithDeadline(context.Background(), started.Add(r.settings.Stop.Within-exitMargin))
+	defer cancelReturn()
+	errEscrow := r.escrow.Leave(returnCtx)
+	r.log.Info().Str("event", "instance_stopped").AnErr("requests", err).AnErr("escrow", errEscrow).AnErr("peers", errPeers).
+		Dur("took", time.Since(started)).Msg("instance stopped")
+	return eris.Wrap(r.kernel.Close(), "stopping the services")
 }
 
-// leavePeers tells the other instances that this one is about to stop.
+// leavePeers notifies the other instances that this one is about to stop.
 func (r *Router) leavePeers() error {
-	ctx, cancel := context.WithTimeout(context.Background(), giveBack)
+	ctx, cancel := context.WithTimeout(context.Background(), escrowReturnTime)
 	defer cancel()
 	return r.peers.Leave(ctx)
 }
 
-// Reload takes settings that have changed; those that cannot change while the process runs hold until it starts again.
-func (r *Router) Reload(set *Settings) {
-	r.log.Info().Str("event", "settings_reloaded").Int("retry_slack", set.Retry.Slack).Dur("stop_within", set.Stop.Within).
+// Reload logs that the settings file was read again. Its values take effect when the process restarts.
+func (r *Router) Reload(settings *Settings) {
+	r.log.Info().Str("event", "settings_reloaded").Int("retry_slack", settings.Retry.Slack).Dur("stop_within", settings.Stop.Within).
 		Msg("the settings were read again")
 }
 
-// sweeper closes idle connections to endpoints.
+// sweeper is the service that closes connections to endpoints whose idle timeout has passed.
 type sweeper struct{ client *upstream.Client }
 
-const sweepEvery = 2 * time.Second
+const sweepInterval = 2 * time.Second
 
 // Name implements kernel.Service.
 func (*sweeper) Name() string { return "sweeper" }
 
 // Run implements kernel.Service.
 func (s *sweeper) Run(ctx context.Context) error {
-	kernel.Every(ctx, sweepEvery, func(context.Context) { s.client.Sweep() })
+	kernel.Every(ctx, sweepInterval, func(context.Context) { s.client.Sweep() })
 	return nil
 }
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -10,7 +10,7 @@
 	"github.com/ledgemount/ledgemount/internal/peers"
 )
 
-// Settings are everything that one router is told at its start. Times are written like "2s" or "150ms".
+// Settings is the content of a router's settings file. Durations are written like "2s" or "150ms".
 type Settings struct {
 	Instance Instance `json:"instance"`
 	Callers  Callers  `json:"callers"`
@@ -21,92 +21,93 @@
 	Cold     Cold     `json:"cold"`
 	Peers    Peers    `json:"peers"`
 	Log      Log      `json:"log"`
-	// Without names mechanisms that are switched off, to measure what they are worth. Not for use.
+	// Without lists mechanisms to disable, for experiments that measure their effect. Not for production.
 	Without []Mechanism `json:"without" validate:"dive,oneof=affinity loads fleet-time loans pools leaders crowded-link ranks patience retries health scarcity"`
 }
 
-// Instance says which instance this is.
+// Instance identifies the instance and describes its machine.
 type Instance struct {
-	ID   string `json:"id" validate:"required"`   // outlasts the process: a successor has the same
+	ID   string `json:"id" validate:"required"`   // stable across restarts of the process
 	Zone string `json:"zone" validate:"required"` // availability zone
-	// LinkMbps is what the machine's link carries each way, in megabits a second; 0: not known. Callers are sent to other instances
-	// before it is full, and in a large fleet the machines with the larger links lead their zones.
+	// LinkMbps is the capacity of the machine's network link in each direction, in megabits per second; 0: unknown. Callers
+	// are redirected to other instances before the link is saturated. In a large fleet, the machines with the largest links
+	// lead their availability zones.
 	LinkMbps float64 `json:"link_mbps" validate:"min=0"`
-	// Regions tells the region of each availability zone, for routes and customers that may run in some only.
+	// Regions maps each availability zone to its region, for routes and customers that are restricted to some regions.
 	Regions map[string]string `json:"regions"`
 }
 
-// Cold bounds what all instances together may send to an endpoint that has just started: in no second more than the service's figure for
-// one times Overage, and Slack requests more.
+// Cold limits the requests that all instances together send to an endpoint that has just started: in any second, the
+// service's slow-start rate times Overage, plus Slack requests.
 type Cold struct {
 	Overage float64 `json:"overage" validate:"min=1"`
 	Slack   float64 `json:"slack" validate:"min=0"`
 }
 
-// Peers is the side towards the fleet's other instances.
+// Peers configures the communication with the other instances of the fleet.
 type Peers struct {
-	Listen string `json:"listen" validate:"omitempty,hostname_port"` // UDP address; empty: the instance stays by itself
-	Large  int    `json:"large" validate:"min=2"`                    // instances from which zones are led
+	Listen string `json:"listen" validate:"omitempty,hostname_port"` // UDP address; empty: the instance runs standalone
+	Large  int    `json:"large" validate:"min=2"`                    // fleet size from which zones have leaders
 }
 
-// Callers is the callers' side.
+// Callers configures the listener for callers.
 type Callers struct {
 	Listen string `json:"listen" validate:"required,hostname_port"`
 }
 
-// Probes is where the platform asks whether the instance takes callers, and where metrics are read.
+// Probes configures the readiness probe and the metrics.
 type Probes struct {
 	Listen      string `json:"listen" validate:"required,hostname_port"`
 	ReadyPath   string `json:"ready_path" validate:"required,startswith=/"`
 	MetricsPath string `json:"metrics_path" validate:"required,startswith=/"`
-	// MetricsListen is an address for metrics alone; empty: they are served on Listen only.
+	// MetricsListen is an additional address that serves only metrics; empty: they are served on Listen only.
 	MetricsListen string `json:"metrics_listen" validate:"omitempty,hostname_port"`
 }
 
-// Store is the platform's key-value store.
+// Store configures the access to the platform's key-value store.
 type Store struct {
 	Address string `json:"address" validate:"required,hostname_port"`
-	Prefix  string `json:"prefix" validate:"required,endswith=/"` // of the keys that this fleet writes
-	Pages   int    `json:"pages" validate:"min=0,max=4096"`       // values over which accounts are spread; 0: by Writes
-	Writes  int    `json:"writes_per_second" validate:"min=0"`    // that the store takes of the whole fleet
+	Prefix  string `json:"prefix" validate:"required,endswith=/"` // of all keys that this fleet writes
+	Pages   int    `json:"pages" validate:"min=0,max=4096"`       // pages that accounts are distributed over; 0: by Writes
+	Writes  int    `json:"writes_per_second" validate:"min=0"`    // write capacity of the store for the whole fleet
 }
 
-// A page of accounts is one value, which one holder writes at a time. A store is sized by its fleet, so more writes mean more
-// zones, each of which writes a page about once a second.
+// A page of accounts is a single store value, which one holder writes at a time. A store is sized for its fleet, so a higher
+// write capacity means more availability zones, each of which writes a page about once a second.
 const (
-	onePageWrites = 1200 // up to here all accounts lie in one page
-	writesPerPage = 1000
+	maxOnePageWrites = 1200 // up to this write capacity, all accounts are in one page
+	writesPerPage    = 1000
 )
 
-// pages is the number of values over which accounts are spread. All instances must come to the same.
+// pages returns the number of pages that accounts are distributed over. All instances must compute the same number.
 func (s Store) pages() int {
 	switch {
 	case s.Pages > 0:
 		return s.Pages
-	case s.Writes <= onePageWrites:
+	case s.Writes <= maxOnePageWrites:
 		return 1
 	}
 	return s.Writes / writesPerPage
 }
 
-// Retry bounds the requests that all instances together send again.
+// Retry limits the retries of all instances together.
 type Retry struct {
-	Ratio  float64       `json:"ratio" validate:"min=0,max=1"` // of a service's requests in a window
-	Slack  int           `json:"slack" validate:"min=0"`       // beside them, in a window
+	Ratio  float64       `json:"ratio" validate:"min=0,max=1"` // retries per request to a service, within a window
+	Slack  int           `json:"slack" validate:"min=0"`       // additional retries per window
 	Window time.Duration `json:"window" validate:"min=1000000"`
 }
 
-// Stop is the planned stop.
+// Stop configures the planned stop.
 type Stop struct {
-	Within time.Duration `json:"within" validate:"min=1000000000"` // after this the process is killed
+	Within time.Duration `json:"within" validate:"min=1000000000"` // time after which the process is killed
 }
 
-// Log sets the log's level.
+// Log configures the log.
 type Log struct {
 	Level string `json:"level" validate:"oneof=debug info warn error"`
 }
 
-// Defaults are the settings where a file says nothing.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
 		Probes: Probes{ReadyPath: "/ready", MetricsPath: "/metrics"},
@@ -121,7 +122,7 @@
 
 var validate = declare.NewValidator()
 
-// Decode reads settings. Its error lists every fault with the path of its field.
+// Decode parses and validates settings. Its error lists every invalid field with its path.
 func Decode(data []byte) (*Settings, error) {
 	s := Defaults()
 	if err := declare.DecodeStrict(data, &s); err != nil {
@@ -133,7 +134,7 @@
 	return &s, nil
 }
 
-// Check reports what is wrong with settings, with the path of every field.
+// Check validates settings. Its error lists every invalid field with its path.
 func Check(s *Settings) error { return validate.Check(*s).OrNil() }
 
 // Read reads a settings file.
--- a/internal/router/start.go
+++ b/internal/router/start.go
@@ -8,19 +8,19 @@
 	"github.com/rs/zerolog"
 )
 
-// Step is a part of an instance's start.
+// Step is a milestone in the start of an instance.
 type Step string
 
-// The steps, in the order in which they usually come.
+// Steps in their usual order.
 const (
-	StepListening     Step = "listening"
-	StepStore         Step = "store"         // its first answer
-	StepFleet         Step = "fleet"         // other instances are known, and linked in a large fleet
-	StepConfiguration Step = "configuration" // one is in force
-	StepEndpoints     Step = "endpoints"     // at least one takes work
-	StepEscrow        Step = "escrow"        // this instance is in all pages of the budgets
-	StepReady         Step = "ready"         // callers may come
-	StepServed        Step = "served"        // the first request was answered
+	StepListening     Step = "listening"     // the listeners are open
+	StepStore         Step = "store"         // the store has responded for the first time
+	StepFleet         Step = "fleet"         // other instances are known, and in a large fleet also connected
+	StepConfiguration Step = "configuration" // a configuration is in force
+	StepEndpoints     Step = "endpoints"     // at least one endpoint accepts work
+	StepEscrow        Step = "escrow"        // this instance is a holder in all pages of the budgets
+	StepReady         Step = "ready"         // the instance is ready for callers
+	StepServed        Step = "served"        // the first request was served
 )
 
 var startSteps = []Step{
@@ -28,50 +28,50 @@
 }
 
 const (
-	startLook  = 20 * time.Millisecond // between looks at what has been reached, until the instance is ready
-	startQuiet = 30 * time.Second      // after that, without a request, the line is logged all the same
+	startPollInterval = 20 * time.Millisecond // interval at which steps are polled until the instance is ready
+	startLogTimeout   = 30 * time.Second      // the line is logged this long after readiness even if no request has been served
 )
 
-// startLine measures an instance's start and logs it as one line: the time from the start of the process to each step. Its zero time of a
-// step means that it was not reached.
-type startLine struct {
-	begun  time.Time
-	now    func() time.Time
-	log    zerolog.Logger
-	record func(Step, time.Duration)
-
-	mu     sync.Mutex
-	at     map[Step]time.Duration
-	logged bool
-	served chan struct{} // closed with the first request
+// startRecorder measures the time from the start of the process to each step, and logs all of them in one line. Steps
+// that were not reached are left out.
+type startRecorder struct {
+	started time.Time
+	now     func() time.Time
+	log     zerolog.Logger
+	record  func(Step, time.Duration)
+
+	mu      sync.Mutex
+	elapsed map[Step]time.Duration
+	logged  bool
+	served  chan struct{} // closed when the first request has been served
 }
 
-// processBegun is when this process began, as nearly as the program can tell.
-var processBegun = time.Now()
+// processStart approximates the start time of the process by the initialization of this package.
+var processStart = time.Now()
 
-func newStartLine(log zerolog.Logger, record func(Step, time.Duration)) *startLine {
-	return &startLine{
-		begun: processBegun, now: time.Now, log: log, record: record, at: make(map[Step]time.Duration), served: make(chan struct{}),
+func newStartRecorder(log zerolog.Logger, record func(Step, time.Duration)) *startRecorder {
+	return &startRecorder{
+		started: processStart, now: time.Now, log: log, record: record, elapsed: make(map[Step]time.Duration), served: make(chan struct{}),
 	}
 }
 
-// reached notes a step; only the first time counts.
-func (s *startLine) reached(step Step) {
+// reached records the first time at which a step is reached.
+func (s *startRecorder) reached(step Step) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.at[step]; ok {
+	if _, ok := s.elapsed[step]; ok {
 		return
 	}
-	took := s.now().Sub(s.begun)
-	s.at[step] = took
+	took := s.now().Sub(s.started)
+	s.elapsed[step] = took
 	s.record(step, took)
 	if step == StepServed {
 		close(s.served)
 	}
 }
 
-// write logs the line, once.
-func (s *startLine) write() {
+// write logs the line on its first call only.
+func (s *startRecorder) write() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.logged {
@@ -80,52 +80,52 @@
 	s.logged = true
 	steps := zerolog.Dict()
 	for _, step := range startSteps {
-		if took, ok := s.at[step]; ok {
+		if took, ok := s.elapsed[step]; ok {
 			steps = steps.Int64(string(step), took.Milliseconds())
 		}
 	}
 	s.log.Info().Str("event", "start_measured").Dict("steps_ms", steps).Msg("times from the start of the process to each step")
 }
 
-// startWatch is the service that sees the steps that nothing reports.
-type startWatch struct {
-	line  *startLine
-	steps map[Step]func() bool
+// startWatcher is the service that polls for the steps that no component reports.
+type startWatcher struct {
+	recorder *startRecorder
+	steps    map[Step]func() bool
 }
 
 // Name implements kernel.Service.
-func (*startWatch) Name() string { return "start" }
+func (*startWatcher) Name() string { return "start" }
 
 // Run implements kernel.Service.
-func (w *startWatch) Run(ctx context.Context) error {
-	t := time.NewTicker(startLook)
+func (w *startWatcher) Run(ctx context.Context) error {
+	t := time.NewTicker(startPollInterval)
 	defer t.Stop()
-	for !w.look() {
+	for !w.poll() {
 		select {
 		case <-ctx.Done():
-			w.line.write()
+			w.recorder.write()
 			return nil
 		case <-t.C:
 		}
 	}
 	t.Stop()
-	quiet := time.NewTimer(startQuiet)
-	defer quiet.Stop()
+	timer := time.NewTimer(startLogTimeout)
+	defer timer.Stop()
 	select {
-	case <-w.line.served:
-	case <-quiet.C:
+	case <-w.recorder.served:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
-	w.line.write()
+	w.recorder.write()
 	<-ctx.Done()
 	return nil
 }
 
-// look notes the steps that have been reached, and reports whether the instance is ready.
-func (w *startWatch) look() bool {
+// poll records the steps that have been reached, and reports whether the instance is ready.
+func (w *startWatcher) poll() bool {
 	for step, reached := range w.steps {
 		if reached() {
-			w.line.reached(step)
+			w.recorder.reached(step)
 		}
 	}
 	return w.steps[StepReady]()
--- a/internal/router/wake.go
+++ b/internal/router/wake.go
@@ -7,47 +7,50 @@
 	"github.com/ledgemount/ledgemount/internal/boottime"
 )
 
-// arrived is the time at which a caller's request is read. The boot time is read anew for it: a machine that was suspended must not take
-// what it heard before for fresh.
-func (r *Router) arrived() time.Time {
+// arrivalTime returns the time at which a caller's request is read. It reads the boot time again, so that a suspension of
+// the machine is detected and data from before it does not count as fresh.
+func (r *Router) arrivalTime() time.Time {
 	r.boot.Check()
 	return r.boot.Now()
 }
 
-// waking keeps an instance from serving by what it heard before its machine was suspended, until it has heard it again: keys may have been
-// revoked since. Where nobody tells for mostWaking, the instance goes on as one does that is cut off.
-type waking struct {
-	clock *boottime.Clock
-	heard func() time.Time // when the configuration and the endpoints were last as the store has them
-	woke  atomic.Int64     // in the clock's nanoseconds; 0: never, or it has heard everything since
+// wakeGuard prevents an instance whose machine was suspended from serving with data from before the suspension, since keys
+// may have been revoked meanwhile. The instance serves again once it has received current data. If it receives none
+// within maxWakeDelay, it continues like an instance without contact to the store.
+type wakeGuard struct {
+	clock       *boottime.Clock
+	lastContact func() time.Time // when the configuration and the endpoints were last known to match the store
+	wokeAt      atomic.Int64     // end of a suspension by clock, in ns; 0: none since data was last received
 }
 
-// mostWaking is how long a woken instance waits for a word. It is told within a second where the store or a leader can be reached; an instance that
-// is cut off from both serves on, so one that was suspended as well may do so after the time for which machines count as out of touch.
-const mostWaking = 3 * time.Second
+// maxWakeDelay limits how long an instance waits for current data after a suspension. Data arrives within a second if the
+// store or a leader can be reached. An instance that can reach neither continues to serve, so one that was also suspended
+// may do so after the time from which an instance counts as disconnected.
+const maxWakeDelay = 3 * time.Second
 
-// begin notes that the machine has been suspended.
-func (w *waking) begin() { w.woke.Store(int64(w.clock.Elapsed())) }
+// markWoken records that the machine has been suspended and runs again.
+func (w *wakeGuard) markWoken() { w.wokeAt.Store(int64(w.clock.Elapsed())) }
 
-// over reports whether the instance may serve.
-func (w *waking) over() bool {
-	woke := w.woke.Load()
-	if woke == 0 {
+// stateFresh reports whether the data of the instance is fresh enough to serve requests.
+func (w *wakeGuard) stateFresh() bool {
+	wokeAt := w.wokeAt.Load()
+	if wokeAt == 0 {
 		return true
 	}
-	at := time.Unix(0, woke)
-	if !w.heard().After(at) && w.clock.Now().Sub(at) < mostWaking {
+	at := time.Unix(0, wokeAt)
+	if !w.lastContact().After(at) && w.clock.Now().Sub(at) < maxWakeDelay {
 		return false
 	}
-	w.woke.CompareAndSwap(woke, 0)
+	w.wokeAt.CompareAndSwap(wokeAt, 0)
 	return true
 }
 
-// wake takes that the machine was suspended: what was heard before is old, kept connections are given up, and requests whose time is up end.
-func (r *Router) wake(suspended time.Duration) {
-	r.waking.begin()
+// onWake handles a suspension of the machine: data from before it counts as stale, idle connections are closed, and
+// requests whose deadlines have passed are cancelled.
+func (r *Router) onWake(suspended time.Duration) {
+	r.wakeGuard.markWoken()
 	r.log.Warn().Str("event", "machine_woke").Int64("suspended_ms", suspended.Milliseconds()).
-		Msg("the machine was suspended: what was heard before is old until it is heard again")
+		Msg("the machine was suspended: data from before is stale until it is received again")
 	r.metrics.metrics.Scope().Counter("machine_suspensions_total").Inc(1)
 	r.client.CloseAllIdle()
 	r.core.CancelExpired()
