--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -102,9 +102,9 @@
 // expectedWait estimates the wait from the number of requests ahead and the average time for which slots are held.
 func (g *Gate) expectedWait(req Request, slots int) time.Duration {
 	ahead := 0
-	for k, l := range g.queues {
+	for k, fq := range g.queues {
 		if k.priority < req.Priority || (k.priority == req.Priority && (k.long == req.Long || !k.long)) {
-			ahead += l.n
+			ahead += fq.n
 		}
 	}
 	return time.Duration(float64(ahead) * g.avgHold / float64(max(slots, 1)) * float64(time.Second))
@@ -115,8 +115,8 @@
 func (g *Gate) displace(priority int) bool {
 	lowest := queueKey{priority: priority}
 	found := false
-	for k, l := range g.queues {
-		if l.n > 0 && k.priority > lowest.priority {
+	for k, fq := range g.queues {
+		if fq.n > 0 && k.priority > lowest.priority {
 			lowest, found = k, true
 		}
 	}
@@ -164,12 +164,12 @@
 
 func (g *Gate) push(w *waiter) {
 	k := queueKey{w.req.Priority, w.req.Long}
-	l, ok := g.queues[k]
+	fq, ok := g.queues[k]
 	if !ok {
-		l = &fairQueue{byCustomer: make(map[string][]*waiter)}
-		g.queues[k] = l
+		fq = &fairQueue{byCustomer: make(map[string][]*waiter)}
+		g.queues[k] = fq
 	}
-	l.push(w)
+	fq.push(w)
 	g.waiting++
 }
 
@@ -196,12 +196,12 @@
 func (g *Gate) next() *waiter {
 	var best *fairQueue
 	var key queueKey
-	for k, l := range g.queues {
-		if l.n == 0 || !g.hasSlot(k.long) {
+	for k, fq := range g.queues {
+		if fq.n == 0 || !g.hasSlot(k.long) {
 			continue
 		}
 		if best == nil || k.priority < key.priority || (k.priority == key.priority && !k.long) {
-			best, key = l, k
+			best, key = fq, k
 		}
 	}
 	if best == nil {
@@ -256,62 +256,62 @@
 	return g.running, g.waiting
 }
 
-func (l *fairQueue) push(w *waiter) {
+func (fq *fairQueue) push(w *waiter) {
 	c := w.req.Customer
-	if len(l.byCustomer[c]) == 0 {
-		l.order = append(l.order, c)
+	if len(fq.byCustomer[c]) == 0 {
+		fq.order = append(fq.order, c)
 	}
-	l.byCustomer[c] = append(l.byCustomer[c], w)
-	l.n++
+	fq.byCustomer[c] = append(fq.byCustomer[c], w)
+	fq.n++
 }
 
 // pop removes the oldest waiter of the next customer and moves the customer to the end of the round-robin order.
-func (l *fairQueue) pop() *waiter {
-	c := l.order[0]
-	l.order = l.order[1:]
-	w := l.byCustomer[c][0]
-	l.byCustomer[c] = l.byCustomer[c][1:]
-	l.n--
-	if len(l.byCustomer[c]) == 0 {
-		delete(l.byCustomer, c)
+func (fq *fairQueue) pop() *waiter {
+	c := fq.order[0]
+	fq.order = fq.order[1:]
+	w := fq.byCustomer[c][0]
+	fq.byCustomer[c] = fq.byCustomer[c][1:]
+	fq.n--
+	if len(fq.byCustomer[c]) == 0 {
+		delete(fq.byCustomer, c)
 	} else {
-		l.order = append(l.order, c)
+		fq.order = append(fq.order, c)
 	}
 	return w
 }
 
 // removeNewest removes the newest waiter of the customer with the most waiters.
-func (l *fairQueue) removeNewest() *waiter {
-	longest := l.order[0]
-	for _, c := range l.order {
-		if len(l.byCustomer[c]) > len(l.byCustomer[longest]) {
+func (fq *fairQueue) removeNewest() *waiter {
+	longest := fq.order[0]
+	for _, c := range fq.order {
+		if len(fq.byCustomer[c]) > len(fq.byCustomer[longest]) {
 			longest = c
 		}
 	}
-	q := l.byCustomer[longest]
+	q := fq.byCustomer[longest]
 	w := q[len(q)-1]
-	l.remove(w)
+	fq.remove(w)
 	return w
 }
 
-func (l *fairQueue) remove(w *waiter) {
+func (fq *fairQueue) remove(w *waiter) {
 	c := w.req.Customer
-	q := l.byCustomer[c]
+	q := fq.byCustomer[c]
 	for i, v := range q {
 		if v != w {
 			continue
 		}
-		l.byCustomer[c] = append(q[:i:i], q[i+1:]...)
-		l.n--
+		fq.byCustomer[c] = append(q[:i:i], q[i+1:]...)
+		fq.n--
 		break
 	}
-	if len(l.byCustomer[c]) > 0 {
+	if len(fq.byCustomer[c]) > 0 {
 		return
 	}
-	delete(l.byCustomer, c)
-	for i, name := range l.order {
+	delete(fq.byCustomer, c)
+	for i, name := range fq.order {
 		if name == c {
-			l.order = append(l.order[:i:i], l.order[i+1:]...)
+			fq.order = append(fq.order[:i:i], fq.order[i+1:]...)
 			return
 		}
 	}
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -88,8 +88,8 @@
 			_, err := g.Admit(context.Background(), newRequest(1, "a", true))
 			So(err, ShouldBeNil)
 		}
-		in := make(chan string, 2)
-		enqueue(t, g, newRequest(1, "a", true), "long", in)
+		admitted := make(chan string, 2)
+		enqueue(t, g, newRequest(1, "a", true), "long", admitted)
 		_, err := g.Admit(context.Background(), newRequest(1, "b", false))
 		So(err, ShouldBeNil)
 		running, waiting := g.Counts()
@@ -98,11 +98,11 @@
 	})
 	Convey("A full queue drops the newest of the least urgent requests for an urgent one", t, func() {
 		g := New(func() int { return 0 }, time.Now)
-		in := make(chan string, minQueueLimit+1)
+		admitted := make(chan string, minQueueLimit+1)
 		for range minQueueLimit {
-			enqueue(t, g, newRequest(5, "a", false), "batch", in)
+			enqueue(t, g, newRequest(5, "a", false), "batch", admitted)
 		}
 		go func() { _, _ = g.Admit(context.Background(), newRequest(1, "b", false)) }()
-		So(<-in, ShouldEqual, "batch refused")
+		So(<-admitted, ShouldEqual, "batch refused")
 	})
 }
--- a/internal/relay/overdue.go
+++ b/internal/relay/deadlines.go
@@ -14,25 +14,25 @@
 }
 
 // add adds a request. The returned function removes it.
-func (o *deadlineTracker) add(j *job, cancel context.CancelFunc) (done func()) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.jobs == nil {
-		o.jobs = make(map[*job]context.CancelFunc)
+func (t *deadlineTracker) add(j *job, cancel context.CancelFunc) (done func()) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.jobs == nil {
+		t.jobs = make(map[*job]context.CancelFunc)
 	}
-	o.jobs[j] = cancel
+	t.jobs[j] = cancel
 	return func() {
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		delete(o.jobs, j)
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		delete(t.jobs, j)
 	}
 }
 
 // cancelExpired cancels the requests whose deadlines have passed.
-func (o *deadlineTracker) cancelExpired(now time.Time) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	for j, cancel := range o.jobs {
+func (t *deadlineTracker) cancelExpired(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for j, cancel := range t.jobs {
 		if !now.Before(j.deadline) {
 			cancel()
 		}
--- a/internal/relay/endings.go
+++ b/internal/relay/endings.go
@@ -16,8 +16,8 @@
 type exitProber struct{ inFlight singleflight.Group }
 
 // probe calls f once for all concurrent calls of the same kind and address.
-func (e *exitProber) probe(kind, addr string, f func(context.Context, string) bool) bool {
-	exited, _, _ := e.inFlight.Do(kind+addr, func() (any, error) { return f(context.Background(), addr), nil })
+func (p *exitProber) probe(kind, addr string, f func(context.Context, string) bool) bool {
+	exited, _, _ := p.inFlight.Do(kind+addr, func() (any, error) { return f(context.Background(), addr), nil })
 	return exited.(bool) //nolint:forcetypeassert // the function above returns nothing else
 }
 
--- a/internal/relay/turns.go
+++ b/internal/relay/turns.go
@@ -18,20 +18,20 @@
 )
 
 // next returns the delay until the next caller's slot, if there are perSecond slots per second.
-func (t *retrySchedule) next(service string, perSecond float64, now time.Time) time.Duration {
+func (s *retrySchedule) next(service string, perSecond float64, now time.Time) time.Duration {
 	interval := time.Duration(float64(time.Second) / max(minRate, perSecond))
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.last == nil {
-		t.last = make(map[string]time.Time)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.last == nil {
+		s.last = make(map[string]time.Time)
 	}
 	slot := now
-	if t.last[service].After(now) {
-		slot = t.last[service]
+	if s.last[service].After(now) {
+		slot = s.last[service]
 	}
 	if slot = slot.Add(interval); slot.Sub(now) > maxRetryDelay {
 		return maxRetryDelay
 	}
-	t.last[service] = slot
+	s.last[service] = slot
 	return slot.Sub(now)
 }
--- a/internal/retryafter/retryafter_test.go
+++ b/internal/retryafter/retryafter_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// FuzzOf checks that no header value yields a delay that is negative or longer than Max.
+// FuzzOf checks that ok is true exactly if the delay is over 0, and that no delay is negative or longer than Max.
 func FuzzOf(f *testing.F) {
 	for _, v := range []string{"3", "1.5", "-1", "NaN", "1e999", "0x1p-2", "Sun, 01 Mar 2026 12:00:04 GMT", "3, 4", "\x00"} {
 		f.Add(v, "")
