--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -98,21 +98,21 @@
 	return j.noEndpoint()
 }
 
-// noEndpoint returns the error for a request that no endpoint accepts. If the endpoints have asked for rest, the caller
-// may retry when the first of them is available again, plus a random delay: otherwise all callers that were rejected in
-// the meantime would retry at the same moment.
+// noEndpoint returns the error for a request that no endpoint accepts. If the endpoints have asked for a back-off, the
+// caller may retry when the first of them is available again, plus a random delay: otherwise all callers that were
+// rejected in the meantime would retry at the same moment.
 func (j *job) noEndpoint() error {
-	rest := j.opening.Rest
+	backoff := j.opening.Rest
 	switch {
 	case j.opening.Full:
 		return refuse(verdict.CodeEndpointRefused, "the endpoints have as much as they bear", retryAfterShort)
 	case j.opening.Limited:
 		return refuse(verdict.CodeEndpointLimit, "the endpoints have had as many requests as they say that they take", j.nextRetry())
-	case rest <= 0:
+	case backoff <= 0:
 		return refuse(verdict.CodeNoEndpoint, "no endpoint takes work or can be reached", retryAfterLong)
 	}
-	spread := j.core.random() * float64(max(retryAfterLong, min(rest, maxSpread)))
-	return refuse(verdict.CodeNoEndpoint, "all endpoints that take work have asked for rest", rest+time.Duration(spread))
+	spread := j.core.random() * float64(max(retryAfterLong, min(backoff, maxSpread)))
+	return refuse(verdict.CodeNoEndpoint, "all endpoints that take work have asked for rest", backoff+time.Duration(spread))
 }
 
 // nextRetry returns the delay until this caller's retry slot at endpoints that accept only a few requests per second.
@@ -120,7 +120,7 @@
 	return j.core.retrySlots.next(j.service.Name, j.opening.Rate, j.core.now()) + time.Duration(j.core.random()*float64(retryAfterLong))
 }
 
-// maxSpread limits the random delay of callers that were rejected while all endpoints rested.
+// maxSpread limits the random delay of callers that were rejected while all endpoints asked for a back-off.
 const maxSpread = 2 * time.Second
 
 // shouldRetry reports whether the request is sent to another endpoint.
--- a/internal/router/mechanisms.go
+++ b/internal/router/mechanisms.go
@@ -24,7 +24,7 @@
 	Loans       Mechanism = "loans"        // instances lend each other tokens
 	Pools       Mechanism = "pools"        // in a large fleet, the instances of an availability zone pool their tokens
 	Leaders     Mechanism = "leaders"      // in a large fleet, each availability zone has a leader
-	CrowdedLink Mechanism = "crowded-link" // callers are redirected before this instance's link is saturated
+	CrowdedLink Mechanism = "crowded-link" // callers are diverted before this instance's link is saturated
 	Ranks       Mechanism = "ranks"        // without contact to the store, low-priority requests yield to urgent ones
 	Patience    Mechanism = "patience"     // the response timeout of an endpoint grows with the length of the prompt
 	Retries     Mechanism = "retries"      // requests are retried within a shared budget
--- a/internal/router/wake.go
+++ b/internal/router/resume.go
@@ -14,41 +14,41 @@
 	return r.boot.Now()
 }
 
-// wakeGuard prevents an instance whose machine was suspended from serving with data from before the suspension, since keys
+// resumeGuard prevents an instance whose machine was suspended from serving with data from before the suspension, since keys
 // may have been revoked meanwhile. The instance serves again once it has received current data. If it receives none
-// within maxWakeDelay, it continues like an instance without contact to the store.
-type wakeGuard struct {
+// within maxResumeDelay, it continues like an instance without contact to the store.
+type resumeGuard struct {
 	clock       *boottime.Clock
 	lastContact func() time.Time // when the configuration and the endpoints were last known to match the store
-	wokeAt      atomic.Int64     // end of a suspension by clock, in ns; 0: none since data was last received
+	resumedAt   atomic.Int64     // end of a suspension by clock, in ns; 0: none since data was last received
 }
 
-// maxWakeDelay limits how long an instance waits for current data after a suspension. Data arrives within a second if the
+// maxResumeDelay limits how long an instance waits for current data after a suspension. Data arrives within a second if the
 // store or a leader can be reached. An instance that can reach neither continues to serve, so one that was also suspended
 // may do so after the time from which an instance counts as disconnected.
-const maxWakeDelay = 3 * time.Second
+const maxResumeDelay = 3 * time.Second
 
-// markWoken records that the machine has been suspended and runs again.
-func (w *wakeGuard) markWoken() { w.wokeAt.Store(int64(w.clock.Elapsed())) }
+// markResumed records that the machine has been suspended and runs again.
+func (w *resumeGuard) markResumed() { w.resumedAt.Store(int64(w.clock.Elapsed())) }
 
 // stateFresh reports whether the data of the instance is fresh enough to serve requests.
-func (w *wakeGuard) stateFresh() bool {
-	wokeAt := w.wokeAt.Load()
-	if wokeAt == 0 {
+func (w *resumeGuard) stateFresh() bool {
+	resumedAt := w.resumedAt.Load()
+	if resumedAt == 0 {
 		return true
 	}
-	at := time.Unix(0, wokeAt)
-	if !w.lastContact().After(at) && w.clock.Now().Sub(at) < maxWakeDelay {
+	at := time.Unix(0, resumedAt)
+	if !w.lastContact().After(at) && w.clock.Now().Sub(at) < maxResumeDelay {
 		return false
 	}
-	w.wokeAt.CompareAndSwap(wokeAt, 0)
+	w.resumedAt.CompareAndSwap(resumedAt, 0)
 	return true
 }
 
-// onWake handles a suspension of the machine: data from before it counts as stale, idle connections are closed, and
+// onResume handles a suspension of the machine: data from before it counts as stale, idle connections are closed, and
 // requests whose deadlines have passed are cancelled.
-func (r *Router) onWake(suspended time.Duration) {
-	r.wakeGuard.markWoken()
+func (r *Router) onResume(suspended time.Duration) {
+	r.resumeGuard.markResumed()
 	r.log.Warn().Str("event", "machine_woke").Int64("suspended_ms", suspended.Milliseconds()).
 		Msg("the machine was suspended: data from before is stale until it is received again")
 	r.metrics.metrics.Scope().Counter("machine_suspensions_total").Inc(1)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -60,7 +60,7 @@
 	peers         *peers.Directory
 	clock         *fleettime.Clock
 	boot          *boottime.Clock
-	wakeGuard     wakeGuard
+	resumeGuard   resumeGuard
 	load          *load.Exchange
 	share         *quarantine.Share
 	follow        *follow.Follower
@@ -86,7 +86,7 @@
 	r.start = newStartRecorder(log, r.metrics.recordStartStep)
 	r.followEpochs(platform.Epochs)
 	platform.Calls.OnCall(r.onStoreCall)
-	platform.Calls.OnRest(r.logStoreRest)
+	platform.Calls.OnRest(r.logStoreBackoff)
 	id := settings.Instance.ID + "/" + strings.ToLower(ulid.Make().String())
 	links := mesh.NewRouter()
 	r.newFleet(platform, links, id)
@@ -94,8 +94,8 @@
 	r.newFollower(platform, links)
 	r.newSharing(platform, links)
 	r.newCore(platform)
-	r.wakeGuard = wakeGuard{clock: r.boot, lastContact: r.follow.LastContact}
-	r.boot.OnWake(r.onWake)
+	r.resumeGuard = resumeGuard{clock: r.boot, lastContact: r.follow.LastContact}
+	r.boot.OnWake(r.onResume)
 	if err := r.listen(platform); err != nil {
 		return nil, err
 	}
@@ -165,7 +165,7 @@
 	r.core = relay.New(relay.Deps{
 		Table: r.follow.Table, Pool: r.pool, Budgets: r.escrow, Retries: retries, Client: r.client, Dialect: platform.Dialect,
 	}, append(r.settings.relayOptions(), relay.WithNow(r.boot.Now), relay.OnOutcome(r.logRequest), relay.OnDelayedExit(r.logDelayedExit),
-		relay.WithQuarantine(r.suspects), relay.WithStateFresh(r.wakeGuard.stateFresh), relay.OnDial(r.recordDial), relay.WithCongested(r.pressure.Crowded))...)
+		relay.WithQuarantine(r.suspects), relay.WithStateFresh(r.resumeGuard.stateFresh), relay.OnDial(r.recordDial), relay.WithCongested(r.pressure.Crowded))...)
 }
 
 // fleetSize returns the number of instances among which fleet-wide limits are divided. Right after its start, an instance
@@ -181,10 +181,10 @@
 	}
 }
 
-// logStoreRest logs and counts that the store has asked for a pause in calls.
-func (r *Router) logStoreRest(after time.Duration) {
+// logStoreBackoff logs and counts that the store has asked for a back-off.
+func (r *Router) logStoreBackoff(after time.Duration) {
 	r.metrics.metrics.Scope().Counter("store_rests_total").Inc(1)
-	r.log.Info().Str("event", "store_rests").Dur("rest", after).Msg("the store has asked for rest: calls are paused")
+	r.log.Info().Str("event", "store_rests").Dur("rest", after).Msg("the store has asked for a back-off: calls are paused")
 }
 
 // startWatch returns the service that measures the start of the instance.
@@ -257,10 +257,10 @@
 	}
 }
 
-// logPressure logs that the instance starts or stops redirecting callers to other instances.
+// logPressure logs that the instance starts or stops diverting callers to other instances.
 func (r *Router) logPressure(away bool) {
 	if away {
-		r.log.Warn().Str("event", "link_crowded").Msg("the network link is congested: callers are redirected to other instances")
+		r.log.Warn().Str("event", "link_crowded").Msg("the network link is congested: callers are diverted to other instances")
 		return
 	}
 	r.log.Info().Str("event", "link_calm").Msg("the network link is no longer congested: callers are accepted again")
@@ -269,7 +269,7 @@
 // ready reports whether the instance accepts callers: the configuration, endpoints and escrow are known, the network link
 // is not congested, and all data has been received again after a suspension of the machine.
 func (r *Router) ready() bool {
-	return !r.pressure.Away() && r.wakeGuard.stateFresh() && r.follow.Table() != nil && r.escrow.Ready() && r.pool.Len() > 0
+	return !r.pressure.Away() && r.resumeGuard.stateFresh() && r.follow.Table() != nil && r.escrow.Ready() && r.pool.Len() > 0
 }
 
 // Run runs the router until ctx ends. It performs no planned stop; see Stop.
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -30,7 +30,7 @@
 	ID   string `json:"id" validate:"required"`   // stable across restarts of the process
 	Zone string `json:"zone" validate:"required"` // availability zone
 	// LinkMbps is the capacity of the machine's network link in each direction, in megabits per second; 0: unknown. Callers
-	// are redirected to other instances before the link is saturated. In a large fleet, the machines with the largest links
+	// are diverted to other instances before the link is saturated. In a large fleet, the machines with the largest links
 	// lead their availability zones.
 	LinkMbps float64 `json:"link_mbps" validate:"min=0"`
 	// Regions maps each availability zone to its region, for routes and customers that are restricted to some regions.
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -151,7 +151,7 @@
 			So(paused(), ShouldEqual, 1)
 		})
 
-		Convey("an endpoint that announces that it is leaving, or asks for rest, gets no work, and its status states why", func() {
+		Convey("an endpoint that announces that it is leaving, or asks for a back-off, gets no work, and its status states why", func() {
 			leases := all()
 			leases["e0"][0].Said(pool.Notice{Leaving: true}, pool.Answer{})
 			leases["e1"][0].Said(pool.Notice{Rest: 2 * time.Second}, pool.Answer{})
