--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -1,8 +1,9 @@
-// Package quarantine knows requests again that end the endpoints that run them, and keeps them from ending more.
+// Package quarantine recognizes requests that crash the endpoints that run them, and keeps them from crashing more.
 //
-// A request that makes its endpoint's process end comes back: from its caller, with another ID, at any instance. Each of its runs breaks
-// off everything else that the endpoint was running. So instances remember the runs that an endpoint did not outlive, by what the request
-// is and not by its ID, tell each other, and run no request any more under which several endpoints have ended in a row.
+// A request that crashes the process of its endpoint comes back: its caller sends it again, with another ID, to any
+// instance. Each of its runs aborts everything else that the endpoint was running. Instances therefore record the
+// runs during which an endpoint crashed, by the content of the request and not by its ID. They report these runs to
+// each other, and no longer run a request under which several endpoints have crashed in a row.
 package quarantine
 
 import (
@@ -11,11 +12,12 @@
 	"encoding/hex"
 )
 
-// Digest names a request by what it asks and who asks it, whatever ID it carries. It is a part of a SHA-256 sum: a caller cannot make two
-// requests alike, and no body can be read from it.
+// Digest identifies a request by its content and its customer, whatever its ID. It is a part of a SHA-256 sum: a
+// caller cannot make two requests with the same digest, and the body cannot be recovered from it.
 type Digest [16]byte
 
-// Of makes the digest of a request. customer is the one whose key was used; target is the path and query as the caller wrote them.
+// Of returns the digest of a request. customer is the one whose key was used; target is the path and query as the
+// caller wrote them.
 func Of(customer, method, host, target string, body []byte) Digest {
 	h := sha256.New()
 	var size [8]byte
@@ -25,10 +27,10 @@
 		_, _ = h.Write([]byte(part))
 	}
 	_, _ = h.Write(body)
-	var p Digest
-	copy(p[:], h.Sum(nil))
-	return p
+	var d Digest
+	copy(d[:], h.Sum(nil))
+	return d
 }
 
-// String is the digest in hexadecimal digits.
-func (p Digest) String() string { return hex.EncodeToString(p[:]) }
+// String returns the digest in hexadecimal digits.
+func (d Digest) String() string { return hex.EncodeToString(d[:]) }
--- a/internal/quarantine/formats_test.go
+++ b/internal/quarantine/formats_test.go
@@ -6,8 +6,8 @@
 	"github.com/ledgemount/ledgemount/internal/compat/formattest"
 )
 
-// What instances of other builds read, or have written.
+// Encodings that instances of other builds read or have written.
 func TestFormats(t *testing.T) {
-	formattest.Check[news](t, "news")
-	formattest.Check[together](t, "together")
+	formattest.Check[update](t, "news")
+	formattest.Check[snapshot](t, "together")
 }
--- a/internal/quarantine/fuzz_test.go
+++ b/internal/quarantine/fuzz_test.go
@@ -7,29 +7,30 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// FuzzTold looks for messages of other instances, and values of the store, that stop the process or are taken although they cannot be right.
-func FuzzTold(f *testing.F) {
-	m := New()
-	m.RecordCrash(crashing, "north", Crash{Run: "e-0", Began: time.Now().Add(-time.Second), Ended: time.Now()})
-	if raw, err := m.packAll(time.Now()); err == nil {
+// FuzzUpdate looks for messages of other instances, and values of the store, that crash the process or are accepted
+// although they cannot be right.
+func FuzzUpdate(f *testing.F) {
+	tracker := New()
+	tracker.RecordCrash(crashing, "north", Crash{Run: "e-0", Began: time.Now().Add(-time.Second), Ended: time.Now()})
+	if raw, err := tracker.packSnapshot(time.Now()); err == nil {
 		f.Add(raw)
 	}
-	records, seq := m.since(0, "")
-	if raw, err := cbor.Marshal(news{Hello: true, Seq: seq, Records: records}); err == nil {
+	records, seq := tracker.changedSince(0, "")
+	if raw, err := cbor.Marshal(update{Hello: true, Seq: seq, Records: records}); err == nil {
 		f.Add(raw)
 	}
 	f.Add([]byte{0xa1, 0x02, 0x81, 0xa0})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		m := New()
-		_ = m.learnAll(raw, time.Now())
-		var n news
-		if err := cbor.Unmarshal(raw, &n); err == nil {
-			for _, r := range n.Records {
-				m.learn(r, "", 0, sameEnd)
+		tracker := New()
+		_ = tracker.mergeSnapshot(raw, time.Now())
+		var u update
+		if err := cbor.Unmarshal(raw, &u); err == nil {
+			for _, r := range u.Records {
+				tracker.merge(r, "", 0, sameCrashWindow)
 			}
 		}
-		for _, r := range m.records {
-			if len(r.ends) > mostEnds || len(r.customer) > mostName {
+		for _, r := range tracker.records {
+			if len(r.crashes) > maxCrashes || len(r.customer) > maxNameLen {
 				t.Fatalf("record %+v", r)
 			}
 		}
--- a/internal/quarantine/log.go
+++ b/internal/quarantine/log.go
@@ -2,31 +2,32 @@
 
 import "github.com/rs/zerolog"
 
-// The events of the lines about requests that are kept back.
+// Events of the log lines about quarantined requests.
 const (
 	EventQuarantined = "request_quarantined"
 	EventReleased    = "request_released"
 	EventCrash       = "endpoint_ended"
 )
 
-// LogChanges makes what logs changes. They are rare: a request is kept back after several endpoints have ended with it.
+// LogChanges returns a function that logs changes. They are rare: a request is quarantined only after several
+// endpoints have crashed while they ran it.
 func LogChanges(log zerolog.Logger) func(Change) {
 	return func(c Change) {
 		event, msg := EventReleased, "a request is not kept from endpoints any more: a run of it ended well"
 		if c.Quarantined {
 			event, msg = EventQuarantined, "several endpoints ended while they ran a request: it is kept from the others"
 		}
-		ends := zerolog.Arr()
-		for _, e := range c.Crashes {
-			ends = ends.Dict(zerolog.Dict().Str("endpoint", e.Run).Int64("ran_ms", e.Ended.Sub(e.Began).Milliseconds()).Bool("events", e.Streamed))
+		crashes := zerolog.Arr()
+		for _, crash := range c.Crashes {
+			crashes = crashes.Dict(zerolog.Dict().Str("endpoint", crash.Run).Int64("ran_ms", crash.Ended.Sub(crash.Began).Milliseconds()).Bool("events", crash.Streamed))
 		}
 		log.Warn().Str("event", event).Str("digest", c.Digest.String()).Str("customer", c.Customer).Bool("told", !c.Local).
-			Array("ends", ends).Msg(msg)
+			Array("ends", crashes).Msg(msg)
 	}
 }
 
-// LogCrash logs that an endpoint ended under a request.
+// LogCrash logs that an endpoint crashed while it ran a request.
 func LogCrash(log zerolog.Logger, endpoint, digest string) {
 	log.Warn().Str("event", EventCrash).Str("endpoint", endpoint).Str("digest", digest).
-		Msg("an endpoint's process has ended while it ran a request")
+		Msg("endpoint process ended while it ran a request")
 }
--- a/internal/quarantine/memory.go
+++ b/internal/quarantine/memory.go
@@ -7,360 +7,371 @@
 	"time"
 )
 
-// Crash is one run of a request that the process of its endpoint did not outlive.
+// Crash is one run of a request during which the process of its endpoint ended unexpectedly.
 type Crash struct {
-	Run      string // names one run of the endpoint's process
+	Run      string // identifies one run of the endpoint's process
 	Began    time.Time
 	Ended    time.Time
-	Streamed bool // the run had passed events on
+	Streamed bool // the run had passed events on to the caller
 }
 
-// What ends weigh. A request that three endpoints in a row did not outlive from its first token on is kept back at the third end; one whose
-// runs had passed events on, so that something else may have ended their endpoints, after six: else requests would be kept back that were only caught by an
-// endpoint's end.
+// Weights of crashes. A request that crashes three endpoints in a row before its first token is quarantined at the
+// third crash. If the runs had passed events on, something else may have ended their endpoints, and six crashes are
+// needed: otherwise requests would be quarantined that merely ran on an endpoint when it crashed.
 const (
-	endWeight    = 2
-	eventsWeight = 1
-	heldFrom     = 3 * endWeight
-	// overlapMost is what all runs weigh together that were under way at once with one that counts: many endpoints that end at the same moment
-	// end for another reason than one request that several callers send.
-	overlapMost = 2
-	// loneFrom is the weight from which a request runs once at a time here and is not sent again by us: two ends in a row.
-	loneFrom = 2 * endWeight
+	crashWeight      = 2
+	streamedWeight   = 1
+	quarantineWeight = 3 * crashWeight
+	// maxOverlapWeight is the most that the runs that overlap with one that counts add in total: if many endpoints crash
+	// at the same moment, the cause is not one request that several callers send.
+	maxOverlapWeight = 2
+	// noRetryWeight is the weight of two crashes in a row. From there on, an instance runs the request once at a time
+	// and does not retry it.
+	noRetryWeight = 2 * crashWeight
 )
 
 const (
-	// sameEnd is how far apart two instances may see one end. An endpoint that has ended is back after a second or more.
-	sameEnd = time.Second
-	// clockSlack is by how much moments reported by other instances may be off: the time that a message takes.
+	// sameCrashWindow is how far apart two instances may observe the same crash. A crashed endpoint takes a second or
+	// more to come back.
+	sameCrashWindow = time.Second
+	// clockSlack is how far times reported by other instances may be off: the transit time of a message.
 	clockSlack = 20 * time.Millisecond
 
-	// DefaultDuration is how long a request is kept back after its last end, before it is tried again once. Endpoints with a fault in their
-	// software are replaced in minutes; each try that fails ends one more.
+	// DefaultDuration is how long a request is quarantined after its last crash, before it is tried once more. Endpoints
+	// with faulty software are replaced within minutes; each failed try crashes one more.
 	DefaultDuration = 10 * time.Minute
-	oldLives        = 3 // after so many without a word it counts as new
-	mostLonger      = 3 // times that the life doubles, once for each such try that ended its endpoint
+	expiryFactor    = 3 // a record expires after so many durations without an update
+	maxDoublings    = 3 // times that the duration doubles, once for each failed try
 
-	mostRecords  = 4096 // some 300 bytes each
-	mostCustomer = 512  // of one customer: many different requests of one do not drive out those of others
-	mostEnds     = 16   // of one request
+	maxRecords         = 4096 // of some 300 bytes each
+	maxCustomerRecords = 512  // per customer, so that many different requests of one do not evict those of others
+	maxCrashes         = 16   // per request
 )
 
-// record is what is known of one request.
+// record is the crash history of one request.
 type record struct {
 	digest   Digest
 	customer string
-	// gen counts the runs that ended well after a suspicion: what was known before them is void
-	gen    uint32
-	ends   []Crash // in the order in which they ended
-	held   time.Time
-	probes int // tries after a life that ended their endpoints
-	at     time.Time
-	seq    uint64
-	from   string // the instance that told all that is known, and need not be told; empty: none did
-	open   int    // runs under way here that began under suspicion
+	// gen counts the successful runs after a suspicion; each of them resets the record
+	gen           uint32
+	crashes       []Crash // ordered by the time of the crash
+	quarantinedAt time.Time
+	probes        int // failed tries after the quarantine had expired
+	updatedAt     time.Time
+	seq           uint64
+	from          string // instance that sent the whole record and need not receive it; empty: none did
+	running       int    // current runs on this instance that began under suspicion
 }
 
-// weight sums up the ends: those of runs in a row, each of which began after the one before had ended, and a little for others.
+// weight sums up the crashes: those of consecutive runs, each of which began after the previous crash, and a limited
+// weight for those of overlapping runs.
 func (r *record) weight() int {
 	total, overlap := 0, 0
 	var last time.Time
-	for _, e := range r.ends {
-		w := endWeight
-		if e.Streamed {
-			w = eventsWeight
+	for _, c := range r.crashes {
+		w := crashWeight
+		if c.Streamed {
+			w = streamedWeight
 		}
-		if last.IsZero() || e.Began.After(last.Add(-clockSlack)) {
+		if last.IsZero() || c.Began.After(last.Add(-clockSlack)) {
 			total += w
-			last = e.Ended
+			last = c.Ended
 			continue
 		}
 		overlap++
 	}
-	return total + min(overlap, overlapMost)
+	return total + min(overlap, maxOverlapWeight)
 }
 
-func (r *record) suspected() bool { return len(r.ends) > 0 || !r.held.IsZero() }
+func (r *record) suspected() bool { return len(r.crashes) > 0 || !r.quarantinedAt.IsZero() }
 
-// note adds an end that is not known yet; false if it is. One end may be seen by several instances.
-func (r *record) note(e Crash, same time.Duration) bool {
-	for _, known := range r.ends {
-		if known.Run == e.Run && e.Ended.Sub(known.Ended).Abs() < same {
+// addCrash adds a crash and reports whether it is new. Several instances may observe the same one.
+func (r *record) addCrash(c Crash, window time.Duration) bool {
+	for _, known := range r.crashes {
+		if known.Run == c.Run && c.Ended.Sub(known.Ended).Abs() < window {
 			return false
 		}
 	}
-	if len(r.ends) == mostEnds {
+	if len(r.crashes) == maxCrashes {
 		return false
 	}
-	r.ends = append(r.ends, e)
-	slices.SortFunc(r.ends, func(a, b Crash) int { return a.Ended.Compare(b.Ended) })
+	r.crashes = append(r.crashes, c)
+	slices.SortFunc(r.crashes, func(a, b Crash) int { return a.Ended.Compare(b.Ended) })
 	return true
 }
 
-// Decision reports what becomes of a request that comes.
+// Decision is what happens to an incoming request.
 type Decision int
 
-// The decisions.
+// Decisions of a Tracker.
 const (
 	Run    Decision = iota // it may run
-	Wait                   // a run of it is under way, after two in a row that ended their endpoints
-	Refuse                 // it ended several endpoints
+	Wait                   // another run is in progress, after two crashes in a row
+	Refuse                 // it crashed several endpoints
 )
 
-// Change reports that a request is kept back from now on, or not any more.
+// Change reports that a request is quarantined from now on, or no longer.
 type Change struct {
 	Digest      Digest
 	Customer    string
 	Quarantined bool
 	Crashes     []Crash
-	Local       bool // it was decided here, and not told
+	Local       bool // decided by this instance, not reported by another one
 }
 
-// Tracker remembers ends and decides. It does no I/O. All its methods may be called at once.
+// Tracker records crashes and decides which requests may run. It performs no I/O and is safe for concurrent use.
 type Tracker struct {
-	now     func() time.Time
-	life    time.Duration
-	prober  func(Digest) bool
-	changed func(Change)
-	news    func()
+	now      func() time.Time
+	duration time.Duration
+	prober   func(Digest) bool
+	onChange func(Change)
+	onUpdate func()
 
-	active atomic.Int64 // requests under suspicion
+	suspects atomic.Int64 // requests under suspicion
 
 	mu        sync.Mutex
 	records   map[Digest]*record
-	customers map[string]int // records under suspicion
+	customers map[string]int // records under suspicion, by customer
 	seq       uint64
 }
 
-// Option changes a Memory.
+// Option configures a Tracker.
 type Option func(*Tracker)
 
 // WithNow replaces the clock.
-func WithNow(now func() time.Time) Option { return func(m *Tracker) { m.now = now } }
+func WithNow(now func() time.Time) Option { return func(t *Tracker) { t.now = now } }
 
-// WithDuration sets how long a request is kept back.
-func WithDuration(d time.Duration) Option { return func(m *Tracker) { m.life = d } }
+// WithDuration sets how long a request is quarantined.
+func WithDuration(d time.Duration) Option { return func(t *Tracker) { t.duration = d } }
 
-// WithProber sets what reports whether this instance is the one that tries a request again once its life is over. Where none does for another
-// life, all may.
-func WithProber(f func(Digest) bool) Option { return func(m *Tracker) { m.prober = f } }
+// WithProber sets a function that reports whether this instance is the one that tries a request again when its
+// quarantine has expired. If no instance does so for another duration, all may.
+func WithProber(f func(Digest) bool) Option { return func(t *Tracker) { t.prober = f } }
 
-// OnChange sets what is told when a request is kept back or is not any more.
-func OnChange(f func(Change)) Option { return func(m *Tracker) { m.changed = f } }
+// OnChange sets a function that is called when a request is quarantined or released.
+func OnChange(f func(Change)) Option { return func(t *Tracker) { t.onChange = f } }
 
-// OnUpdate sets what is called when something was seen here that others are to know.
-func OnUpdate(f func()) Option { return func(m *Tracker) { m.news = f } }
+// OnUpdate sets a function that is called after an observation on this instance that others need to receive.
+func OnUpdate(f func()) Option { return func(t *Tracker) { t.onUpdate = f } }
 
-// New makes an empty memory.
+// New returns an empty Tracker.
 func New(opts ...Option) *Tracker {
-	m := &Tracker{
-		now: time.Now, life: DefaultDuration, prober: func(Digest) bool { return true }, changed: func(Change) {}, news: func() {},
+	t := &Tracker{
+		now: time.Now, duration: DefaultDuration, prober: func(Digest) bool { return true }, onChange: func(Change) {}, onUpdate: func() {},
 		records: make(map[Digest]*record), customers: make(map[string]int),
 	}
 	for _, opt := range opts {
-		opt(m)
+		opt(t)
 	}
-	return m
+	return t
 }
 
-// Suspects reports whether any request of a customer is under suspicion. It costs one atomic read where none is.
-func (m *Tracker) Suspects(customer string) bool {
-	if m.active.Load() == 0 {
+// Suspects reports whether any request of a customer is under suspicion. It costs one atomic read if no request of
+// any customer is.
+func (t *Tracker) Suspects(customer string) bool {
+	if t.suspects.Load() == 0 {
 		return false
 	}
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.customers[customer] > 0
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.customers[customer] > 0
 }
 
-// Enter decides on a request that comes, and when its caller may come back if it does not run. Leave ends what runs.
-func (m *Tracker) Enter(p Digest) (Decision, time.Duration) {
-	now := m.now()
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	r := m.current(p, now)
+// Enter decides on an incoming request, and after what time its caller may retry if it does not run. A request that
+// may run must be followed by a call of Leave.
+func (t *Tracker) Enter(d Digest) (Decision, time.Duration) {
+	now := t.now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.lookup(d, now)
 	if r == nil || !r.suspected() {
 		return Run, 0
 	}
-	if !r.held.IsZero() {
-		due := r.held.Add(m.lifeOf(r))
-		mine := now.After(due) && (m.prober(p) || now.After(due.Add(m.lifeOf(r))))
-		if !mine || r.open > 0 {
+	if !r.quarantinedAt.IsZero() {
+		due := r.quarantinedAt.Add(t.durationOf(r))
+		mayProbe := now.After(due) && (t.prober(d) || now.After(due.Add(t.durationOf(r))))
+		if !mayProbe || r.running > 0 {
 			return Refuse, max(due.Sub(now), time.Second)
 		}
-	} else if r.open > 0 && r.weight() >= loneFrom {
+	} else if r.running > 0 && r.weight() >= noRetryWeight {
 		return Wait, 0
 	}
-	r.open++
+	r.running++
 	return Run, 0
 }
 
-// Leave ends a run that Enter has let in.
-func (m *Tracker) Leave(p Digest) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if r := m.records[p]; r != nil && r.open > 0 {
-		r.open--
+// Leave ends a run that Enter has admitted.
+func (t *Tracker) Leave(d Digest) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if r := t.records[d]; r != nil && r.running > 0 {
+		r.running--
 	}
 }
 
-// Quarantined reports whether a request is kept back by now, though it was let in before.
-func (m *Tracker) Quarantined(p Digest) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	r := m.records[p]
-	return r != nil && !r.held.IsZero() && m.now().Before(r.held.Add(m.lifeOf(r)))
+// Quarantined reports whether a request is quarantined now, although it was admitted earlier.
+func (t *Tracker) Quarantined(d Digest) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.records[d]
+	return r != nil && !r.quarantinedAt.IsZero() && t.now().Before(r.quarantinedAt.Add(t.durationOf(r)))
 }
 
-// NoRetry reports whether only its caller may send a request again.
-func (m *Tracker) NoRetry(p Digest) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	r := m.records[p]
-	return r != nil && (!r.held.IsZero() || r.weight() >= loneFrom)
+// NoRetry reports whether the instance must not retry a request, so that only its caller may send it again.
+func (t *Tracker) NoRetry(d Digest) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r := t.records[d]
+	return r != nil && (!r.quarantinedAt.IsZero() || r.weight() >= noRetryWeight)
 }
 
-// RecordCrash takes an end that was seen here.
-func (m *Tracker) RecordCrash(p Digest, customer string, e Crash) {
-	now := m.now()
-	m.mu.Lock()
-	r := m.of(p, customer, now)
-	if !r.note(e, sameEnd) {
-		m.mu.Unlock()
+// RecordCrash records a crash that this instance has observed.
+func (t *Tracker) RecordCrash(d Digest, customer string, c Crash) {
+	now := t.now()
+	t.mu.Lock()
+	r := t.lookupOrCreate(d, customer, now)
+	if !r.addCrash(c, sameCrashWindow) {
+		t.mu.Unlock()
 		return
 	}
-	probed := !r.held.IsZero() && now.After(r.held.Add(m.lifeOf(r)))
-	change := m.judge(r, now, true)
-	if probed {
-		r.held, r.probes = now, r.probes+1
+	probeFailed := !r.quarantinedAt.IsZero() && now.After(r.quarantinedAt.Add(t.durationOf(r)))
+	change := t.evaluate(r, now, true)
+	if probeFailed {
+		r.quarantinedAt, r.probes = now, r.probes+1
 	}
-	m.mu.Unlock()
-	m.tell(change)
-	m.news()
+	t.mu.Unlock()
+	t.notify(change)
+	t.onUpdate()
 }
 
-// RecordSuccess takes a run that ended well: what was known of the request before is void, everywhere.
-func (m *Tracker) RecordSuccess(p Digest) {
-	now := m.now()
-	m.mu.Lock()
-	r := m.records[p]
+// RecordSuccess records a run that ended well. It resets what was known about the request, on all instances.
+func (t *Tracker) RecordSuccess(d Digest) {
+	now := t.now()
+	t.mu.Lock()
+	r := t.records[d]
 	if r == nil || !r.suspected() {
-		m.mu.Unlock()
+		t.mu.Unlock()
 		return
 	}
-	change := m.void(r, r.gen+1, true)
-	m.touch(r, now)
-	m.mu.Unlock()
-	m.tell(change)
-	m.news()
+	change := t.reset(r, r.gen+1, true)
+	t.markChanged(r, now)
+	t.mu.Unlock()
+	t.notify(change)
+	t.onUpdate()
 }
 
-func (m *Tracker) tell(c *Change) {
+func (t *Tracker) notify(c *Change) {
 	if c != nil {
-		m.changed(*c)
+		t.onChange(*c)
 	}
 }
 
-// lifeOf is how long a request is kept back. The caller holds mu.
-func (m *Tracker) lifeOf(r *record) time.Duration { return m.life << min(r.probes, mostLonger) }
+// durationOf returns how long a request is quarantined. The caller holds mu.
+func (t *Tracker) durationOf(r *record) time.Duration {
+	return t.duration << min(r.probes, maxDoublings)
+}
 
-// current finds a record, unless all it says is old. The caller holds mu.
-func (m *Tracker) current(p Digest, now time.Time) *record {
-	r := m.records[p]
-	if r != nil && m.old(r, now) {
-		m.drop(r)
+// lookup finds a record, unless it has expired. The caller holds mu.
+func (t *Tracker) lookup(d Digest, now time.Time) *record {
+	r := t.records[d]
+	if r != nil && t.expired(r, now) {
+		t.remove(r)
 		return nil
 	}
 	return r
 }
 
-// old reports whether nothing was heard of a request for so long that it counts as new. The caller holds mu.
-func (m *Tracker) old(r *record, now time.Time) bool { return now.Sub(r.at) > oldLives*m.lifeOf(r) }
+// expired reports whether a record has had no update for so long that its request counts as new. The caller holds mu.
+func (t *Tracker) expired(r *record, now time.Time) bool {
+	return now.Sub(r.updatedAt) > expiryFactor*t.durationOf(r)
+}
 
-// of finds or makes a record. The caller holds mu.
-func (m *Tracker) of(p Digest, customer string, now time.Time) *record {
-	if r := m.current(p, now); r != nil {
+// lookupOrCreate finds or creates a record. The caller holds mu.
+func (t *Tracker) lookupOrCreate(d Digest, customer string, now time.Time) *record {
+	if r := t.lookup(d, now); r != nil {
 		return r
 	}
-	m.makeRoom(customer)
-	r := &record{digest: p, customer: customer, at: now}
-	m.records[p] = r
+	t.evict(customer)
+	r := &record{digest: d, customer: customer, updatedAt: now}
+	t.records[d] = r
 	return r
 }
 
-// makeRoom drops the record that was heard of least lately: of the customer if it has too many, else of all. Those of requests that are kept
-// back go last. The caller holds mu.
-func (m *Tracker) makeRoom(customer string) {
-	ofCustomer := m.customers[customer] >= mostCustomer
-	if !ofCustomer && len(m.records) < mostRecords {
+// evict removes the least recently updated record if there are too many: one of the customer if the customer has too
+// many, else any. Quarantined requests are removed last. The caller holds mu.
+func (t *Tracker) evict(customer string) {
+	ofCustomer := t.customers[customer] >= maxCustomerRecords
+	if !ofCustomer && len(t.records) < maxRecords {
 		return
 	}
 	var oldest *record
-	for _, r := range m.records {
+	for _, r := range t.records {
 		if ofCustomer && r.customer != customer {
 			continue
 		}
-		if oldest == nil || less(r, oldest) {
+		if oldest == nil || lessImportant(r, oldest) {
 			oldest = r
 		}
 	}
 	if oldest != nil {
-		m.drop(oldest)
+		t.remove(oldest)
 	}
 }
 
-// less reports whether a record is less worth keeping than another.
-func less(a, b *record) bool {
-	if a.held.IsZero() != b.held.IsZero() {
-		return a.held.IsZero()
+// lessImportant reports whether a is to be evicted before b.
+func lessImportant(a, b *record) bool {
+	if a.quarantinedAt.IsZero() != b.quarantinedAt.IsZero() {
+		return a.quarantinedAt.IsZero()
 	}
-	return a.at.Before(b.at)
+	return a.updatedAt.Before(b.updatedAt)
 }
 
-// drop forgets a record. The caller holds mu.
-func (m *Tracker) drop(r *record) {
-	m.count(r, r.suspected(), false)
-	delete(m.records, r.digest)
+// remove deletes a record. The caller holds mu.
+func (t *Tracker) remove(r *record) {
+	t.countSuspects(r, r.suspected(), false)
+	delete(t.records, r.digest)
 }
 
-// touch notes that a record has changed, for those that are told. The caller holds mu.
-func (m *Tracker) touch(r *record, now time.Time) {
-	m.seq++
-	r.seq, r.at, r.from = m.seq, now, ""
+// markChanged marks a record as changed, so that other instances receive it. The caller holds mu.
+func (t *Tracker) markChanged(r *record, now time.Time) {
+	t.seq++
+	r.seq, r.updatedAt, r.from = t.seq, now, ""
 }
 
-// count keeps the numbers of requests under suspicion. The caller holds mu.
-func (m *Tracker) count(r *record, before, after bool) {
+// countSuspects updates the counts of suspected requests for a record that was suspected before, or is after, a
+// change. The caller holds mu.
+func (t *Tracker) countSuspects(r *record, before, after bool) {
 	switch {
 	case after && !before:
-		m.active.Add(1)
-		m.customers[r.customer]++
+		t.suspects.Add(1)
+		t.customers[r.customer]++
 	case before && !after:
-		m.active.Add(-1)
-		if m.customers[r.customer]--; m.customers[r.customer] <= 0 {
-			delete(m.customers, r.customer)
+		t.suspects.Add(-1)
+		if t.customers[r.customer]--; t.customers[r.customer] <= 0 {
+			delete(t.customers, r.customer)
 		}
 	}
 }
 
-// judge takes that a record has more ends: the request is kept back if they weigh enough. The caller holds mu and has added to ends only.
-func (m *Tracker) judge(r *record, now time.Time, own bool) *Change {
-	m.count(r, len(r.ends) > 1 || !r.held.IsZero(), true)
-	m.touch(r, now)
-	if !r.held.IsZero() || r.weight() < heldFrom {
+// evaluate quarantines a request if its crashes weigh enough. The caller holds mu and has done nothing but add
+// crashes.
+func (t *Tracker) evaluate(r *record, now time.Time, local bool) *Change {
+	t.countSuspects(r, len(r.crashes) > 1 || !r.quarantinedAt.IsZero(), true)
+	t.markChanged(r, now)
+	if !r.quarantinedAt.IsZero() || r.weight() < quarantineWeight {
 		return nil
 	}
-	r.held = now
-	return &Change{Digest: r.digest, Customer: r.customer, Quarantined: true, Crashes: slices.Clone(r.ends), Local: own}
+	r.quarantinedAt = now
+	return &Change{Digest: r.digest, Customer: r.customer, Quarantined: true, Crashes: slices.Clone(r.crashes), Local: local}
 }
 
-// void forgets what a record says and goes on to a later generation. The caller holds mu.
-func (m *Tracker) void(r *record, gen uint32, own bool) *Change {
-	wasHeld := !r.held.IsZero()
-	m.count(r, r.suspected(), false)
-	r.gen, r.ends, r.held, r.probes = gen, nil, time.Time{}, 0
-	if !wasHeld {
+// reset clears a record and sets a later generation. The caller holds mu.
+func (t *Tracker) reset(r *record, gen uint32, local bool) *Change {
+	wasQuarantined := !r.quarantinedAt.IsZero()
+	t.countSuspects(r, r.suspected(), false)
+	r.gen, r.crashes, r.quarantinedAt, r.probes = gen, nil, time.Time{}, 0
+	if !wasQuarantined {
 		return nil
 	}
-	return &Change{Digest: r.digest, Customer: r.customer, Local: own}
+	return &Change{Digest: r.digest, Customer: r.customer, Local: local}
 }
--- a/internal/quarantine/report.go
+++ b/internal/quarantine/report.go
@@ -9,18 +9,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// report is a record as it travels. Moments are report as ages in milliseconds: clocks of instances differ.
+// report is an encoded record. Times are encoded as ages in milliseconds, since the clocks of instances differ.
 type report struct {
-	Digest   []byte        `cbor:"1,keyasint"`
-	Customer string        `cbor:"2,keyasint,omitempty"`
-	Gen      uint32        `cbor:"3,keyasint,omitempty"`
-	Ends     []reportedEnd `cbor:"4,keyasint,omitempty"`
-	Held     bool          `cbor:"5,keyasint,omitempty"`
-	HeldMs   int64         `cbor:"6,keyasint,omitempty"` // since it is kept back
-	Probes   int           `cbor:"7,keyasint,omitempty"`
+	Digest        []byte          `cbor:"1,keyasint"`
+	Customer      string          `cbor:"2,keyasint,omitempty"`
+	Gen           uint32          `cbor:"3,keyasint,omitempty"`
+	Crashes       []reportedCrash `cbor:"4,keyasint,omitempty"`
+	Quarantined   bool            `cbor:"5,keyasint,omitempty"`
+	QuarantinedMs int64           `cbor:"6,keyasint,omitempty"` // since it was quarantined
+	Probes        int             `cbor:"7,keyasint,omitempty"`
 }
 
-type reportedEnd struct {
+type reportedCrash struct {
 	Run     string `cbor:"1,keyasint"`
 	BeganMs int64  `cbor:"2,keyasint"`
 	EndedMs int64  `cbor:"3,keyasint"`
@@ -28,190 +28,194 @@
 }
 
 const (
-	mostTold     = 64  // records in one message
-	mostName     = 256 // bytes of a name that is told
-	mostTogether = 128 // records in the store
+	maxReports         = 64  // records in one message
+	maxNameLen         = 256 // bytes of a name in a report
+	maxSnapshotRecords = 128 // records in the store
 )
 
-// pack writes a record down as of a moment.
+// pack encodes a record as of now.
 func (r *record) pack(now time.Time) report {
-	t := report{Digest: r.digest[:], Customer: r.customer, Gen: r.gen, Probes: r.probes, Held: !r.held.IsZero()}
-	if t.Held {
-		t.HeldMs = now.Sub(r.held).Milliseconds()
+	rep := report{Digest: r.digest[:], Customer: r.customer, Gen: r.gen, Probes: r.probes, Quarantined: !r.quarantinedAt.IsZero()}
+	if rep.Quarantined {
+		rep.QuarantinedMs = now.Sub(r.quarantinedAt).Milliseconds()
 	}
-	for _, e := range r.ends {
-		t.Ends = append(t.Ends, reportedEnd{
-			Run: e.Run, BeganMs: now.Sub(e.Began).Milliseconds(), EndedMs: now.Sub(e.Ended).Milliseconds(), Events: e.Streamed,
+	for _, c := range r.crashes {
+		rep.Crashes = append(rep.Crashes, reportedCrash{
+			Run: c.Run, BeganMs: now.Sub(c.Began).Milliseconds(), EndedMs: now.Sub(c.Ended).Milliseconds(), Events: c.Streamed,
 		})
 	}
-	return t
+	return rep
 }
 
-// valid reports whether a record that was told can be right.
-func (t report) valid() bool {
-	if len(t.Digest) != len(Digest{}) || len(t.Customer) > mostName || len(t.Ends) > mostEnds || t.HeldMs < 0 || t.Probes < 0 {
+// valid reports whether a received report can be right.
+func (rep report) valid() bool {
+	if len(rep.Digest) != len(Digest{}) || len(rep.Customer) > maxNameLen || len(rep.Crashes) > maxCrashes || rep.QuarantinedMs < 0 || rep.Probes < 0 {
 		return false
 	}
-	for _, e := range t.Ends {
-		if e.Run == "" || len(e.Run) > mostName || e.EndedMs < 0 || e.BeganMs < e.EndedMs {
+	for _, c := range rep.Crashes {
+		if c.Run == "" || len(c.Run) > maxNameLen || c.EndedMs < 0 || c.BeganMs < c.EndedMs {
 			return false
 		}
 	}
 	return true
 }
 
-// learn takes a record that was told; age is how long ago it was written down, same how far apart moments of one end may be.
-// from is the instance that told it; empty: the store has it. news reports whether it told of a run that ended well.
-func (m *Tracker) learn(t report, from string, age, same time.Duration) (news bool) {
-	if !t.valid() {
+// merge adds a received report. age is how long ago it was encoded, and window is how far apart observations of one
+// crash may be. from is the instance that sent it, or empty for the store. advanced reports whether the report has a
+// later generation, which means that a run ended well.
+func (t *Tracker) merge(rep report, from string, age, window time.Duration) (advanced bool) {
+	if !rep.valid() {
 		return false
 	}
-	now := m.now()
-	m.mu.Lock()
-	r := m.of(Digest(t.Digest), t.Customer, now)
+	now := t.now()
+	t.mu.Lock()
+	r := t.lookupOrCreate(Digest(rep.Digest), rep.Customer, now)
 	before := r.seq
 	var changes []*Change
-	if t.Gen > r.gen {
-		changes = append(changes, m.void(r, t.Gen, false))
-		m.touch(r, now)
-		news = true
+	if rep.Gen > r.gen {
+		changes = append(changes, t.reset(r, rep.Gen, false))
+		t.markChanged(r, now)
+		advanced = true
 	}
-	if t.Gen == r.gen {
-		changes = append(changes, m.join(r, t, now.Add(-age), now, same))
+	if rep.Gen == r.gen {
+		changes = append(changes, t.mergeCrashes(r, rep, now.Add(-age), now, window))
 	}
-	if r.seq != before && t.Gen == r.gen && len(t.Ends) == len(r.ends) && t.Held == !r.held.IsZero() {
+	if r.seq != before && rep.Gen == r.gen && len(rep.Crashes) == len(r.crashes) && rep.Quarantined == !r.quarantinedAt.IsZero() {
 		r.from = from
 	}
-	m.mu.Unlock()
+	t.mu.Unlock()
 	for _, c := range changes {
-		m.tell(c)
+		t.notify(c)
 	}
-	return news
+	return advanced
 }
 
-// join adds what was told of the same generation. at is the moment as of which it was told. The caller holds mu.
-func (m *Tracker) join(r *record, t report, at, now time.Time, same time.Duration) *Change {
+// mergeCrashes adds the crashes and the quarantine of a report of the same generation. at is when the report was
+// encoded. The caller holds mu.
+func (t *Tracker) mergeCrashes(r *record, rep report, at, now time.Time, window time.Duration) *Change {
 	before, added := r.suspected(), false
-	for _, e := range t.Ends {
-		added = r.note(Crash{
-			Run: e.Run, Began: at.Add(-time.Duration(e.BeganMs) * time.Millisecond), Ended: at.Add(-time.Duration(e.EndedMs) * time.Millisecond),
-			Streamed: e.Events,
-		}, same) || added
+	for _, c := range rep.Crashes {
+		added = r.addCrash(Crash{
+			Run: c.Run, Began: at.Add(-time.Duration(c.BeganMs) * time.Millisecond), Ended: at.Add(-time.Duration(c.EndedMs) * time.Millisecond),
+			Streamed: c.Events,
+		}, window) || added
 	}
-	wasHeld := !r.held.IsZero()
-	if t.Held && (!wasHeld || t.Probes > r.probes) {
-		r.held, r.probes, added = at.Add(-time.Duration(t.HeldMs)*time.Millisecond), max(t.Probes, r.probes), true
+	wasQuarantined := !r.quarantinedAt.IsZero()
+	if rep.Quarantined && (!wasQuarantined || rep.Probes > r.probes) {
+		r.quarantinedAt, r.probes, added = at.Add(-time.Duration(rep.QuarantinedMs)*time.Millisecond), max(rep.Probes, r.probes), true
 	}
-	if !wasHeld && r.held.IsZero() && r.weight() >= heldFrom {
-		r.held = now
+	if !wasQuarantined && r.quarantinedAt.IsZero() && r.weight() >= quarantineWeight {
+		r.quarantinedAt = now
 	}
 	if !added {
 		return nil
 	}
-	m.count(r, before, true)
-	m.touch(r, now)
-	if wasHeld || r.held.IsZero() {
+	t.countSuspects(r, before, true)
+	t.markChanged(r, now)
+	if wasQuarantined || r.quarantinedAt.IsZero() {
 		return nil
 	}
-	return &Change{Digest: r.digest, Customer: r.customer, Quarantined: true, Crashes: slices.Clone(r.ends), Local: !t.Held}
+	return &Change{Digest: r.digest, Customer: r.customer, Quarantined: true, Crashes: slices.Clone(r.crashes), Local: !rep.Quarantined}
 }
 
-// last is the number of the last change.
-func (m *Tracker) last() uint64 {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.seq
+// lastSeq returns the number of the last change.
+func (t *Tracker) lastSeq() uint64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.seq
 }
 
-// restarted takes that an instance has started: it does not know any more what it told.
-func (m *Tracker) restarted(id string) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, r := range m.records {
+// forgetSource notes that an instance has restarted: it has lost the records that it sent before.
+func (t *Tracker) forgetSource(id string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, r := range t.records {
 		if r.from == id {
 			r.from = ""
 		}
 	}
 }
 
-// since packs the records that have changed after a number, the first to change first, and the number that they lead to. What the instance that
-// is told has told itself is left out: each member of a zone would send its leader all that it had heard from it.
-func (m *Tracker) since(seq uint64, to string) ([]report, uint64) {
-	now := m.now()
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if seq >= m.seq {
+// changedSince encodes the records that have changed after seq, in the order of their changes, and returns the number
+// of the last one. It leaves out what the receiver itself has sent: otherwise each member of an availability zone
+// would send its leader everything that it has received from it.
+func (t *Tracker) changedSince(seq uint64, to string) ([]report, uint64) {
+	now := t.now()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if seq >= t.seq {
 		return nil, seq
 	}
 	var list []*record
-	for _, r := range m.records {
+	for _, r := range t.records {
 		if r.seq > seq && (to == "" || r.from != to) {
 			list = append(list, r)
 		}
 	}
 	slices.SortFunc(list, func(a, b *record) int { return cmp.Compare(a.seq, b.seq) })
-	out := make([]report, 0, min(len(list), mostTold))
-	for _, r := range list[:min(len(list), mostTold)] {
+	out := make([]report, 0, min(len(list), maxReports))
+	for _, r := range list[:min(len(list), maxReports)] {
 		out = append(out, r.pack(now))
 		seq = r.seq
 	}
 	return out, seq
 }
 
-// together is all that is kept in the store.
-type together struct {
+// snapshot is the value in the store.
+type snapshot struct {
 	WallMs  int64    `cbor:"1,keyasint"` // when it was written
 	Records []report `cbor:"2,keyasint,omitempty"`
 }
 
-// any reports whether anything is known.
-func (m *Tracker) any() bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return len(m.records) > 0
+// hasRecords reports whether there are any records.
+func (t *Tracker) hasRecords() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.records) > 0
 }
 
-// packAll packs what is worth outliving all instances: requests that are kept back first, then those with the latest ends.
-func (m *Tracker) packAll(wall time.Time) ([]byte, error) {
-	now := m.now()
-	m.mu.Lock()
-	list := make([]*record, 0, len(m.records))
-	for _, r := range m.records {
-		if !m.old(r, now) {
+// packSnapshot encodes the records that are to outlive all instances: first the quarantined requests, then those that
+// were updated last.
+func (t *Tracker) packSnapshot(wall time.Time) ([]byte, error) {
+	now := t.now()
+	t.mu.Lock()
+	list := make([]*record, 0, len(t.records))
+	for _, r := range t.records {
+		if !t.expired(r, now) {
 			list = append(list, r)
 		}
 	}
 	slices.SortFunc(list, func(a, b *record) int {
-		if less(a, b) {
+		if lessImportant(a, b) {
 			return 1
 		}
 		return -1
 	})
-	t := together{WallMs: wall.UnixMilli()}
-	for _, r := range list[:min(len(list), mostTogether)] {
-		t.Records = append(t.Records, r.pack(now))
+	s := snapshot{WallMs: wall.UnixMilli()}
+	for _, r := range list[:min(len(list), maxSnapshotRecords)] {
+		s.Records = append(s.Records, r.pack(now))
 	}
-	m.mu.Unlock()
-	raw, err := cbor.Marshal(t)
-	return raw, eris.Wrap(err, "encoding requests that are kept back")
+	t.mu.Unlock()
+	raw, err := cbor.Marshal(s)
+	return raw, eris.Wrap(err, "encoding quarantined requests")
 }
 
-// learnAll takes what the store has. The time of day may step by seconds, so moments of one end may be far apart there; an age beyond a life
-// or below zero is none.
-func (m *Tracker) learnAll(raw []byte, wall time.Time) error {
-	var t together
-	if err := cbor.Unmarshal(raw, &t); err != nil {
-		return eris.Wrap(err, "decoding requests that are kept back")
+// mergeSnapshot adds the records of the store. The wall clock may step by seconds, so observations of one crash may
+// be further apart there. A negative age, or one beyond the duration of a quarantine, counts as zero.
+func (t *Tracker) mergeSnapshot(raw []byte, wall time.Time) error {
+	var s snapshot
+	if err := cbor.Unmarshal(raw, &s); err != nil {
+		return eris.Wrap(err, "decoding quarantined requests")
 	}
-	age := wall.Sub(time.UnixMilli(t.WallMs))
-	if age < 0 || age > m.life {
+	age := wall.Sub(time.UnixMilli(s.WallMs))
+	if age < 0 || age > t.duration {
 		age = 0
 	}
-	for _, r := range t.Records[:min(len(t.Records), mostTogether)] {
-		m.learn(r, "", age, storedEnd)
+	for _, r := range s.Records[:min(len(s.Records), maxSnapshotRecords)] {
+		t.merge(r, "", age, storedCrashWindow)
 	}
 	return nil
 }
 
-// storedEnd is sameEnd for moments by the time of day.
-const storedEnd = 10 * time.Second
+// storedCrashWindow is sameCrashWindow for times of the wall clock.
+const storedCrashWindow = 10 * time.Second
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/share.go
@@ -15,355 +15,361 @@
 	"github.com/ledgemount/ledgemount/internal/peers"
 )
 
-// KindUpdate tells what has changed and asks for the same.
+// KindUpdate is the message that sends recent changes and requests those of the receiver.
 const KindUpdate mesh.Kind = "quarantine.tell"
 
-// storeKey is where the fleet keeps what is to outlive all its instances, under its prefix.
+// storeKey is the key of the snapshot that outlives all instances, under the prefix of the fleet.
 const storeKey = "quarantine"
 
 const (
-	pushLimit = 250 * time.Millisecond // of one message that reports an end
-	pushRest  = 50 * time.Millisecond  // between such messages: ends come in bursts
-	callLimit = 900 * time.Millisecond // of one call to the store
-	lookEvery = time.Second            // at the store, by an instance that others cannot tell; and between tries to write
-	mostTries = 3                      // of one write, where others write too
+	pushTimeout      = 250 * time.Millisecond // for one message that reports a crash
+	pushPause        = 50 * time.Millisecond  // between such messages: crashes come in bursts
+	storeTimeout     = 900 * time.Millisecond // for one call to the store
+	pollInterval     = time.Second            // between reads by an isolated instance, and between attempts to write
+	maxWriteAttempts = 3                      // of one write, if other instances write too
 )
 
-// news is a message. Both sides tell what the other has not acknowledged, so that lost messages and starts do no harm.
-type news struct {
-	Hello   bool     `cbor:"1,keyasint,omitempty"` // the sender has not heard the other before: it wants all
-	Seq     uint64   `cbor:"2,keyasint,omitempty"` // of the last record below
-	Ack     uint64   `cbor:"3,keyasint,omitempty"` // the last Seq that the sender has heard
+// update is a message. Each side sends what the other has not acknowledged, so lost messages and restarts lose no
+// records.
+type update struct {
+	Hello   bool     `cbor:"1,keyasint,omitempty"` // the sender has received nothing yet and requests all records
+	Seq     uint64   `cbor:"2,keyasint,omitempty"` // of the last of Records
+	Ack     uint64   `cbor:"3,keyasint,omitempty"` // the last Seq that the sender has received
 	Records []report `cbor:"4,keyasint,omitempty"`
 }
 
-// partner is another instance as far as it has been told.
-type partner struct {
-	met     bool
-	heard   uint64 // its last Seq
-	unacked bool   // it has not been told that
-	has     uint64 // our last Seq that it has acknowledged
+// peerState is the progress of the exchange with another instance.
+type peerState struct {
+	seen     bool
+	received uint64 // the last Seq that it has sent
+	owesAck  bool   // received is not acknowledged yet
+	acked    uint64 // the last Seq of this instance that it has acknowledged
 }
 
-// Replicator is the service that lets the instances of a fleet know what each has seen.
+// Replicator is the service that replicates crash records among the instances of a fleet.
 type Replicator struct {
-	memory *Tracker
-	dir    *peers.Directory
-	store  external.KV
-	key    string
-	wall   func() time.Time
-	log    zerolog.Logger
-	kick   chan struct{}
-
-	mu       sync.Mutex
-	partners map[string]*partner
-	unsaved  bool
-	restored bool // the store was, and what is known here may be lost there
+	tracker *Tracker
+	dir     *peers.Directory
+	store   external.KV
+	key     string
+	wall    func() time.Time
+	log     zerolog.Logger
+	wake    chan struct{}
+
+	mu            sync.Mutex
+	peers         map[string]*peerState
+	dirty         bool
+	storeRestored bool // the store was restored, and may lack records of this instance
 }
 
-// ReplicatorOption changes a Share.
+// ReplicatorOption configures a Replicator.
 type ReplicatorOption func(*Replicator)
 
 // WithLogger sets the logger.
-func WithLogger(log zerolog.Logger) ReplicatorOption { return func(s *Replicator) { s.log = log } }
+func WithLogger(log zerolog.Logger) ReplicatorOption { return func(r *Replicator) { r.log = log } }
 
-// WithWallClock replaces the time of day.
+// WithWallClock replaces the wall clock.
 func WithWallClock(wall func() time.Time) ReplicatorOption {
-	return func(s *Replicator) { s.wall = wall }
+	return func(r *Replicator) { r.wall = wall }
 }
 
-// WithEpochs sets what knows the store's epoch: after a restoration what is known here is written again.
+// WithEpochs sets the source of the store's epochs: after a restoration of the store, the known records are written
+// again.
 func WithEpochs(e *external.Epochs) ReplicatorOption {
-	return func(s *Replicator) { e.OnRestored(s.restoredStore) }
+	return func(r *Replicator) { e.OnRestored(r.onStoreRestored) }
 }
 
-// NewReplicator makes a share. Its record in the store lies under prefix.
-func NewReplicator(m *Tracker, dir *peers.Directory, store external.KV, prefix string, router *mesh.Router, opts ...ReplicatorOption) *Replicator {
-	s := &Replicator{
-		memory: m, dir: dir, store: store, key: prefix + storeKey, wall: time.Now, log: zerolog.Nop(),
-		kick: make(chan struct{}, 1), partners: make(map[string]*partner),
+// NewReplicator returns a Replicator. The key of its snapshot in the store begins with prefix.
+func NewReplicator(tracker *Tracker, dir *peers.Directory, store external.KV, prefix string, router *mesh.Router, opts ...ReplicatorOption) *Replicator {
+	r := &Replicator{
+		tracker: tracker, dir: dir, store: store, key: prefix + storeKey, wall: time.Now, log: zerolog.Nop(),
+		wake: make(chan struct{}, 1), peers: make(map[string]*peerState),
 	}
 	for _, opt := range opts {
-		opt(s)
+		opt(r)
 	}
-	mesh.Handle(router, KindUpdate, func(_ context.Context, from mesh.Peer, n news) (news, error) {
-		s.receive(from.ID, n)
-		reply, _ := s.tell(from.ID)
+	mesh.Handle(router, KindUpdate, func(_ context.Context, from mesh.Peer, u update) (update, error) {
+		r.receive(from.ID, u)
+		reply, _ := r.nextUpdate(from.ID)
 		return reply, nil
 	})
-	return s
+	return r
 }
 
 // Name implements kernel.Service.
 func (*Replicator) Name() string { return "quarantine" }
 
-// Wake wakes the service: something is to be told. It never blocks.
-func (s *Replicator) Wake() {
+// Wake makes the service send recent changes. It never blocks.
+func (r *Replicator) Wake() {
 	select {
-	case s.kick <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// ScheduleSave asks for a write to the store: what was decided here is to outlive the fleet.
-func (s *Replicator) ScheduleSave() {
-	s.mu.Lock()
-	s.unsaved = true
-	s.mu.Unlock()
-	s.Wake()
+// ScheduleSave requests a write to the store: what this instance has decided must outlive the fleet.
+func (r *Replicator) ScheduleSave() {
+	r.mu.Lock()
+	r.dirty = true
+	r.mu.Unlock()
+	r.Wake()
 }
 
 // Run implements kernel.Service.
-func (s *Replicator) Run(ctx context.Context) error {
-	s.begin(ctx)
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
-	saved := false // since the last look: an instance writes at most twice a second, however many endpoints end
+func (r *Replicator) Run(ctx context.Context) error {
+	r.loadAtStart(ctx)
+	poll := time.NewTicker(pollInterval)
+	defer poll.Stop()
+	saved := false // since the last poll: an instance writes at most twice a second, however many endpoints crash
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-s.kick:
-			s.push(ctx)
+		case <-r.wake:
+			r.push(ctx)
 			if !saved {
-				saved = s.save(ctx)
+				saved = r.save(ctx)
 			}
-			rest(ctx)
-		case <-look.C:
-			if s.isolated() {
-				s.load(ctx)
+			pause(ctx)
+		case <-poll.C:
+			if r.isolated() {
+				r.load(ctx)
 			}
-			s.saveRestored()
-			s.save(ctx)
+			r.saveRestored()
+			r.save(ctx)
 			saved = false
 		}
 	}
 }
 
-// restoredStore notes that the store was restored. It is called while the Epochs is locked.
-func (s *Replicator) restoredStore(external.Restoration) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.restored = true
+// onStoreRestored notes that the store was restored. It is called while the Epochs is locked.
+func (r *Replicator) onStoreRestored(external.Restoration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.storeRestored = true
 }
 
-// saveRestored asks for a write where a restoration may have lost what is known here. In a large fleet the leaders do it.
-func (s *Replicator) saveRestored() {
-	writes := s.memory.any() && (!s.dir.Large() || s.dir.Leads())
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.unsaved = s.unsaved || (s.restored && writes)
-	s.restored = false
+// saveRestored requests a write if a restoration of the store may have lost records of this instance. In a large
+// fleet only leaders write.
+func (r *Replicator) saveRestored() {
+	writer := r.tracker.hasRecords() && (!r.dir.Large() || r.dir.Leads())
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.dirty = r.dirty || (r.storeRestored && writer)
+	r.storeRestored = false
 }
 
-func rest(ctx context.Context) {
+func pause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(pushRest):
+	case <-time.After(pushPause):
 	}
 }
 
-// begin reads the store once, unless there are others that tell.
-func (s *Replicator) begin(ctx context.Context) {
+// loadAtStart reads the store once, when the fleet has been discovered or after pollInterval. In a large fleet only
+// leaders do so: the others receive the records from them.
+func (r *Replicator) loadAtStart(ctx context.Context) {
 	select {
-	case <-s.dir.Met():
-	case <-time.After(lookEvery):
+	case <-r.dir.Met():
+	case <-time.After(pollInterval):
 	case <-ctx.Done():
 		return
 	}
-	if !s.dir.Large() || s.dir.Leads() {
-		s.load(ctx)
+	if !r.dir.Large() || r.dir.Leads() {
+		r.load(ctx)
 	}
 }
 
-// isolated reports whether the store is the only one that can tell of other instances. A small fleet hears it from the store in any case.
-func (s *Replicator) isolated() bool {
-	return s.dir.Large() && (s.dir.Stranded() || (s.dir.Leads() && s.dir.Cut()))
+// isolated reports whether records of other instances can arrive through the store only. A small fleet observes the
+// store in any case.
+func (r *Replicator) isolated() bool {
+	return r.dir.Large() && (r.dir.Stranded() || (r.dir.Leads() && r.dir.Cut()))
 }
 
-// Payload is what is to be told to another instance now; nil: nothing.
-func (s *Replicator) Payload(to string) []byte {
-	n, anything := s.tell(to)
-	if !anything {
+// Payload returns the changes to send to another instance now, or nil if there are none.
+func (r *Replicator) Payload(to string) []byte {
+	u, needed := r.nextUpdate(to)
+	if !needed {
 		return nil
 	}
-	raw, err := cbor.Marshal(n)
+	raw, err := cbor.Marshal(u)
 	if err != nil {
-		s.log.Error().Str("event", "quarantine_untold").Err(err).Msg("what endpoints did not outlive cannot be told")
+		r.log.Error().Str("event", "quarantine_untold").Err(err).Msg("cannot encode crash records for another instance")
 		return nil
 	}
 	return raw
 }
 
-// Receive takes what another instance tells.
-func (s *Replicator) Receive(from string, raw []byte) {
+// Receive handles the changes that another instance has sent.
+func (r *Replicator) Receive(from string, raw []byte) {
 	if len(raw) == 0 {
 		return
 	}
-	var n news
-	if err := cbor.Unmarshal(raw, &n); err != nil {
-		s.log.Warn().Str("event", "quarantine_unread").Str("from", from).Err(err).Msg("what another instance tells cannot be read")
+	var u update
+	if err := cbor.Unmarshal(raw, &u); err != nil {
+		r.log.Warn().Str("event", "quarantine_unread").Str("from", from).Err(err).Msg("cannot decode crash records of another instance")
 		return
 	}
-	s.receive(from, n)
+	r.receive(from, u)
 }
 
-func (s *Replicator) partner(id string) *partner {
-	p := s.partners[id]
+func (r *Replicator) peer(id string) *peerState {
+	p := r.peers[id]
 	if p == nil {
-		p = &partner{}
-		s.partners[id] = p
+		p = &peerState{}
+		r.peers[id] = p
 	}
 	return p
 }
 
-func (s *Replicator) tell(to string) (n news, anything bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	p := s.partner(to)
-	n.Hello, n.Ack = !p.met, p.heard
-	n.Records, n.Seq = s.memory.since(p.has, to)
-	anything = n.Hello || p.unacked || len(n.Records) > 0
-	p.unacked = false
-	return n, anything
+func (r *Replicator) nextUpdate(to string) (u update, needed bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	p := r.peer(to)
+	u.Hello, u.Ack = !p.seen, p.received
+	u.Records, u.Seq = r.tracker.changedSince(p.acked, to)
+	needed = u.Hello || p.owesAck || len(u.Records) > 0
+	p.owesAck = false
+	return u, needed
 }
 
-func (s *Replicator) receive(from string, n news) {
-	s.mu.Lock()
-	p := s.partner(from)
-	p.met = true
+func (r *Replicator) receive(from string, u update) {
+	r.mu.Lock()
+	p := r.peer(from)
+	p.seen = true
 	switch {
-	case n.Hello: // it has started: it has nothing, counts anew, and waits for an answer
-		p.has, p.heard, p.unacked = 0, 0, true
-		s.memory.restarted(from)
-	case n.Ack > p.has && n.Ack <= s.memory.last():
-		p.has = n.Ack
+	case u.Hello: // it has restarted: it has no records, numbers its changes anew, and waits for a response
+		p.acked, p.received, p.owesAck = 0, 0, true
+		r.tracker.forgetSource(from)
+	case u.Ack > p.acked && u.Ack <= r.tracker.lastSeq():
+		p.acked = u.Ack
 	}
-	if len(n.Records) > 0 {
-		p.heard, p.unacked = n.Seq, true
+	if len(u.Records) > 0 {
+		p.received, p.owesAck = u.Seq, true
 	}
-	s.mu.Unlock()
-	fresh := false
-	for _, r := range n.Records[:min(len(n.Records), mostTold)] {
-		fresh = s.memory.learn(r, from, 0, sameEnd) || fresh
+	r.mu.Unlock()
+	advanced := false
+	for _, rep := range u.Records[:min(len(u.Records), maxReports)] {
+		advanced = r.tracker.merge(rep, from, 0, sameCrashWindow) || advanced
 	}
-	if fresh && s.dir.Large() && s.dir.Leads() {
-		s.Wake()
+	if advanced && r.dir.Large() && r.dir.Leads() {
+		r.Wake()
 	}
 }
 
-// push tells others at once: all of a small fleet; in a large one the zone's leader, and a leader those of the other zones. What does not
-// reach one of them is written to the store.
-func (s *Replicator) push(ctx context.Context) {
+// push sends recent changes at once: to all instances of a small fleet; in a large one to the leader of the
+// availability zone, and from a leader to those of the other zones. If one of them cannot be reached, the records are
+// written to the store.
+func (r *Replicator) push(ctx context.Context) {
 	var g sync.WaitGroup
 	var mu sync.Mutex
-	missed := false
-	for _, p := range s.dir.Spread() {
+	failed := false
+	for _, p := range r.dir.Spread() {
 		g.Go(func() {
-			if err := s.pushTo(ctx, p); err != nil {
+			if err := r.pushTo(ctx, p); err != nil {
 				mu.Lock()
 				defer mu.Unlock()
-				missed = true
+				failed = true
 			}
 		})
 	}
 	g.Wait()
-	if missed || s.dir.Cut() || !s.dir.Linked() {
-		s.mu.Lock()
-		s.unsaved = true
-		s.mu.Unlock()
+	if failed || r.dir.Cut() || !r.dir.Linked() {
+		r.mu.Lock()
+		r.dirty = true
+		r.mu.Unlock()
 	}
 }
 
-func (s *Replicator) pushTo(ctx context.Context, p mesh.Peer) error {
-	ctx, cancel := context.WithTimeout(ctx, pushLimit)
+func (r *Replicator) pushTo(ctx context.Context, p mesh.Peer) error {
+	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
-	n, anything := s.tell(p.ID)
-	if !anything {
+	u, needed := r.nextUpdate(p.ID)
+	if !needed {
 		return nil
 	}
-	reply, err := peers.Call[news, news](ctx, s.dir, p, KindUpdate, n)
+	reply, err := peers.Call[update, update](ctx, r.dir, p, KindUpdate, u)
 	if err != nil {
-		s.log.Debug().Str("event", "quarantine_untold").Str("peer", p.ID).Err(err).Msg("another instance was not told of an end")
+		r.log.Debug().Str("event", "quarantine_untold").Str("peer", p.ID).Err(err).Msg("could not send crash records to another instance")
 		return err
 	}
-	s.receive(p.ID, reply)
+	r.receive(p.ID, reply)
 	return nil
 }
 
-// Observe takes a value of the store, if it is ours.
-func (s *Replicator) Observe(e external.Entry) {
-	if e.Key == s.key {
-		s.take(e)
+// Observe handles a value of the store, if its key is that of the snapshot.
+func (r *Replicator) Observe(e external.Entry) {
+	if e.Key == r.key {
+		r.merge(e)
 	}
 }
 
-func (s *Replicator) take(e external.Entry) {
+func (r *Replicator) merge(e external.Entry) {
 	if len(e.Data) == 0 {
 		return
 	}
-	if err := s.memory.learnAll(e.Data, s.wall()); err != nil {
-		s.log.Warn().Str("event", "quarantine_unread").Str("key", e.Key).Err(err).Msg("what the store has cannot be read; what is known holds")
+	if err := r.tracker.mergeSnapshot(e.Data, r.wall()); err != nil {
+		r.log.Warn().Str("event", "quarantine_unread").Str("key", e.Key).Err(err).Msg("cannot decode quarantined requests of the store; keeping known records")
 	}
 }
 
-// load reads the store's record.
-func (s *Replicator) load(ctx context.Context) {
-	e, err := s.read(ctx)
+// load reads the snapshot in the store.
+func (r *Replicator) load(ctx context.Context) {
+	e, err := r.read(ctx)
 	if err != nil {
-		s.log.Debug().Str("event", "quarantine_unread").Err(err).Msg("the store did not tell which requests are kept back")
+		r.log.Debug().Str("event", "quarantine_unread").Err(err).Msg("cannot read quarantined requests from the store")
 		return
 	}
-	s.take(e)
+	r.merge(e)
 }
 
-func (s *Replicator) read(ctx context.Context) (external.Entry, error) {
-	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyQuarantine), callLimit)
+func (r *Replicator) read(ctx context.Context) (external.Entry, error) {
+	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyQuarantine), storeTimeout)
 	defer cancel()
-	e, _, err := s.store.Read(ctx, s.key)
-	return e, eris.Wrap(err, "reading requests that are kept back")
+	e, _, err := r.store.Read(ctx, r.key)
+	return e, eris.Wrap(err, "reading quarantined requests")
 }
 
-// save writes to the store what is not saved yet; false: there is nothing. Where others write too, what they wrote is taken and written with
-// the rest.
-func (s *Replicator) save(ctx context.Context) bool {
-	s.mu.Lock()
-	todo := s.unsaved
-	s.unsaved = false
-	s.mu.Unlock()
-	if !todo {
+// save writes unsaved changes to the store and reports whether there were any. If other instances write too, their
+// records are merged and written along.
+func (r *Replicator) save(ctx context.Context) bool {
+	r.mu.Lock()
+	pending := r.dirty
+	r.dirty = false
+	r.mu.Unlock()
+	if !pending {
 		return false
 	}
-	for range mostTries {
-		err := s.write(ctx)
+	for range maxWriteAttempts {
+		err := r.write(ctx)
 		if err == nil {
 			return true
 		}
 		if !errors.Is(err, external.ErrConflict) {
-			s.log.Debug().Str("event", "quarantine_unsaved").Err(err).Msg("the store did not take which requests are kept back; it is tried again")
+			r.log.Debug().Str("event", "quarantine_unsaved").Err(err).Msg("cannot write quarantined requests to the store; will retry")
 			break
 		}
 	}
-	s.mu.Lock()
-	s.unsaved = true
-	s.mu.Unlock()
+	r.mu.Lock()
+	r.dirty = true
+	r.mu.Unlock()
 	return true
 }
 
-func (s *Replicator) write(ctx context.Context) error {
-	e, err := s.read(ctx)
+func (r *Replicator) write(ctx context.Context) error {
+	e, err := r.read(ctx)
 	if err != nil {
 		return err
 	}
-	s.take(e)
-	raw, err := s.memory.packAll(s.wall())
+	r.merge(e)
+	raw, err := r.tracker.packSnapshot(r.wall())
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyQuarantine), callLimit)
+	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyQuarantine), storeTimeout)
 	defer cancel()
-	_, err = s.store.Commit(ctx, external.Commit{
-		When: []external.Condition{{Key: s.key, Revision: e.Revision}}, Put: []external.Entry{{Key: s.key, Data: raw}},
+	_, err = r.store.Commit(ctx, external.Commit{
+		When: []external.Condition{{Key: r.key, Revision: e.Revision}}, Put: []external.Entry{{Key: r.key, Data: raw}},
 	})
-	return eris.Wrap(err, "writing requests that are kept back")
+	return eris.Wrap(err, "writing quarantined requests")
 }
--- a/internal/quarantine/share_test.go
+++ b/internal/quarantine/share_test.go
@@ -15,241 +15,241 @@
 	"github.com/ledgemount/ledgemount/internal/peers/peerstest"
 )
 
-// sharing is some instances of a fleet, two in each availability zone, that share what they see.
-type sharing struct {
-	ctx   context.Context //nolint:containedctx // of the test
-	net   *meshtest.Net
-	store *memkv.Store
-	now   time.Time
-	ends  int
-	nodes []*Replicator
-	peers []mesh.Peer
-	fleet []peerstest.Instance
+// testFleet is some instances of a fleet, two in each availability zone, that replicate crash records.
+type testFleet struct {
+	ctx     context.Context //nolint:containedctx // of the test
+	net     *meshtest.Net
+	store   *memkv.Store
+	now     time.Time
+	crashes int
+	nodes   []*Replicator
+	peers   []mesh.Peer
+	fleet   []peerstest.Instance
 }
 
-func newSharing(n, large int) *sharing {
-	s := &sharing{ctx: context.Background(), net: meshtest.New(), store: memkv.New(), now: time.Unix(1_000_000, 0)}
+func newTestFleet(n, large int) *testFleet {
+	f := &testFleet{ctx: context.Background(), net: meshtest.New(), store: memkv.New(), now: time.Unix(1_000_000, 0)}
 	for i := range n {
-		s.peers = append(s.peers, mesh.Peer{ID: fmt.Sprintf("i-%d", i), Zone: string(rune('a' + i/2)), Addr: fmt.Sprintf("i-%d:1", i)})
+		f.peers = append(f.peers, mesh.Peer{ID: fmt.Sprintf("i-%d", i), Zone: string(rune('a' + i/2)), Addr: fmt.Sprintf("i-%d:1", i)})
 	}
 	var err error
-	s.fleet, err = peerstest.Fleet(s.ctx, s.net, s.clock, large, s.peers)
+	f.fleet, err = peerstest.Fleet(f.ctx, f.net, f.clock, large, f.peers)
 	So(err, ShouldBeNil)
-	for i := range s.fleet {
-		s.nodes = append(s.nodes, nil)
-		s.start(i)
+	for i := range f.fleet {
+		f.nodes = append(f.nodes, nil)
+		f.restart(i)
 	}
-	return s
+	return f
 }
 
-func (s *sharing) clock() time.Time { return s.now }
+func (f *testFleet) clock() time.Time { return f.now }
 
-// start puts a process that knows nothing in the place of an instance.
-func (s *sharing) start(i int) {
+// restart replaces an instance by a new process without records.
+func (f *testFleet) restart(i int) {
 	var x *Replicator
-	m := New(WithNow(s.clock), OnChange(func(c Change) {
+	tracker := New(WithNow(f.clock), OnChange(func(c Change) {
 		if c.Local {
 			x.ScheduleSave()
 		}
 	}))
-	x = NewReplicator(m, s.fleet[i].Dir, s.store, "fleet/", s.fleet[i].Router, WithWallClock(s.clock))
-	s.nodes[i] = x
+	x = NewReplicator(tracker, f.fleet[i].Dir, f.store, "fleet/", f.fleet[i].Router, WithWallClock(f.clock))
+	f.nodes[i] = x
 }
 
-// end lets an endpoint end under the request at an instance.
-func (s *sharing) end(i int) {
-	s.ends++
-	began := s.now
-	s.now = s.now.Add(80 * time.Millisecond)
-	s.nodes[i].memory.RecordCrash(crashing, "north", Crash{Run: fmt.Sprintf("e-%d", s.ends), Began: began, Ended: s.now})
-	s.now = s.now.Add(time.Second)
+// crash records a crash of an endpoint under the request at an instance.
+func (f *testFleet) crash(i int) {
+	f.crashes++
+	began := f.now
+	f.now = f.now.Add(80 * time.Millisecond)
+	f.nodes[i].tracker.RecordCrash(crashing, "north", Crash{Run: fmt.Sprintf("e-%d", f.crashes), Began: began, Ended: f.now})
+	f.now = f.now.Add(time.Second)
 }
 
-// push does what an instance does when something has happened there.
-func (s *sharing) push(i int) {
-	s.nodes[i].push(s.ctx)
-	s.nodes[i].save(s.ctx)
+// push sends and saves recent changes of an instance.
+func (f *testFleet) push(i int) {
+	f.nodes[i].push(f.ctx)
+	f.nodes[i].save(f.ctx)
 }
 
-// exchange does what the exchange of loads does every so often: members with leaders, and leaders with each other.
-func (s *sharing) exchange() {
-	for i, x := range s.nodes {
-		to := s.fleet[i].Dir.Keepers()
+// exchange makes one load exchange: members with their leaders, and leaders with each other.
+func (f *testFleet) exchange() {
+	for i, x := range f.nodes {
+		to := f.fleet[i].Dir.Keepers()
 		if len(to) == 0 {
-			to = s.fleet[i].Dir.Heads()
+			to = f.fleet[i].Dir.Heads()
 		}
 		for _, p := range to {
-			for j, q := range s.peers {
+			for j, q := range f.peers {
 				if q.ID == p.ID {
-					s.nodes[j].Receive(s.peers[i].ID, x.Payload(q.ID))
-					x.Receive(q.ID, s.nodes[j].Payload(s.peers[i].ID))
+					f.nodes[j].Receive(f.peers[i].ID, x.Payload(q.ID))
+					x.Receive(q.ID, f.nodes[j].Payload(f.peers[i].ID))
 				}
 			}
 		}
 	}
 }
 
-// holds lists the instances that keep the request back.
-func (s *sharing) holds() []int {
+// quarantining lists the instances that have quarantined the request.
+func (f *testFleet) quarantining() []int {
 	var out []int
-	for i, x := range s.nodes {
-		if x.memory.Quarantined(crashing) {
+	for i, x := range f.nodes {
+		if x.tracker.Quarantined(crashing) {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-func TestShare(t *testing.T) {
-	Convey("Three ends, each seen by another instance", t, func() {
-		Convey("make a small fleet keep the request back at once", func() {
-			s := newSharing(4, 99)
+func TestReplicator(t *testing.T) {
+	Convey("Three crashes, each observed by another instance", t, func() {
+		Convey("make a small fleet quarantine the request at once", func() {
+			f := newTestFleet(4, 99)
 			for i := range 3 {
-				s.end(i)
-				s.push(i)
+				f.crash(i)
+				f.push(i)
 			}
-			So(s.holds(), ShouldResemble, []int{0, 1, 2, 3})
-
-			Convey("also an instance that starts, by what others tell, and after it has told something itself", func() {
-				s.start(3)
-				s.nodes[3].memory.RecordCrash(Of("north", "GET", "h", "/", nil), "north", Crash{Run: "x", Began: s.now, Ended: s.now})
-				s.exchange()
-				s.push(3)
-				s.exchange()
-				So(s.holds(), ShouldResemble, []int{0, 1, 2, 3})
+			So(f.quarantining(), ShouldResemble, []int{0, 1, 2, 3})
+
+			Convey("also on an instance that restarts, by reports of others, and after it has sent a report itself", func() {
+				f.restart(3)
+				f.nodes[3].tracker.RecordCrash(Of("north", "GET", "h", "/", nil), "north", Crash{Run: "x", Began: f.now, Ended: f.now})
+				f.exchange()
+				f.push(3)
+				f.exchange()
+				So(f.quarantining(), ShouldResemble, []int{0, 1, 2, 3})
 			})
 
-			Convey("also when all have lost power, by the store", func() {
-				for i := range s.nodes {
-					s.start(i)
-					s.nodes[i].load(s.ctx)
+			Convey("also after a loss of power of all instances, by the store", func() {
+				for i := range f.nodes {
+					f.restart(i)
+					f.nodes[i].load(f.ctx)
 				}
-				So(s.holds(), ShouldResemble, []int{0, 1, 2, 3})
+				So(f.quarantining(), ShouldResemble, []int{0, 1, 2, 3})
 			})
 
-			Convey("until a run of it ends well anywhere", func() {
-				s.nodes[2].memory.RecordSuccess(crashing)
-				s.push(2)
-				s.exchange()
-				So(s.holds(), ShouldBeEmpty)
-				for i := range s.nodes {
-					s.start(i)
-					s.nodes[i].load(s.ctx)
+			Convey("until a run of it ends well on any instance", func() {
+				f.nodes[2].tracker.RecordSuccess(crashing)
+				f.push(2)
+				f.exchange()
+				So(f.quarantining(), ShouldBeEmpty)
+				for i := range f.nodes {
+					f.restart(i)
+					f.nodes[i].load(f.ctx)
 				}
-				So(s.holds(), ShouldBeEmpty)
+				So(f.quarantining(), ShouldBeEmpty)
 			})
 		})
 
-		Convey("are not told back to the instance that told them, unless it has started since", func() {
-			s := newSharing(2, 99)
-			s.exchange()
-			s.end(0)
-			s.push(0)
-			n, _ := s.nodes[1].tell(s.peers[0].ID)
+		Convey("are not sent back to the instance that reported them, unless it has restarted since", func() {
+			f := newTestFleet(2, 99)
+			f.exchange()
+			f.crash(0)
+			f.push(0)
+			n, _ := f.nodes[1].nextUpdate(f.peers[0].ID)
 			So(n.Records, ShouldBeEmpty)
-			s.nodes[1].receive(s.peers[0].ID, news{Hello: true})
-			n, _ = s.nodes[1].tell(s.peers[0].ID)
+			f.nodes[1].receive(f.peers[0].ID, update{Hello: true})
+			n, _ = f.nodes[1].nextUpdate(f.peers[0].ID)
 			So(len(n.Records), ShouldEqual, 1)
 		})
 
-		Convey("make instances that are cut off from each other keep it back, by the store", func() {
-			s := newSharing(4, 99)
-			s.net.SetCut(func(_, _ mesh.Peer) bool { return true })
+		Convey("make disconnected instances quarantine it, by the store", func() {
+			f := newTestFleet(4, 99)
+			f.net.SetCut(func(_, _ mesh.Peer) bool { return true })
 			for i := range 3 {
-				s.end(i)
-				s.push(i)
+				f.crash(i)
+				f.push(i)
 			}
-			for _, x := range s.nodes {
-				x.load(s.ctx)
+			for _, x := range f.nodes {
+				x.load(f.ctx)
 			}
-			So(s.holds(), ShouldResemble, []int{0, 1, 2, 3})
+			So(f.quarantining(), ShouldResemble, []int{0, 1, 2, 3})
 		})
 
-		Convey("make all zones of a large fleet keep it back after two exchanges", func() {
-			s := newSharing(6, 2)
+		Convey("make all availability zones of a large fleet quarantine it after two exchanges", func() {
+			f := newTestFleet(6, 2)
 			for i, at := range []int{1, 3, 5} {
-				s.end(at)
-				s.push(at)
+				f.crash(at)
+				f.push(at)
 				_ = i
 			}
-			s.exchange()
-			s.exchange()
-			So(s.holds(), ShouldResemble, []int{0, 1, 2, 3, 4, 5})
-			So(s.store.Calls(), ShouldBeLessThan, 20)
+			f.exchange()
+			f.exchange()
+			So(f.quarantining(), ShouldResemble, []int{0, 1, 2, 3, 4, 5})
+			So(f.store.Calls(), ShouldBeLessThan, 20)
 		})
 
-		Convey("make leaders that are cut off from each other read the store", func() {
-			s := newSharing(6, 2)
-			s.net.SetCut(func(a, b mesh.Peer) bool { return a.Zone != b.Zone })
+		Convey("make disconnected leaders read the store", func() {
+			f := newTestFleet(6, 2)
+			f.net.SetCut(func(a, b mesh.Peer) bool { return a.Zone != b.Zone })
 			for _, at := range []int{1, 3, 5} {
-				s.end(at)
-				s.push(at)
-				s.push(at - 1)
+				f.crash(at)
+				f.push(at)
+				f.push(at - 1)
 			}
 			for _, leader := range []int{0, 2, 4} {
-				So(s.nodes[leader].isolated(), ShouldBeTrue)
-				s.nodes[leader].load(s.ctx)
+				So(f.nodes[leader].isolated(), ShouldBeTrue)
+				f.nodes[leader].load(f.ctx)
 			}
-			s.exchange()
-			So(s.holds(), ShouldResemble, []int{0, 1, 2, 3, 4, 5})
+			f.exchange()
+			So(f.quarantining(), ShouldResemble, []int{0, 1, 2, 3, 4, 5})
 		})
 
-		Convey("are written later where the store was away", func() {
-			s := newSharing(4, 99)
-			s.store.SetDown(true)
+		Convey("are written later if the store was unavailable", func() {
+			f := newTestFleet(4, 99)
+			f.store.SetDown(true)
 			for i := range 3 {
-				s.end(i)
-				s.push(i)
+				f.crash(i)
+				f.push(i)
 			}
-			s.store.SetDown(false)
-			for _, x := range s.nodes {
-				x.save(s.ctx)
+			f.store.SetDown(false)
+			for _, x := range f.nodes {
+				x.save(f.ctx)
 			}
-			s.start(0)
-			s.nodes[0].load(s.ctx)
-			So(s.nodes[0].memory.Quarantined(crashing), ShouldBeTrue)
+			f.restart(0)
+			f.nodes[0].load(f.ctx)
+			So(f.nodes[0].tracker.Quarantined(crashing), ShouldBeTrue)
 		})
 	})
 
-	Convey("Ends that a restored store has lost are written again, by the leaders of a large fleet, and nothing where nothing is known", t, func() {
+	Convey("Crashes that a restored store has lost are written again, by the leaders of a large fleet, and nothing is written without records", t, func() {
 		for _, large := range []int{2, 99} {
-			s := newSharing(4, large)
+			f := newTestFleet(4, large)
 			restored := func() int64 {
-				s.store.RestoreTo(0)
-				for _, x := range s.nodes {
-					x.restoredStore(external.Restoration{})
+				f.store.RestoreTo(0)
+				for _, x := range f.nodes {
+					x.onStoreRestored(external.Restoration{})
 					x.saveRestored()
-					x.save(s.ctx)
+					x.save(f.ctx)
 				}
-				return s.store.Number()
+				return f.store.Number()
 			}
 			So(restored(), ShouldEqual, 0)
 			for i := range 3 {
-				s.end(i)
-				s.push(i)
+				f.crash(i)
+				f.push(i)
 			}
-			s.exchange()
-			s.exchange()
+			f.exchange()
+			f.exchange()
 			So(restored(), ShouldBeGreaterThan, 0)
-			s.start(0)
-			s.nodes[0].load(s.ctx)
-			So(s.nodes[0].memory.Quarantined(crashing), ShouldBeTrue)
+			f.restart(0)
+			f.nodes[0].load(f.ctx)
+			So(f.nodes[0].tracker.Quarantined(crashing), ShouldBeTrue)
 		}
 	})
 
-	Convey("Where no endpoint has ended, nothing is told after the first words, and the store is not called", t, func() {
-		s := newSharing(4, 99)
-		s.exchange()
-		s.exchange()
-		for i, x := range s.nodes {
-			for j, p := range s.peers {
-				if i != j && s.fleet[i].Dir.Keepers() != nil {
+	Convey("If no endpoint has crashed, nothing is sent after the first messages, and the store is not called", t, func() {
+		f := newTestFleet(4, 99)
+		f.exchange()
+		f.exchange()
+		for i, x := range f.nodes {
+			for j, p := range f.peers {
+				if i != j && f.fleet[i].Dir.Keepers() != nil {
 					raw := x.Payload(p.ID)
 					So(len(raw), ShouldBeLessThan, 4)
 				}
 			}
-			x.save(s.ctx)
+			x.save(f.ctx)
 		}
-		So(s.store.Calls(), ShouldEqual, 0)
+		So(f.store.Calls(), ShouldEqual, 0)
 	})
 }
