--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -1,8 +1,10 @@
-// Package evacuation knows which availability zones are evacuated: their endpoints get no new work until the operator takes that back.
+// Package evacuation tracks which availability zones are evacuated: their endpoints get no new work until the
+// operator withdraws the order.
 //
-// Orders reach an instance from the store as they change, from reads of everything, and from the news of other instances: late, twice, or
-// in another order. Of each zone the order with the highest revision of the store holds, so that none of that takes an instance back. The state
-// has no clock: an order holds until a later one says otherwise, also while the store is away.
+// Orders reach an instance as changes of the store, in full reads of the store, and from other instances: late,
+// twice, or in another order. For each zone the order with the highest revision of the store is in force, so that a
+// late order never undoes a newer one. The state does not depend on a clock: an order is in force until a later one
+// replaces it, also while the store is unavailable.
 package evacuation
 
 import (
@@ -10,11 +12,11 @@
 	"slices"
 )
 
-// Order is what the operator wants of one availability zone.
+// Order is an order of the operator for one availability zone.
 type Order struct {
 	Zone     string
-	On       bool  // false: it was taken back
-	Revision int64 // of the store, at which it was given
+	On       bool  // false: the evacuation is withdrawn
+	Revision int64 // of the store at which the order was given
 }
 
 // Set is all availability zones that are evacuated as of a revision of the store.
@@ -23,23 +25,24 @@
 	Zones []string
 }
 
-// State is what an instance knows of all orders. Its zero value knows none. It is not safe for use by several goroutines.
+// State is the orders that an instance has received. The zero value has none. It is not safe for concurrent use.
 type State struct {
-	at     int64            // all orders up to this revision are known
-	orders map[string]Order // the last of each zone
+	revision int64            // all orders up to this revision are known
+	orders   map[string]Order // the last order, by zone
 }
 
-// Apply takes one order. It reports whether that changes what holds.
+// Apply applies one order and reports whether that changes what is in force.
 func (s *State) Apply(o Order) bool {
-	if o.Revision <= s.known(o.Zone) {
+	if o.Revision <= s.knownRevision(o.Zone) {
 		return false
 	}
 	before := s.orders[o.Zone].On
-	s.keep(o)
+	s.store(o)
 	return before != o.On
 }
 
-// Replace takes all orders as of a revision, and returns those that have changed, by the zones' names. Orders that are newer than the set hold.
+// Replace applies all orders as of a revision, and returns those that have changed, sorted by zone: evacuated zones
+// first. Orders that are newer than the set stay in force.
 func (s *State) Replace(set Set) []Order {
 	var changed []Order
 	apply := func(zone string, on bool) {
@@ -55,12 +58,12 @@
 			apply(zone, false)
 		}
 	}
-	s.at = max(s.at, set.At)
+	s.revision = max(s.revision, set.At)
 	return changed
 }
 
-// Add takes the zones of a set of which no order is known, and returns them. Where the store was restored, a set may lack the newest orders and have
-// ones that were taken back.
+// Add evacuates the zones of a set for which no order is known, and returns their orders. After a restoration of the
+// store, a set may lack the latest orders and contain withdrawn ones.
 func (s *State) Add(set Set) []Order {
 	var changed []Order
 	for _, zone := range slices.Sorted(slices.Values(set.Zones)) {
@@ -68,13 +71,13 @@
 			continue
 		}
 		o := Order{Zone: zone, On: true, Revision: set.At}
-		s.keep(o)
+		s.store(o)
 		changed = append(changed, o)
 	}
 	return changed
 }
 
-// Zones are the zones that are evacuated, by their names.
+// Zones returns the evacuated zones, sorted by name.
 func (s *State) Zones() []string {
 	var out []string
 	for zone, o := range s.orders {
@@ -86,10 +89,10 @@
 	return out
 }
 
-// known is the revision up to which the orders of a zone are known.
-func (s *State) known(zone string) int64 { return max(s.at, s.orders[zone].Revision) }
+// knownRevision returns the revision up to which the orders of a zone are known.
+func (s *State) knownRevision(zone string) int64 { return max(s.revision, s.orders[zone].Revision) }
 
-func (s *State) keep(o Order) {
+func (s *State) store(o Order) {
 	if s.orders == nil {
 		s.orders = make(map[string]Order)
 	}
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -12,12 +12,12 @@
 		So(s.Apply(Order{Zone: "b", On: true, Revision: 10}), ShouldBeTrue)
 		So(s.Zones(), ShouldResemble, []string{"b"})
 
-		Convey("hold until they are taken back", func() {
+		Convey("are in force until they are withdrawn", func() {
 			So(s.Apply(Order{Zone: "b", Revision: 12}), ShouldBeTrue)
 			So(s.Zones(), ShouldBeEmpty)
 		})
 
-		Convey("are not undone by what is told late or twice", func() {
+		Convey("are not undone by late or repeated orders", func() {
 			So(s.Apply(Order{Zone: "b", Revision: 9}), ShouldBeFalse)
 			So(s.Apply(Order{Zone: "b", On: true, Revision: 10}), ShouldBeFalse)
 			So(s.Replace(Set{At: 9}), ShouldBeEmpty)
@@ -32,14 +32,14 @@
 			})
 			So(s.Zones(), ShouldResemble, []string{"a", "c"})
 
-			Convey("after which older orders of any zone count for nothing", func() {
+			Convey("after which older orders of any zone are ignored", func() {
 				So(s.Apply(Order{Zone: "d", On: true, Revision: 19}), ShouldBeFalse)
 				So(s.Replace(Set{At: 19, Zones: []string{"b"}}), ShouldBeEmpty)
 				So(s.Zones(), ShouldResemble, []string{"a", "c"})
 			})
 		})
 
-		Convey("that are newer than a set hold", func() {
+		Convey("that are newer than a set stay in force", func() {
 			So(s.Apply(Order{Zone: "c", On: true, Revision: 30}), ShouldBeTrue)
 			So(s.Replace(Set{At: 20, Zones: []string{"b"}}), ShouldBeEmpty)
 			So(s.Zones(), ShouldResemble, []string{"b", "c"})
@@ -48,7 +48,7 @@
 }
 
 func TestAdd(t *testing.T) {
-	Convey("A set that may be older than what is known adds zones, and neither takes back an order nor gives one again", t, func() {
+	Convey("A set that may be older than the known orders adds zones, and neither withdraws nor restores an order", t, func() {
 		var s State
 		s.Replace(Set{At: 10, Zones: []string{"a"}})
 		s.Apply(Order{Zone: "b", On: true, Revision: 12})
--- a/internal/load/limits_test.go
+++ b/internal/load/limits_test.go
@@ -34,20 +34,20 @@
 }
 
 func newLimitedFleet(ctx context.Context, instances int, rate float64) *limitedFleet {
-	b := &limitedFleet{testFleet: testFleet{net: meshtest.New(), now: time.Unix(1_000_000, 0)}, rate: limit.PerSecond(rate), lastTurn: make([]int, instances)}
+	f := &limitedFleet{testFleet: testFleet{net: meshtest.New(), now: time.Unix(1_000_000, 0)}, rate: limit.PerSecond(rate), lastTurn: make([]int, instances)}
 	started := false
 	clock := func() time.Time {
 		if !started {
-			b.now = b.now.Add(time.Second) // so that instances discover each other
+			f.now = f.now.Add(time.Second) // so that instances discover each other
 		}
-		return b.now
+		return f.now
 	}
 	for i := range instances {
 		id := fmt.Sprintf("i-%d", i)
-		b.list = append(b.list, mesh.Peer{ID: id, Zone: string(rune('a' + i%limitZones)), Addr: id + ":1"})
+		f.list = append(f.list, mesh.Peer{ID: id, Zone: string(rune('a' + i%limitZones)), Addr: id + ":1"})
 	}
 	const large = 17
-	fleet, err := peerstest.Fleet(ctx, b.net, clock, large, b.list)
+	fleet, err := peerstest.Fleet(ctx, f.net, clock, large, f.list)
 	So(err, ShouldBeNil)
 	started = true
 	for _, x := range fleet {
@@ -55,42 +55,42 @@
 		for e := range 3 {
 			p.Put(pool.Endpoint{ID: fmt.Sprintf("e-%d", e), Service: "models", Addr: fmt.Sprintf("10.0.0.%d:80", e), Zone: "a", Slots: 64})
 		}
-		b.pools = append(b.pools, p)
-		b.nodes = append(b.nodes, New(x.Dir, p, x.Router, WithNow(clock)))
+		f.pools = append(f.pools, p)
+		f.nodes = append(f.nodes, New(x.Dir, p, x.Router, WithNow(clock)))
 	}
-	return b
+	return f
 }
 
 // run sends perSecond requests a second in total through the given instances for a duration, while all instances
 // exchange loads.
-func (b *limitedFleet) run(ctx context.Context, d time.Duration, perSecond float64, callers ...int) {
+func (f *limitedFleet) run(ctx context.Context, d time.Duration, perSecond float64, callers ...int) {
 	due := 0.0
-	for end := b.now.Add(d); b.now.Before(end); b.now = b.now.Add(limitStep) {
-		for i, x := range b.nodes {
+	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(limitStep) {
+		for i, x := range f.nodes {
 			phase := time.Duration(i%int(exchangeInterval/limitStep)) * limitStep
-			if turn := int(b.now.Add(-phase).UnixNano() / int64(exchangeInterval)); turn != b.lastTurn[i] {
-				b.lastTurn[i] = turn
+			if turn := int(f.now.Add(-phase).UnixNano() / int64(exchangeInterval)); turn != f.lastTurn[i] {
+				f.lastTurn[i] = turn
 				x.Sync(ctx)
 			}
 		}
 		for due += perSecond * limitStep.Seconds(); due >= 1; due-- {
-			b.asked++
-			b.sendRequest(b.pools[callers[b.asked%len(callers)]])
+			f.asked++
+			f.sendRequest(f.pools[callers[f.asked%len(callers)]])
 		}
 	}
 }
 
 // sendRequest sends one request, which is answered at once.
-func (b *limitedFleet) sendRequest(p *pool.Pool) {
-	lease := p.Pick(pool.Query{Service: "models", Affinity: fmt.Sprint(b.asked)})
+func (f *limitedFleet) sendRequest(p *pool.Pool) {
+	lease := p.Pick(pool.Query{Service: "models", Affinity: fmt.Sprint(f.asked)})
 	if lease == nil {
-		b.rejected++
+		f.rejected++
 		return
 	}
 	notice := pool.Notice{}
 	if lease.Endpoint().ID == "e-0" {
-		b.arrivals = append(b.arrivals, b.now)
-		notice.Limit = b.rate
+		f.arrivals = append(f.arrivals, f.now)
+		notice.Limit = f.rate
 	}
 	lease.Said(notice, pool.Answer{})
 	lease.Done(pool.EndGood)
@@ -98,10 +98,10 @@
 
 // peak returns the greatest number of requests that the first endpoint received in any window since a moment, and
 // their total since then.
-func (b *limitedFleet) peak(since time.Time) (peak, total int) {
+func (f *limitedFleet) peak(since time.Time) (peak, total int) {
 	first := 0
-	for i, t := range b.arrivals {
-		for b.arrivals[first].Before(since) && first < i || t.Sub(b.arrivals[first]) >= limitWindow {
+	for i, t := range f.arrivals {
+		for f.arrivals[first].Before(since) && first < i || t.Sub(f.arrivals[first]) >= limitWindow {
 			first++
 		}
 		if !t.Before(since) {
@@ -139,18 +139,18 @@
 func testLimits(t *testing.T, name string, instances int, callers []int) {
 	const rate, length = 4, 8 * time.Second
 	ctx, load := context.Background(), max(150, 2*float64(instances))
-	b := newLimitedFleet(ctx, instances, rate)
-	b.run(ctx, limitSettle, load, callers...)
-	since := b.now
+	f := newLimitedFleet(ctx, instances, rate)
+	f.run(ctx, limitSettle, load, callers...)
+	since := f.now
 	play := func(phase string, cut func(from, to mesh.Peer) bool) (got int) {
-		start := b.now
-		b.net.SetCut(cut)
-		b.run(ctx, length, load, callers...)
-		_, got = b.peak(start)
-		peak, _ := b.peak(since)
+		start := f.now
+		f.net.SetCut(cut)
+		f.run(ctx, length, load, callers...)
+		_, got = f.peak(start)
+		peak, _ := f.peak(since)
 		t.Logf("%s, %s: most %d, %d in %v", name, phase, peak, got, length)
 		SoMsg(phase, float64(peak), ShouldBeLessThanOrEqualTo, 1.5*rate*limitWindow.Seconds()+5)
-		So(b.rejected, ShouldEqual, 0)
+		So(f.rejected, ShouldEqual, 0)
 		return got
 	}
 	none := func(_, _ mesh.Peer) bool { return false }
@@ -161,10 +161,10 @@
 	play("connected again", none)
 	So(float64(play("connected for some time", none)), ShouldBeGreaterThanOrEqualTo, 0.5*rate*length.Seconds())
 
-	b.rate = limit.Rate{}
-	b.run(ctx, 4*time.Second, load, callers...)
-	since = b.now
-	b.run(ctx, time.Second, load, callers...)
-	_, got := b.peak(since)
+	f.rate = limit.Rate{}
+	f.run(ctx, 4*time.Second, load, callers...)
+	since = f.now
+	f.run(ctx, time.Second, load, callers...)
+	_, got := f.peak(since)
 	So(float64(got), ShouldBeGreaterThanOrEqualTo, 0.5*load/3) // the limit is lifted: at least half of an even share
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -26,30 +26,30 @@
 const zoneNodes = 2
 
 func newTestFleet(ctx context.Context, large int) *testFleet {
-	b := &testFleet{net: meshtest.New(), now: time.Unix(1_000_000, 0)}
-	clock := func() time.Time { return b.now }
+	f := &testFleet{net: meshtest.New(), now: time.Unix(1_000_000, 0)}
+	clock := func() time.Time { return f.now }
 	list := make([]mesh.Peer, 0, 2*zoneNodes)
 	for i := range 2 * zoneNodes {
 		list = append(list, mesh.Peer{ID: fmt.Sprintf("i-%d", i), Zone: string(rune('a' + i/zoneNodes)), Addr: fmt.Sprintf("i-%d:1", i)})
 	}
-	fleet, err := peerstest.Fleet(ctx, b.net, clock, large, list)
+	fleet, err := peerstest.Fleet(ctx, f.net, clock, large, list)
 	So(err, ShouldBeNil)
 	for _, x := range fleet {
 		p := pool.New(x.Self.Zone, pool.WithNow(clock))
 		for e := range 8 {
 			p.Put(pool.Endpoint{ID: fmt.Sprintf("e-%d", e), Service: "models", Addr: fmt.Sprintf("10.0.0.%d:80", e), Zone: "a", Slots: 8})
 		}
-		b.pools = append(b.pools, p)
-		b.nodes = append(b.nodes, New(x.Dir, p, x.Router, WithNow(clock)))
+		f.pools = append(f.pools, p)
+		f.nodes = append(f.nodes, New(x.Dir, p, x.Router, WithNow(clock)))
 	}
-	return b
+	return f
 }
 
 // exchange runs three load exchanges of every instance, one summaryLifetime apart.
-func (b *testFleet) exchange(ctx context.Context) {
+func (f *testFleet) exchange(ctx context.Context) {
 	for range 3 {
-		b.now = b.now.Add(summaryLifetime)
-		for _, x := range b.nodes {
+		f.now = f.now.Add(summaryLifetime)
+		for _, x := range f.nodes {
 			x.Sync(ctx)
 		}
 	}
@@ -71,38 +71,38 @@
 		large int
 	}{{"small fleet", 9}, {"large fleet with zone leaders", 2}} {
 		Convey("In a "+fleet.name, t, func() {
-			b := newTestFleet(ctx, fleet.large)
-			for i, p := range b.pools {
+			f := newTestFleet(ctx, fleet.large)
+			for i, p := range f.pools {
 				for range i + 1 {
 					So(p.Pick(pool.Query{Service: "models"}), ShouldNotBeNil)
 				}
 			}
 			const all = 1 + 2 + 3 + 4
-			b.exchange(ctx)
+			f.exchange(ctx)
 
 			Convey("each instance receives the load of all others, without its own", func() {
-				for i, p := range b.pools {
+				for i, p := range f.pools {
 					So(openRequests(p.Others()), ShouldEqual, all-(i+1))
 				}
 			})
 
 			Convey("the report of an instance expires once the instance is silent", func() {
-				b.net.SetDown("i-3:1", true)
-				b.now = b.now.Add(reportLifetime + time.Millisecond)
+				f.net.SetDown("i-3:1", true)
+				f.now = f.now.Add(reportLifetime + time.Millisecond)
 				for range 3 {
-					b.now = b.now.Add(summaryLifetime)
-					for _, x := range b.nodes[:3] {
+					f.now = f.now.Add(summaryLifetime)
+					for _, x := range f.nodes[:3] {
 						x.Sync(ctx)
 					}
 				}
-				So(openRequests(b.pools[0].Others()), ShouldEqual, all-1-4)
+				So(openRequests(f.pools[0].Others()), ShouldEqual, all-1-4)
 			})
 
 			Convey("an isolated instance discards the reports that it has received", func() {
-				b.net.SetCut(func(_, _ mesh.Peer) bool { return true })
-				b.now = b.now.Add(reportLifetime + time.Millisecond)
-				b.exchange(ctx)
-				So(openRequests(b.pools[3].Others()), ShouldEqual, 0)
+				f.net.SetCut(func(_, _ mesh.Peer) bool { return true })
+				f.now = f.now.Add(reportLifetime + time.Millisecond)
+				f.exchange(ctx)
+				So(openRequests(f.pools[3].Others()), ShouldEqual, 0)
 			})
 		})
 	}
@@ -111,22 +111,22 @@
 func TestSummary(t *testing.T) {
 	ctx := context.Background()
 	Convey("With a zone leader", t, func() {
-		b := newTestFleet(ctx, 2)
-		for i, p := range b.pools {
+		f := newTestFleet(ctx, 2)
+		for i, p := range f.pools {
 			for range 3 * (i + 1) {
 				So(p.Pick(pool.Query{Service: "models"}), ShouldNotBeNil)
 			}
 		}
-		b.exchange(ctx)
-		leader := b.nodes[0]
+		f.exchange(ctx)
+		leader := f.nodes[0]
 
 		Convey("each instance receives the sum without its own part, for each endpoint", func() {
-			b.now = b.now.Add(summaryLifetime)
-			got, err := leader.handleReport(ctx, mesh.Peer{ID: "i-1", Zone: "a"}, pack(b.nodes[1].localReport(), b.now))
+			f.now = f.now.Add(summaryLifetime)
+			got, err := leader.handleReport(ctx, mesh.Peer{ID: "i-1", Zone: "a"}, pack(f.nodes[1].localReport(), f.now))
 			So(err, ShouldBeNil)
 			exact := leader.reportExcept("i-1")
 			exact.add(leader.localReport())
-			received := got.unpack(b.now).loads
+			received := got.unpack(f.now).loads
 			for key, want := range exact.loads {
 				So(received[key].Open, ShouldEqual, want.Open)
 			}
@@ -134,7 +134,7 @@
 		})
 
 		Convey("an instance whose load has grown since the summary receives no negative figure", func() {
-			b.now = b.now.Add(summaryLifetime)
+			f.now = f.now.Add(summaryLifetime)
 			_, err := leader.handleReport(ctx, mesh.Peer{ID: "i-1", Zone: "a"}, digest{})
 			So(err, ShouldBeNil)
 			got, err := leader.handleReport(ctx, mesh.Peer{ID: "i-1", Zone: "a"}, digest{Lines: []line{{Endpoint: 1, Open: 1000}}})
@@ -146,7 +146,7 @@
 
 		Convey("an instance does not receive its own report of a leaving endpoint back once it has withdrawn it", func() {
 			key := packLeaving(pool.Leaving{7: time.Second})
-			b.now = b.now.Add(summaryLifetime)
+			f.now = f.now.Add(summaryLifetime)
 			got, err := leader.handleReport(ctx, mesh.Peer{ID: "i-1", Zone: "a"}, digest{Leaving: key})
 			So(err, ShouldBeNil)
 			So(got.Leaving, ShouldBeEmpty)
--- a/internal/pressure/conn.go
+++ b/internal/pressure/conn.go
@@ -6,28 +6,28 @@
 	"syscall"
 )
 
-// conn counts what a connection carries.
+// conn counts the bytes of a connection.
 type conn struct {
 	net.Conn
-	gauge *Monitor
+	monitor *Monitor
 }
 
-var errNoDescriptor = errors.New("the connection has no descriptor")
+var errNoDescriptor = errors.New("connection has no file descriptor")
 
-// Conn counts a connection's bytes.
-func (g *Monitor) Conn(c net.Conn) net.Conn { return &conn{Conn: c, gauge: g} }
+// Conn returns a connection whose bytes are counted.
+func (m *Monitor) Conn(c net.Conn) net.Conn { return &conn{Conn: c, monitor: m} }
 
 // Read implements net.Conn.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.gauge.in.Add(int64(n))
+	c.monitor.in.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.gauge.out.Add(int64(n))
+	c.monitor.out.Add(int64(n))
 	return n, err
 }
 
@@ -40,14 +40,14 @@
 	return sc.SyscallConn()
 }
 
-// listener counts what the connections that it takes carry.
+// listener counts the bytes of the connections that it accepts.
 type listener struct {
 	net.Listener
-	gauge *Monitor
+	monitor *Monitor
 }
 
-// Listener counts the bytes of the connections that a listener takes.
-func (g *Monitor) Listener(l net.Listener) net.Listener { return &listener{Listener: l, gauge: g} }
+// Listener returns a listener that counts the bytes of the connections that it accepts.
+func (m *Monitor) Listener(l net.Listener) net.Listener { return &listener{Listener: l, monitor: m} }
 
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
@@ -55,5 +55,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.gauge.Conn(c), nil
+	return l.monitor.Conn(c), nil
 }
--- a/internal/pressure/pressure.go
+++ b/internal/pressure/pressure.go
@@ -1,9 +1,10 @@
-// Package pressure tells when an instance's own link is crowded, by the bytes that it carries and by how long connections to
-// endpoints take to come up.
+// Package pressure detects congestion of an instance's own network link, by the bytes that the link carries and by
+// the time that connections to endpoints take to be established.
 //
-// A single slow connection says nothing, as endpoints fail too. But if even the fastest of the last ones was slow, what waits is on
-// this side. An instance under pressure is to call itself not ready, so that new callers go to others, and to send those that it
-// has there. It does so well before the link is full: callers take seconds to move, and a full link serves nobody.
+// A single slow connection does not indicate congestion, since endpoints fail too. If even the fastest of the last
+// connections was slow, the delay is on this side. An instance under pressure must report that it is not ready, so
+// that new callers go to other instances, and must redirect its present callers. It does so well before the link is
+// full: callers take seconds to move, and a full link serves no requests.
 package pressure
 
 import (
@@ -12,19 +13,19 @@
 	"time"
 )
 
-// Policy holds the figures by which a link is judged.
+// Policy holds the thresholds for the link.
 type Policy struct {
-	Window        time.Duration // samples older than this say nothing
-	MinSamples    int           // samples within the window that are needed
-	SlowDial      time.Duration // connections that take longer wait for the link
-	Onset         time.Duration // the link must be crowded for so long before callers are sent away
-	BusyShare     float64       // of the link's bytes from which it is about to be crowded
+	Window        time.Duration // samples older than this are ignored
+	MinSamples    int           // samples that are needed within Window
+	SlowDial      time.Duration // a connection that takes this long waits for the link
+	Onset         time.Duration // the link must be congested for this long before callers are diverted
+	BusyShare     float64       // fraction of the link's capacity above which callers are diverted
 	CountInterval time.Duration // over which bytes are counted
-	HoldTime      time.Duration // callers are sent away for so long after the link was crowded last, at first
-	MaxHoldTime   time.Duration // the most that Rest grows to, as the link is crowded again soon after
+	HoldTime      time.Duration // callers are diverted for this long after the last congestion, at first
+	MaxHoldTime   time.Duration // to which HoldTime grows if the link is congested again soon after
 }
 
-// DefaultPolicy suits links on which a connection comes up in a few milliseconds.
+// DefaultPolicy suits links on which a connection is established in a few milliseconds.
 func DefaultPolicy() Policy {
 	return Policy{
 		Window: 700 * time.Millisecond, MinSamples: 3, SlowDial: 50 * time.Millisecond, Onset: 250 * time.Millisecond,
@@ -38,135 +39,135 @@
 	took time.Duration
 }
 
-// mark is how many bytes had passed at a moment.
-type mark struct {
+// byteCount is the number of bytes carried up to a moment.
+type byteCount struct {
 	at      time.Time
 	in, out int64
 }
 
-// Monitor watches one instance's link.
+// Monitor monitors the link of one instance.
 type Monitor struct {
-	policy Policy
-	now    func() time.Time
-	link   float64 // bytes a second each way; 0: not known
-	in     atomic.Int64
-	out    atomic.Int64
-
-	mu      sync.Mutex
-	mark    mark
-	busy    bool
-	samples []sample
-	since   time.Time // the link is crowded without a break since then; zero: it is not
-	until   time.Time // callers are sent away until then
-	rest    time.Duration
-	changed func(away bool)
-	away    bool
+	policy   Policy
+	now      func() time.Time
+	linkRate float64 // bytes per second in each direction; 0: not known
+	in       atomic.Int64
+	out      atomic.Int64
+
+	mu             sync.Mutex
+	lastCount      byteCount
+	busy           bool
+	samples        []sample
+	congestedSince time.Time // start of the current congestion; zero: none
+	divertUntil    time.Time // callers are diverted until then
+	holdTime       time.Duration
+	onChange       func(diverting bool)
+	diverting      bool
 }
 
-// Option changes a Gauge.
+// Option configures a Monitor.
 type Option func(*Monitor)
 
-// WithPolicy replaces the figures.
-func WithPolicy(p Policy) Option { return func(g *Monitor) { g.policy = p } }
+// WithPolicy replaces the thresholds.
+func WithPolicy(p Policy) Option { return func(m *Monitor) { m.policy = p } }
 
 // WithNow replaces the clock.
-func WithNow(now func() time.Time) Option { return func(g *Monitor) { g.now = now } }
+func WithNow(now func() time.Time) Option { return func(m *Monitor) { m.now = now } }
 
-// WithLink sets what the link carries each way, in megabits a second.
+// WithLink sets the capacity of the link in each direction, in megabits per second.
 func WithLink(mbps float64) Option {
 	const bytesPerMegabit = 1e6 / 8
-	return func(g *Monitor) { g.link = mbps * bytesPerMegabit }
+	return func(m *Monitor) { m.linkRate = mbps * bytesPerMegabit }
 }
 
-// OnChange sets what is told when the instance begins and ends to send callers away.
-func OnChange(f func(away bool)) Option { return func(g *Monitor) { g.changed = f } }
+// OnChange sets a function that is called when the instance starts and stops diverting callers.
+func OnChange(f func(diverting bool)) Option { return func(m *Monitor) { m.onChange = f } }
 
-// New makes a gauge of a calm link.
+// New returns a Monitor of a link without congestion.
 func New(opts ...Option) *Monitor {
-	g := &Monitor{policy: DefaultPolicy(), now: time.Now, changed: func(bool) {}}
+	m := &Monitor{policy: DefaultPolicy(), now: time.Now, onChange: func(bool) {}}
 	for _, opt := range opts {
-		opt(g)
+		opt(m)
 	}
-	return g
+	return m
 }
 
-// ObserveDial takes the time that one connection took to come up, or to be given up.
-func (g *Monitor) ObserveDial(took time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	now := g.now()
-	g.samples = append(g.samples, sample{at: now, took: took})
-	g.judge(now)
+// ObserveDial records the time that one connection took to be established, or to be given up.
+func (m *Monitor) ObserveDial(took time.Duration) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.now()
+	m.samples = append(m.samples, sample{at: now, took: took})
+	m.update(now)
 }
 
-// Diverting reports whether callers are to be sent to other instances.
-func (g *Monitor) Diverting() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	now := g.now()
-	g.judge(now)
-	return g.away
+// Diverting reports whether callers must be sent to other instances.
+func (m *Monitor) Diverting() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.now()
+	m.update(now)
+	return m.diverting
 }
 
-// Congested reports whether the link is crowded now.
-func (g *Monitor) Congested() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	now := g.now()
-	g.judge(now)
-	return !g.since.IsZero()
+// Congested reports whether the link is congested now.
+func (m *Monitor) Congested() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.now()
+	m.update(now)
+	return !m.congestedSince.IsZero()
 }
 
-// judge brings the verdict up to date. The caller holds mu.
-func (g *Monitor) judge(now time.Time) {
-	g.weigh(now)
-	crowded := g.crowded(now)
+// update updates the state to now. The caller holds mu.
+func (m *Monitor) update(now time.Time) {
+	m.updateBusy(now)
+	slow := m.dialsSlow(now)
 	switch {
-	case !crowded:
-		g.since = time.Time{}
-	case g.since.IsZero():
-		g.since = now
+	case !slow:
+		m.congestedSince = time.Time{}
+	case m.congestedSince.IsZero():
+		m.congestedSince = now
 	}
-	if g.busy || (crowded && now.Sub(g.since) >= g.policy.Onset) {
-		g.extend(now)
+	if m.busy || (slow && now.Sub(m.congestedSince) >= m.policy.Onset) {
+		m.extendHold(now)
 	}
-	if away := now.Before(g.until); away != g.away {
-		g.away = away
-		g.changed(away)
+	if diverting := now.Before(m.divertUntil); diverting != m.diverting {
+		m.diverting = diverting
+		m.onChange(diverting)
 	}
 }
 
-// weigh holds the bytes of the last span against the link. The caller holds mu.
-func (g *Monitor) weigh(now time.Time) {
-	span := now.Sub(g.mark.at)
-	if g.link <= 0 || span < g.policy.CountInterval {
+// updateBusy compares the bytes of the last interval with the capacity of the link. The caller holds mu.
+func (m *Monitor) updateBusy(now time.Time) {
+	span := now.Sub(m.lastCount.at)
+	if m.linkRate <= 0 || span < m.policy.CountInterval {
 		return
 	}
-	next := mark{at: now, in: g.in.Load(), out: g.out.Load()}
-	carried := max(next.in-g.mark.in, next.out-g.mark.out)
-	g.busy = !g.mark.at.IsZero() && float64(carried) > g.policy.BusyShare*g.link*span.Seconds()
-	g.mark = next
+	next := byteCount{at: now, in: m.in.Load(), out: m.out.Load()}
+	carried := max(next.in-m.lastCount.in, next.out-m.lastCount.out)
+	m.busy = !m.lastCount.at.IsZero() && float64(carried) > m.policy.BusyShare*m.linkRate*span.Seconds()
+	m.lastCount = next
 }
 
-// extend sends callers away from now on. The caller holds mu.
-func (g *Monitor) extend(now time.Time) {
-	if !now.Before(g.until) {
-		g.rest = max(g.policy.HoldTime, min(2*g.rest, g.policy.MaxHoldTime))
+// extendHold diverts callers for the hold time from now on. The caller holds mu.
+func (m *Monitor) extendHold(now time.Time) {
+	if !now.Before(m.divertUntil) {
+		m.holdTime = max(m.policy.HoldTime, min(2*m.holdTime, m.policy.MaxHoldTime))
 	}
-	g.until = now.Add(g.rest)
+	m.divertUntil = now.Add(m.holdTime)
 }
 
-// crowded reports whether even the fastest of the last connections waited for the link. The caller holds mu.
-func (g *Monitor) crowded(now time.Time) bool {
-	kept := g.samples[:0]
-	fastest := g.policy.SlowDial
-	for _, s := range g.samples {
-		if now.Sub(s.at) > g.policy.Window {
+// dialsSlow reports whether even the fastest of the recent connections waited for the link. The caller holds mu.
+func (m *Monitor) dialsSlow(now time.Time) bool {
+	recent := m.samples[:0]
+	fastest := m.policy.SlowDial
+	for _, s := range m.samples {
+		if now.Sub(s.at) > m.policy.Window {
 			continue
 		}
-		kept = append(kept, s)
+		recent = append(recent, s)
 		fastest = min(fastest, s.took)
 	}
-	g.samples = kept
-	return len(kept) >= g.policy.MinSamples && fastest >= g.policy.SlowDial
+	m.samples = recent
+	return len(recent) >= m.policy.MinSamples && fastest >= m.policy.SlowDial
 }
--- a/internal/pressure/pressure_test.go
+++ b/internal/pressure/pressure_test.go
@@ -9,98 +9,98 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-const testLink = 8 // Mbit/s: 1,000,000 bytes a second
+const testLink = 8 // Mbit/s: 1,000,000 bytes per second
 
-func TestGauge(t *testing.T) {
-	Convey("A gauge of a link", t, func() {
+func TestMonitor(t *testing.T) {
+	Convey("A monitor of a link", t, func() {
 		now := time.Unix(1000, 0)
-		var told []bool
-		g := New(WithNow(func() time.Time { return now }), WithLink(testLink), OnChange(func(away bool) { told = append(told, away) }))
-		p := g.policy
-		pass := func(d time.Duration) { now = now.Add(d) }
-		// carry lets some spans pass in which the link carries a share of what it can.
+		var changes []bool
+		m := New(WithNow(func() time.Time { return now }), WithLink(testLink), OnChange(func(diverting bool) { changes = append(changes, diverting) }))
+		p := m.policy
+		advance := func(d time.Duration) { now = now.Add(d) }
+		// carry simulates some count intervals in which the link carries a fraction of its capacity.
 		carry := func(spans int, share float64) {
 			for range spans {
-				pass(p.CountInterval)
-				g.in.Add(int64(share * 1e6 * p.CountInterval.Seconds()))
-				g.Diverting()
+				advance(p.CountInterval)
+				m.in.Add(int64(share * 1e6 * p.CountInterval.Seconds()))
+				m.Diverting()
 			}
 		}
 		carry(1, 0)
 
-		Convey("is calm while connections come up fast and little is carried", func() {
+		Convey("diverts no callers while connections are fast and the link carries little", func() {
 			for range 20 {
-				g.ObserveDial(time.Millisecond)
+				m.ObserveDial(time.Millisecond)
 				carry(1, p.BusyShare/2)
 			}
-			So(g.Diverting(), ShouldBeFalse)
-			So(told, ShouldBeEmpty)
+			So(m.Diverting(), ShouldBeFalse)
+			So(changes, ShouldBeEmpty)
 		})
 
-		Convey("sends callers away before the link is full, and takes them again after a rest", func() {
+		Convey("diverts callers before the link is full, and accepts them again after the hold time", func() {
 			carry(1, 1.1*p.BusyShare)
-			So(g.Diverting(), ShouldBeTrue)
-			pass(p.HoldTime - p.CountInterval)
+			So(m.Diverting(), ShouldBeTrue)
+			advance(p.HoldTime - p.CountInterval)
 			carry(1, 0)
-			So(g.Diverting(), ShouldBeFalse)
-			So(told, ShouldResemble, []bool{true, false})
+			So(m.Diverting(), ShouldBeFalse)
+			So(changes, ShouldResemble, []bool{true, false})
 
-			Convey("for longer where that fills it again", func() {
+			Convey("for longer if that fills it again", func() {
 				carry(1, 1.1*p.BusyShare)
-				pass(p.HoldTime + time.Second)
-				So(g.Diverting(), ShouldBeTrue)
-				pass(p.HoldTime)
-				So(g.Diverting(), ShouldBeFalse)
+				advance(p.HoldTime + time.Second)
+				So(m.Diverting(), ShouldBeTrue)
+				advance(p.HoldTime)
+				So(m.Diverting(), ShouldBeFalse)
 			})
 		})
 
-		Convey("takes one fast connection among slow ones for a calm link", func() {
+		Convey("sees no congestion if one connection among slow ones is fast", func() {
 			for range 10 {
-				pass(p.Onset / 4)
-				g.ObserveDial(300 * time.Millisecond)
-				g.ObserveDial(300 * time.Millisecond)
-				g.ObserveDial(p.SlowDial - 1)
+				advance(p.Onset / 4)
+				m.ObserveDial(300 * time.Millisecond)
+				m.ObserveDial(300 * time.Millisecond)
+				m.ObserveDial(p.SlowDial - 1)
 			}
-			So(g.Diverting(), ShouldBeFalse)
-			So(g.Congested(), ShouldBeFalse)
+			So(m.Diverting(), ShouldBeFalse)
+			So(m.Congested(), ShouldBeFalse)
 		})
 
-		Convey("sends callers away when even the fastest connections are slow for a while", func() {
+		Convey("diverts callers when even the fastest connections are slow for a while", func() {
 			for range p.MinSamples {
-				g.ObserveDial(p.SlowDial)
+				m.ObserveDial(p.SlowDial)
 			}
-			So(g.Congested(), ShouldBeTrue)
-			So(g.Diverting(), ShouldBeFalse)
-			pass(p.Onset)
-			g.ObserveDial(p.SlowDial)
-			So(g.Diverting(), ShouldBeTrue)
+			So(m.Congested(), ShouldBeTrue)
+			So(m.Diverting(), ShouldBeFalse)
+			advance(p.Onset)
+			m.ObserveDial(p.SlowDial)
+			So(m.Diverting(), ShouldBeTrue)
 		})
 
-		Convey("forgets old connections", func() {
+		Convey("ignores old connections", func() {
 			for range p.MinSamples {
-				g.ObserveDial(p.SlowDial)
+				m.ObserveDial(p.SlowDial)
 			}
-			pass(p.Window + 1)
-			So(g.Congested(), ShouldBeFalse)
+			advance(p.Window + 1)
+			So(m.Congested(), ShouldBeFalse)
 		})
 	})
 
-	Convey("A link whose size is not known is judged by its connections alone", t, func() {
+	Convey("A link of unknown capacity is judged by its connections alone", t, func() {
 		now := time.Unix(1000, 0)
-		g := New(WithNow(func() time.Time { return now }))
-		g.Diverting()
+		m := New(WithNow(func() time.Time { return now }))
+		m.Diverting()
 		now = now.Add(time.Second)
-		g.out.Add(1 << 40)
-		So(g.Diverting(), ShouldBeFalse)
+		m.out.Add(1 << 40)
+		So(m.Diverting(), ShouldBeFalse)
 	})
 }
 
 func TestConn(t *testing.T) {
-	Convey("Bytes of taken and of made connections are counted both ways", t, func() {
-		g := New()
+	Convey("Bytes of accepted and dialed connections are counted in both directions", t, func() {
+		m := New()
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
-		counted := g.Listener(l)
+		counted := m.Listener(l)
 		defer func() { _ = counted.Close() }()
 		go func() {
 			c, err := counted.Accept()
@@ -112,13 +112,13 @@
 		}()
 		raw, err := net.Dial("tcp", l.Addr().String())
 		So(err, ShouldBeNil)
-		c := g.Conn(raw)
+		c := m.Conn(raw)
 		_, err = c.Write([]byte("hello"))
 		So(err, ShouldBeNil)
 		back, err := io.ReadAll(c)
 		So(err, ShouldBeNil)
 		So(string(back), ShouldEqual, "hello")
-		So(g.in.Load(), ShouldEqual, 10)
-		So(g.out.Load(), ShouldEqual, 10)
+		So(m.in.Load(), ShouldEqual, 10)
+		So(m.out.Load(), ShouldEqual, 10)
 	})
 }
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -1,11 +1,12 @@
-// Package slowstart decides how much work an endpoint gets that has just started, or has turned cold: it is slow for some seconds, keeps no
-// prompts, and fails when it is sent more than it can bear.
+// Package slowstart limits the requests to an endpoint that has just started, or has turned cold. Such an endpoint is
+// slow for some seconds, has no cached prompts, and fails when it receives more requests than it can serve.
 //
-// The load that it answers: an availability zone comes back at once with all its endpoints cold, a quarter of a service's endpoints restart
-// together, or the operator takes an evacuation back. Affinity would send all their sessions there in the same second, from every
-// instance. The bound on what one cold endpoint gets holds for all instances together, also for those that reach neither the store nor each other, so
-// nothing can be asked: a few instances own each cold endpoint, by an order that all come to alone, and each of them sends a fixed small share.
-// Replays: TestColdZone in internal/pool, TestShare here.
+// This matters when an availability zone comes back with all its endpoints cold, when a quarter of the endpoints of a
+// service restart together, or when the operator withdraws an evacuation: affinity would send all their sessions back
+// there in the same second, from every instance. The bound on the requests to one cold endpoint holds for all
+// instances together, also for those that reach neither the store nor each other, so it cannot depend on
+// communication. Instead, a few instances own each cold endpoint, by an order that every instance computes alone, and
+// each owner sends a fixed small share. Tests: TestColdZone in internal/pool, TestShare here.
 package slowstart
 
 import (
@@ -13,40 +14,41 @@
 	"time"
 )
 
-// Warmup is what a service says of endpoints that have just started.
+// Warmup is the declaration of a service about endpoints that have just started.
 type Warmup struct {
-	Time      time.Duration // for so long they are cold
-	PerSecond float64       // requests that a cold one bears; 0: not bounded
+	Time      time.Duration // for which they are cold
+	PerSecond float64       // requests per second that a cold endpoint sustains; 0: not bounded
 }
 
-// Bounds are the operator's tolerance: in no second may a cold endpoint get more than PerSecond times Overage, and Slack more.
+// Bounds is the operator's tolerance: in no second may a cold endpoint receive more than PerSecond times Overage,
+// plus Slack.
 type Bounds struct {
 	Overage float64
 	Slack   float64 // requests
 }
 
 const (
-	safety   = 0.7 // part of the bound that is planned for: instances may differ on who the owners are
-	burst    = 1.0 // requests that an owner may send at once
-	mostRate = 2.0 // requests a second of one owner: one that knows few others may be wrong
+	safetyMargin = 0.7 // fraction of the bound that is planned for: instances may differ on who the owners are
+	burst        = 1.0 // requests that an owner may send at once
+	maxOwnerRate = 2.0 // requests per second of one owner: one that has discovered few instances may overestimate it
 )
 
-// Share is what each of the owners of a cold endpoint may send.
+// Share is the number of owners of a cold endpoint, and what each of them may send.
 type Share struct {
 	Owners    int
 	PerSecond float64
 }
 
-// Plan divides what a cold endpoint may get among owners, of a fleet of some instances. In the worst second an owner sends its burst and
-// what a second brings.
+// Plan divides the requests to a cold endpoint among owners, in a fleet of the given number of instances. In the
+// worst second an owner sends its burst and the requests that accrue within a second.
 func Plan(w Warmup, b Bounds, instances int) Share {
-	most := safety * (w.PerSecond*max(1, b.Overage) + b.Slack)
-	owners := max(1, min(instances, int(most/(burst+1))))
-	rate := min(mostRate, most/float64(owners)-burst, w.PerSecond/float64(owners))
+	budget := safetyMargin * (w.PerSecond*max(1, b.Overage) + b.Slack)
+	owners := max(1, min(instances, int(budget/(burst+1))))
+	rate := min(maxOwnerRate, budget/float64(owners)-burst, w.PerSecond/float64(owners))
 	return Share{Owners: owners, PerSecond: max(0, rate)}
 }
 
-// Bucket counts what this instance may still send to one cold endpoint. Its zero value is full.
+// Bucket counts the requests that this instance may still send to one cold endpoint. The zero value is full.
 type Bucket struct {
 	used float64 // requests, as of at
 	at   time.Time
@@ -60,7 +62,7 @@
 	b.used, b.at = b.level(now, s)+1, now
 }
 
-// level is how much of the burst is in use.
+// level returns how much of the burst is in use.
 func (b *Bucket) level(now time.Time, s Share) float64 {
 	return math.Max(0, b.used-now.Sub(b.at).Seconds()*s.PerSecond)
 }
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestShare(t *testing.T) {
-	Convey("Whatever the fleet, the owners of a cold endpoint never exceed the bound in any second", t, func() {
+	Convey("In a fleet of any size, the owners of a cold endpoint never exceed the bound in any second", t, func() {
 		cases := []struct {
 			warmup Warmup
 			bounds Bounds
@@ -22,13 +22,13 @@
 			for _, instances := range []int{1, 3, 6, 87, 380} {
 				Convey(fmt.Sprintf("%v requests a second, %d instances", c.warmup.PerSecond, instances), func() {
 					s := Plan(c.warmup, c.bounds, instances)
-					most := c.warmup.PerSecond*c.bounds.Overage + c.bounds.Slack
-					So(worstSecond(s), ShouldBeLessThanOrEqualTo, most)
+					bound := c.warmup.PerSecond*c.bounds.Overage + c.bounds.Slack
+					So(worstSecond(s), ShouldBeLessThanOrEqualTo, bound)
 					So(float64(s.Owners)*s.PerSecond, ShouldBeLessThanOrEqualTo, c.warmup.PerSecond)
 
-					Convey("also where some more believe that they are owners", func() {
+					Convey("also if some more instances take themselves for owners", func() {
 						s.Owners += s.Owners / 4
-						So(worstSecond(s), ShouldBeLessThanOrEqualTo, most)
+						So(worstSecond(s), ShouldBeLessThanOrEqualTo, bound)
 					})
 				})
 			}
@@ -36,14 +36,15 @@
 	})
 }
 
-// worstSecond plays owners that send whatever they may, and finds the most that comes in one second.
+// worstSecond simulates owners that send as much as they may, and returns the most requests that arrive in one
+// second.
 func worstSecond(s Share) float64 {
 	const step, second = 10 * time.Millisecond, time.Second
 	buckets := make([]Bucket, s.Owners)
-	begun := time.Unix(1000, 0)
+	start := time.Unix(1000, 0)
 	var sent []time.Time
 	worst := 0
-	for at := begun; at.Before(begun.Add(4 * second)); at = at.Add(step) {
+	for at := start; at.Before(start.Add(4 * second)); at = at.Add(step) {
 		for i := range buckets {
 			if buckets[i].Has(at, s) {
 				buckets[i].Take(at, s)
