--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -157,7 +157,7 @@
 			defer func() { r = PerSecond(4) }()
 			So(send(&b, 5*time.Second), ShouldBeBetween, 8, 11)
 		})
-		Convey("sends no more than was lent if the endpoint raises its limit", func() {
+		Convey("sends no more than was granted if the endpoint raises its limit", func() {
 			r = PerSecond(40)
 			defer func() { r = PerSecond(4) }()
 			So(send(&b, 5*time.Second), ShouldBeBetween, 18, 21)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -142,14 +142,14 @@
 	defer cancel()
 	x.updateClaims()
 	defer x.applyLeases()
-	gatherers := x.dir.Keepers()
-	if len(gatherers) == 0 {
+	coordinators := x.dir.Keepers()
+	if len(coordinators) == 0 {
 		x.exchangeZones(ctx)
 		x.applyOthers(x.reportExcept(""))
 		return
 	}
 	mine := pack(x.localReport(), x.now())
-	for _, p := range gatherers {
+	for _, p := range coordinators {
 		requestedAt := x.now()
 		mine.Piggyback, mine.Claims = x.piggyback.Payload(p.ID), x.claimsFor(p.ID)
 		others, err := peers.Call[digest, digest](ctx, x.dir, p, KindReport, mine)
--- a/internal/quarantine/log.go
+++ b/internal/quarantine/log.go
@@ -29,5 +29,5 @@
 // LogCrash logs that an endpoint crashed while it ran a request.
 func LogCrash(log zerolog.Logger, endpoint, digest string) {
 	log.Warn().Str("event", EventCrash).Str("endpoint", endpoint).Str("digest", digest).
-		Msg("endpoint process ended while it ran a request")
+		Msg("endpoint process exited while it ran a request")
 }
--- a/internal/quarantine/memory.go
+++ b/internal/quarantine/memory.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Crash is one run of a request during which the process of its endpoint ended unexpectedly.
+// Crash is one run of a request during which the process of its endpoint exited unexpectedly.
 type Crash struct {
 	Run      string // identifies one run of the endpoint's process
 	Began    time.Time
@@ -16,7 +16,7 @@
 }
 
 // Weights of crashes. A request that crashes three endpoints in a row before its first token is quarantined at the
-// third crash. If the runs had passed events on, something else may have ended their endpoints, and six crashes are
+// third crash. If the runs had passed events on, something else may have crashed their endpoints, and six crashes are
 // needed: otherwise requests would be quarantined that merely ran on an endpoint when it crashed.
 const (
 	crashWeight      = 2
