--- a/internal/limit/division.go
+++ b/internal/limit/division.go
@@ -175,15 +175,15 @@
 // LocalLeases returns the leases of this instance itself, for endpoints whose limits are given.
 func (a *Allocator) LocalLeases(limits map[uint32]Rate, now time.Time) map[uint32]Lease {
 	out := make(map[uint32]Lease, len(limits))
-	for key, g := range a.Lend(local, limits, now) {
+	for key, g := range a.Grant(local, limits, now) {
 		out[key] = g.lease(now)
 	}
 	return out
 }
 
-// Lend grants an instance its share for endpoints whose limits are given. Rates that others may be using are not
-// granted twice.
-func (a *Allocator) Lend(to string, limits map[uint32]Rate, now time.Time) Grants {
+// Grant grants an instance its share, for endpoints whose limits are given. Rates that others may be using are
+// not granted twice.
+func (a *Allocator) Grant(to string, limits map[uint32]Rate, now time.Time) Grants {
 	out := make(Grants, len(limits))
 	for key, r := range limits {
 		s := a.endpoints[key]
--- a/internal/limit/division_test.go
+++ b/internal/limit/division_test.go
@@ -117,7 +117,7 @@
 		claims := n.allocator.Aggregate(up.name, s.now)
 		if s.rng.Float64() >= s.lossRate {
 			up.allocator.Observe(n.name, claims, s.now)
-			grants := up.allocator.Lend(n.name, up.rates(s), s.now)
+			grants := up.allocator.Grant(n.name, up.rates(s), s.now)
 			if s.rng.Float64() >= s.lossRate {
 				n.allocator.AcceptGrants(grants, s.now)
 			}
--- a/internal/load/fuzz_test.go
+++ b/internal/load/fuzz_test.go
@@ -38,19 +38,19 @@
 		p.SetOthers(r.loads)
 		p.ObserveLeaving(r.leaving)
 		p.ObserveLimits(r.limits)
-		checkLending(t, d)
+		checkGrants(t, d)
 		p.Pick(pool.Query{Service: "s"})
 	})
 }
 
-// checkLending fails if more than the limit is granted for the claims of a digest.
-func checkLending(t *testing.T, d digest) {
+// checkGrants fails if more than the limit is granted for the claims of a digest.
+func checkGrants(t *testing.T, d digest) {
 	now := time.Now()
 	rates := map[uint32]limit.Rate{7: limit.PerSecond(1.5)}
 	allocator := limit.NewAllocator()
 	allocator.Observe("x", unpackClaims(d.Claims), now)
 	allocator.AcceptGrants(unpackGrants(d.Grants), now)
-	for _, g := range allocator.Lend("x", rates, now) {
+	for _, g := range allocator.Grant("x", rates, now) {
 		if !(g.PerSecond <= rates[7].Bound()) {
 			t.Fatalf("granted %v requests per second of %v", g.PerSecond, rates[7].Bound())
 		}
--- a/internal/load/limits.go
+++ b/internal/load/limits.go
@@ -173,7 +173,7 @@
 		return nil
 	}
 	x.allocator.Observe(to, unpackClaims(claims), now)
-	return packGrants(x.allocator.Lend(to, x.rates, now))
+	return packGrants(x.allocator.Grant(to, x.rates, now))
 }
 
 // applyLeases passes the leases of this instance to the pool.
