--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -31,7 +31,7 @@
 	orders   map[string]Order // the last order, by zone
 }
 
-// Apply applies one order and reports whether that changes what is in force.
+// Apply applies one order and reports whether the evacuated zones have changed.
 func (s *State) Apply(o Order) bool {
 	if o.Revision <= s.knownRevision(o.Zone) {
 		return false
--- a/internal/load/digest_test.go
+++ b/internal/load/digest_test.go
@@ -73,8 +73,8 @@
 
 		Convey("is readable by builds without announcements, and their digests are readable", func() {
 			type older struct {
-				Lines []line `cbor:"1,keyasint,omitempty"`
-				Rider []byte `cbor:"2,keyasint,omitempty"`
+				Lines     []line `cbor:"1,keyasint,omitempty"`
+				Piggyback []byte `cbor:"2,keyasint,omitempty"`
 			}
 			raw, err := cbor.Marshal(pack(report{loads, pool.Leaving{7: time.Second}, pool.Limits{7: limit.NewState(limit.PerSecond(1), now, now)}}, now))
 			So(err, ShouldBeNil)
--- a/internal/quarantine/memory.go
+++ b/internal/quarantine/memory.go
@@ -59,7 +59,7 @@
 	probes        int // failed tries after the quarantine had expired
 	updatedAt     time.Time
 	seq           uint64
-	from          string // instance that sent the whole record and need not receive it; empty: none did
+	from          string // instance that sent the complete record and need not receive it; empty: none did
 	running       int    // current runs on this instance that began under suspicion
 }
 
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -1,4 +1,4 @@
-// Package slowstart limits the requests to an endpoint that has just started, or has turned cold. Such an endpoint is
+// Package slowstart limits the requests to an endpoint that has just started, or has become cold. Such an endpoint is
 // slow for some seconds, has no cached prompts, and fails when it receives more requests than it can serve.
 //
 // This matters when an availability zone comes back with all its endpoints cold, when a quarter of the endpoints of a
