--- a/internal/escrow/bench_test.go
+++ b/internal/escrow/bench_test.go
@@ -8,12 +8,12 @@
 	"github.com/ledgemount/ledgemount/internal/external/memkv"
 )
 
-// BenchmarkReserve reserves and settles from a grant.
+// BenchmarkReserve reserves tokens from a grant and settles them.
 func BenchmarkReserve(b *testing.B) {
 	h := New(memkv.New(), "p/", 1, "node", "node/1")
 	h.SetPrepaid([]Prepaid{{Customer: "north", Tokens: 1 << 50}})
-	h.startBeat()
-	h.draw(context.Background(), h.pages[0])
+	h.startRound()
+	h.refresh(context.Background(), h.pages[0])
 	b.ReportAllocs()
 	for b.Loop() {
 		r, err := h.Reserve(context.Background(), "north", 10, 0)
@@ -24,14 +24,14 @@
 	}
 }
 
-// BenchmarkPage reads and writes a page of 24 customers and 86 holders.
+// BenchmarkPage decodes and encodes a page of 24 customers and 86 holders.
 func BenchmarkPage(b *testing.B) {
 	p, _ := DecodePage(nil)
 	for h := range 86 {
 		id := fmt.Sprintf("front-zone-%d/01j%023d", h, h)
 		p.Holders[id] = Report{Node: fmt.Sprintf("front-zone-%d", h), Boot: "2b1f0c5e-0c1e-4b5f-8f57-3b1f6f0c5e0c", Clock: 1, Count: 2, Wall: 3}
 		for c := range 24 {
-			p.account(fmt.Sprintf("customer-%d", c)).Rows[id] = Row{Granted: 1000, Spent: int64(h * c), Want: 5, Burst: 70, Rate: 30}
+			p.account(fmt.Sprintf("customer-%d", c)).Rows[id] = Row{Granted: 1000, Spent: int64(h * c), Demand: 5, Burst: 70, Rate: 30}
 		}
 	}
 	raw, err := p.Encode()
@@ -50,8 +50,8 @@
 	}
 }
 
-// BenchmarkPrepare computes the page that the leader of all writes: 300 holders, each with new rows for 10 customers. 38 ms while accounts were
-// added up for each holder, 3.6 ms since they are added up once.
+// BenchmarkPrepare computes the page that the leader of the entire fleet writes: 300 holders, each with new rows for 10
+// customers. It took 38 ms when accounts were summed for each holder, and takes 3.6 ms since they are summed once.
 func BenchmarkPrepare(b *testing.B) {
 	const holders, customers = 300, 10
 	h := New(memkv.New(), "p/", 1, "node", "node/1")
@@ -60,16 +60,16 @@
 	for c := range customers {
 		name := fmt.Sprintf("customer-%d", c)
 		prepaid = append(prepaid, Prepaid{Customer: name, Tokens: 1 << 40})
-		rows[name] = Need{Spent: 10, Want: 1000, Burst: 100, Rate: 10}
+		rows[name] = Need{Spent: 10, Demand: 1000, Burst: 100, Rate: 10}
 	}
 	h.SetPrepaid(prepaid)
-	h.startBeat()
-	h.draw(context.Background(), h.pages[0])
+	h.startRound()
+	h.refresh(context.Background(), h.pages[0])
 	p := h.pages[0]
 	for i := range holders {
 		node := fmt.Sprintf("front-zone-%d", i)
-		p.pending = append(p.pending, &pending{
-			holder: node + "/1", came: h.now(), done: make(chan struct{}), part: Part{Report: Report{Node: node, Count: 1, Wall: 1}, Rows: rows},
+		p.pending = append(p.pending, &pendingPart{
+			holder: node + "/1", arrived: h.now(), done: make(chan struct{}), part: Part{Report: Report{Node: node, Count: 1, Wall: 1}, Rows: rows},
 		})
 	}
 	b.ReportAllocs()
@@ -78,9 +78,9 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		h.abandon([]write{w})
+		h.abandon([]pageWrite{w})
 		for _, x := range p.pending {
-			x.came = h.now()
+			x.arrived = h.now()
 		}
 	}
 }
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -90,7 +90,7 @@
 	if err := j.opens(); err != nil {
 		return err
 	}
-	leave, err := j.g.gate(j.pool).Admit(ctx, admit.Ask{Priority: j.priority, Customer: j.customer, Long: j.long, Deadline: j.deadline})
+	leave, err := j.g.gate(j.pool).Admit(ctx, admit.Request{Priority: j.priority, Customer: j.customer, Long: j.long, Deadline: j.deadline})
 	if err != nil {
 		return err
 	}
@@ -113,12 +113,12 @@
 			Verdict: e.Verdict(), Code: e.Code(), Attempt: j.attempts, Repeatable: j.repeatable,
 			Delivered: j.out.delivered(), Remaining: j.deadline.Sub(j.g.now()),
 		}
-		if ctx.Err() != nil || (e.Verdict() != verdict.NotRun && j.lone()) || !retry.Worth(f) || !j.g.retries.Spend(j.customer) || !j.out.reset() {
+		if ctx.Err() != nil || (e.Verdict() != verdict.NotRun && j.lone()) || !retry.ShouldRetry(f) || !j.g.retries.Spend(j.customer) || !j.out.reset() {
 			return err
 		}
 		j.g.metrics.retries.Inc(1)
 		select {
-		case <-time.After(retry.Pause(j.attempts, j.g.rng())):
+		case <-time.After(retry.Backoff(j.attempts, j.g.rng())):
 		case <-ctx.Done():
 			return err
 		}
@@ -141,7 +141,7 @@
 	if err := j.g.hook(ctx, step.Dispatch); err != nil {
 		return err
 	}
-	if !t.Lease.Wanted() {
+	if !t.Lease.StillValid() {
 		return verdict.New(verdict.NotRun, verdict.CodeStopping, "the endpoint takes no new work now")
 	}
 	if err := j.hold.Dispatch(); err != nil {
@@ -189,7 +189,7 @@
 // onNotice takes what the endpoint reports of itself in its answer.
 func (j *job) onNotice(t targets.Target) endpoint.OnNotice {
 	return func(w pool.Notice, status int) {
-		t.Lease.Said(w, pool.Answer{Request: j.id, Status: status})
+		t.Lease.ObserveNotice(w, pool.Answer{Request: j.id, Status: status})
 		if status < http.StatusMultipleChoices {
 			t.Lease.Accepted()
 		}
@@ -259,10 +259,10 @@
 func (j *job) judge(t targets.Target, err error) {
 	if err == nil {
 		if j.g.suspects.Suspects(j.customer) {
-			j.g.suspects.Well(j.asks())
+			j.g.suspects.RecordSuccess(j.asks())
 		}
 		t.Lease.Done(pool.EndGood)
-		t.Lease.Served(j.firstToken, j.slowestGap)
+		t.Lease.ObserveLatency(j.firstToken, j.slowestGap)
 		return
 	}
 	switch verdict.From(err).Code() {
--- a/internal/pool/pace.go
+++ b/internal/pool/pace.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	paceSmoothing = 0.2 // weight of one answer
-	slowSamples   = 5   // answers from which an endpoint may count as slow
+	paceSmoothing = 0.2 // weight of one response
+	slowSamples   = 5   // responses from which an endpoint may count as slow
 )
 
-// pace is how fast an endpoint has answered lately, in seconds; 0: not known.
+// pace is an endpoint's recent time to the first token and between tokens, in seconds; 0: unknown.
 type pace struct {
 	first, token float64
 	samples      int
 }
 
-func (p *pace) learn(first, token time.Duration) {
+func (p *pace) observe(first, token time.Duration) {
 	p.first = smooth(p.first, first.Seconds())
 	p.token = smooth(p.token, token.Seconds())
 	p.samples++
@@ -32,13 +32,13 @@
 	return old + paceSmoothing*(sample-old)
 }
 
-// Served notes, after its end, how long a whole answer took to its first token, and the longest between two. An endpoint that is far slower than the others of its
-// service gets no work for a while.
-func (s *Lease) Served(first, token time.Duration) {
+// ObserveLatency records, after the end of a complete response, the time to its first token and the longest time
+// between two tokens. An endpoint that is far slower than the others of its service gets no work for a while.
+func (s *Lease) ObserveLatency(first, token time.Duration) {
 	l, m := s.pool, s.member
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	m.pace.learn(first, token)
+	m.pace.observe(first, token)
 	if l.policy.SlowFactor <= 0 || m.pace.samples < slowSamples {
 		return
 	}
@@ -47,7 +47,7 @@
 	}
 }
 
-// medianFirst is the median time to a first token of a service's endpoints. The caller holds mu.
+// medianFirst is the median time to the first token of a service's endpoints. The caller holds mu.
 func (l *Pool) medianFirst(service string) float64 {
 	var ts []float64
 	for _, m := range l.services[service] {
