--- a/internal/relay/core.go
+++ b/internal/relay/core.go
@@ -163,7 +163,7 @@
 
 	tried       map[string]bool
 	attempts    int
-	dials       int
+	failedDials int
 	opening     pool.Opening // availability of endpoints as last queried
 	mayHaveRun  bool         // an endpoint may have run the request
 	headerSent  bool         // the response header has been sent to the caller
--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -54,8 +54,8 @@
 		case resultFailed:
 			failure = response
 		case resultUnsent:
-			j.dials++
-			if j.dials < maxDials && ctx.Err() == nil {
+			j.failedDials++
+			if j.failedDials < maxDials && ctx.Err() == nil {
 				continue
 			}
 		case resultNotRun, resultBroken, resultCallerLeft:
@@ -200,19 +200,19 @@
 	events := j.events
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	dog := j.watch(lease, cancel)
-	res, failure := j.exchange(ctx, lease, dog)
-	dog.stop()
-	if res == resultBroken && ctx.Err() != nil && !dog.stalled() {
+	wd := j.watch(lease, cancel)
+	res, failure := j.exchange(ctx, lease, wd)
+	wd.stop()
+	if res == resultBroken && ctx.Err() != nil && !wd.stalled() {
 		res = resultCallerLeft
 	}
-	if dog.stalled() {
+	if wd.stalled() {
 		j.core.Client.CloseIdle(lease.Endpoint().Addr) // other idle connections to it may be dead too
 	}
 	lease.Done(poolEnd(res))
 	j.outcome.Endpoints = append(j.outcome.Endpoints, AttemptOutcome{
 		Endpoint: lease.Endpoint().ID, Reason: string(lease.Reason()), SkipReason: string(lease.Kept()), Result: resultNames[res], At: began.Sub(j.req.Arrived),
-		ProcessExited: res == resultBroken && !dog.stalled() && j.recordExit(lease, began, j.events > events),
+		ProcessExited: res == resultBroken && !wd.stalled() && j.recordExit(lease, began, j.events > events),
 	})
 	return res, failure
 }
@@ -242,7 +242,7 @@
 }
 
 // exchange sends the request, reads the response header, and forwards the response if it is acceptable.
-func (j *job) exchange(ctx context.Context, lease *pool.Lease, watch *watchdog) (result, *failedResponse) {
+func (j *job) exchange(ctx context.Context, lease *pool.Lease, wd *watchdog) (result, *failedResponse) {
 	e := lease.Endpoint()
 	a := Attempt{Endpoint: e.ID, LastEventID: j.lastEventID}
 	if a.LastEventID == "" {
@@ -271,7 +271,7 @@
 		return resultBroken, nil
 	}
 	defer func() { _ = res.Body.Close() }()
-	watch.received()
+	wd.received()
 	reading := j.core.Dialect.Read(j.req, res)
 	if reading.Genuine || (reading.NotRun && !reading.Moved) {
 		lease.Said(reading.Notice, pool.Answer{Request: j.req.ID, Status: res.Status})
@@ -292,9 +292,9 @@
 	}
 	j.mayHaveRun = true
 	if j.isStream(res) {
-		return j.relayStream(res, watch, lease, sent), nil
+		return j.relayStream(res, wd, lease, sent), nil
 	}
-	return j.relayBuffered(res, watch)
+	return j.relayBuffered(res, wd)
 }
 
 // maxDrain limits how many bytes of an unneeded response are read so that its connection can be reused.
@@ -305,9 +305,9 @@
 
 // relayBuffered forwards a response that is not a stream. It returns a server error instead of forwarding it, because the
 // request may still be retried.
-func (j *job) relayBuffered(res *upstream.Response, watch *watchdog) (result, *failedResponse) {
+func (j *job) relayBuffered(res *upstream.Response, wd *watchdog) (result, *failedResponse) {
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxBuffered))
-	watch.received()
+	wd.received()
 	if err != nil {
 		return resultBroken, nil
 	}
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -35,7 +35,7 @@
 
 // relayStream forwards each event of a stream once it has arrived completely. sent is the time at which the request was
 // sent to the endpoint.
-func (j *job) relayStream(res *upstream.Response, watch *watchdog, lease *pool.Lease, sent time.Time) result {
+func (j *job) relayStream(res *upstream.Response, wd *watchdog, lease *pool.Lease, sent time.Time) result {
 	r := bufio.NewReader(res.Body)
 	var event []byte
 	for {
@@ -48,8 +48,8 @@
 		if err != nil {
 			return resultBroken
 		}
-		watch.received()
-		watch.noteFirstEvent()
+		wd.received()
+		wd.noteFirstEvent()
 		if j.lastEventAt.IsZero() {
 			lease.First(j.req.TokensIn, j.core.now().Sub(sent))
 		}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	mostAttempts = 4
-	firstPause   = 10 * time.Millisecond
-	longestPause = 500 * time.Millisecond
-	budgetShare  = 0.1 // retry tokens that each request adds to its customer's budget
-	budgetMost   = 10.0
+	maxAttempts      = 4
+	initialBackoff   = 10 * time.Millisecond
+	maxBackoff       = 500 * time.Millisecond
+	budgetPerRequest = 0.1 // retry tokens that each request adds to its customer's budget
+	maxBudget        = 10.0
 )
 
 // Failure describes a failed attempt, as input for ShouldRetry.
@@ -31,7 +31,7 @@
 // succeed, no request that must not be repeated can run twice, the caller has received no part of a response yet, and
 // there is time left.
 func ShouldRetry(f Failure) bool {
-	if f.Attempt >= mostAttempts || f.Delivered || f.Remaining <= firstPause {
+	if f.Attempt >= maxAttempts || f.Delivered || f.Remaining <= initialBackoff {
 		return false
 	}
 	switch f.Code {
@@ -44,7 +44,7 @@
 
 // Backoff returns the jittered time to wait before the next attempt. attempt is the number of the failed one, from 1.
 func Backoff(attempt int, r *rand.Rand) time.Duration {
-	d := min(firstPause<<min(attempt-1, 10), longestPause)
+	d := min(initialBackoff<<min(attempt-1, 10), maxBackoff)
 	return d/2 + time.Duration(r.Int64N(int64(d/2)+1))
 }
 
@@ -63,9 +63,9 @@
 	defer b.mu.Unlock()
 	t, ok := b.tokens[customer]
 	if !ok {
-		t = budgetMost
+		t = maxBudget
 	}
-	b.tokens[customer] = min(budgetMost, t+budgetShare)
+	b.tokens[customer] = min(maxBudget, t+budgetPerRequest)
 }
 
 // Spend takes one retry from a customer's budget. It returns false if the budget is exhausted.
@@ -74,7 +74,7 @@
 	defer b.mu.Unlock()
 	t, ok := b.tokens[customer]
 	if !ok {
-		t = budgetMost
+		t = maxBudget
 	}
 	if t < 1 {
 		return false
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -9,7 +9,7 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-func TestWorth(t *testing.T) {
+func TestShouldRetry(t *testing.T) {
 	base := Failure{Verdict: verdict.NotRun, Code: verdict.CodeEndpointRefused, Attempt: 1, Remaining: time.Minute}
 	cases := []struct {
 		name string
@@ -22,7 +22,7 @@
 		{"the caller has received a part", func(f *Failure) { f.Repeatable, f.Delivered = true, true }, false},
 		{"the budget is exhausted", func(f *Failure) { f.Code = verdict.CodeBudgetExhausted }, false},
 		{"no time left", func(f *Failure) { f.Remaining = 0 }, false},
-		{"no attempts remain", func(f *Failure) { f.Attempt = mostAttempts }, false},
+		{"no attempts remain", func(f *Failure) { f.Attempt = maxAttempts }, false},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
@@ -44,6 +44,6 @@
 				retries++
 			}
 		}
-		So(retries, ShouldBeLessThanOrEqualTo, requests/10+int(budgetMost)+1)
+		So(retries, ShouldBeLessThanOrEqualTo, requests/10+int(maxBudget)+1)
 	})
 }
--- a/internal/retry/shared.go
+++ b/internal/retry/shared.go
@@ -26,12 +26,12 @@
 type slice struct {
 	number   int64 // counts slices from the clock's zero
 	requests int
-	repeats  int
+	retries  int
 }
 
 const (
 	usageSlices  = 20
-	sharedMargin = 0.85 // part of the budget that is used: instances start and stop, and their windows are not aligned
+	budgetMargin = 0.85 // part of the budget that is used: instances start and stop, and their windows are not aligned
 )
 
 // NewFleetBudget returns a FleetBudget. fleet returns the number of instances that share it.
@@ -39,8 +39,8 @@
 	return &FleetBudget{ratio: ratio, slack: float64(slack), window: window, fleet: fleet, now: now, services: make(map[string]*usage)}
 }
 
-// at returns a service's usage, its current slice and the slice's number. The caller holds mu.
-func (s *FleetBudget) at(service string) (*usage, *slice, int64) {
+// current returns a service's usage, its current slice and the slice's number. The caller holds mu.
+func (s *FleetBudget) current(service string) (*usage, *slice, int64) {
 	u := s.services[service]
 	if u == nil {
 		u = &usage{}
@@ -58,7 +58,7 @@
 func (s *FleetBudget) CountRequest(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, sl, _ := s.at(service)
+	_, sl, _ := s.current(service)
 	sl.requests++
 }
 
@@ -66,18 +66,18 @@
 func (s *FleetBudget) Take(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	u, sl, number := s.at(service)
-	requests, repeats := 0, 0
+	u, sl, number := s.current(service)
+	requests, retries := 0, 0
 	for _, x := range u.slices {
 		if number-x.number < usageSlices {
 			requests += x.requests
-			repeats += x.repeats
+			retries += x.retries
 		}
 	}
-	allowed := sharedMargin * (s.ratio*float64(requests) + s.slack/float64(max(1, s.fleet())))
-	if float64(repeats+1) > allowed {
+	allowed := budgetMargin * (s.ratio*float64(requests) + s.slack/float64(max(1, s.fleet())))
+	if float64(retries+1) > allowed {
 		return false
 	}
-	sl.repeats++
+	sl.retries++
 	return true
 }
--- a/internal/retry/shared_test.go
+++ b/internal/retry/shared_test.go
@@ -7,7 +7,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestShared(t *testing.T) {
+func TestFleetBudget(t *testing.T) {
 	Convey("A retry budget shared by four instances", t, func() {
 		now := time.Unix(1000, 0)
 		s := NewFleetBudget(0.2, 40, 10*time.Second, func() int { return 4 }, func() time.Time { return now })
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -97,13 +97,13 @@
 	case r.Regions == nil:
 		return c.Regions
 	}
-	both := make([]string, 0, len(r.Regions))
+	allowed := make([]string, 0, len(r.Regions))
 	for _, region := range r.Regions {
 		if slices.Contains(c.Regions, region) {
-			both = append(both, region)
+			allowed = append(allowed, region)
 		}
 	}
-	return both
+	return allowed
 }
 
 // Config is one version of the routing configuration.
@@ -252,13 +252,13 @@
 	return c, ok
 }
 
-// Choose picks a service of the split by weight. at is a random number in [0, 1).
-func (r *Route) Choose(at float64) string {
+// Choose picks a service of the split by weight. random is a number in [0, 1).
+func (r *Route) Choose(random float64) string {
 	total := 0
 	for _, s := range r.Split {
 		total += max(0, s.Weight)
 	}
-	left := int(at * float64(total))
+	left := int(random * float64(total))
 	for _, s := range r.Split {
 		left -= max(0, s.Weight)
 		if left < 0 {
