--- a/internal/bench/store.go
+++ b/internal/bench/store.go
@@ -80,8 +80,8 @@
 		return nil, err
 	}
 	times := budget.DefaultTimes()
-	times.Flush, times.Beat = storeFlush, storeBeat
-	times.Dead = time.Hour // nobody dies here
+	times.Flush, times.RefreshInterval = storeFlush, storeBeat
+	times.DeadTimeout = time.Hour // nobody dies here
 	for z := range zones {
 		peers := peersOf(fmt.Sprintf("z%02d", z), perZone)
 		s.zones = append(s.zones, peers)
--- a/internal/budget/client.go
+++ b/internal/budget/client.go
@@ -166,8 +166,8 @@
 	return member.Rank(PageKey(page), ranked)
 }
 
-// Ask is what a serving instance asks for.
-type Ask struct {
+// ReserveParams is what a serving instance asks for.
+type ReserveParams struct {
 	Request  string
 	Budget   string
 	Customer string
@@ -177,7 +177,7 @@
 }
 
 // Reserve holds tokens at the budget's home. Its errors are NotRun. If the outcome is not Granted there is no Hold.
-func (c *Client) Reserve(ctx context.Context, a Ask) (*Hold, ReserveResp, error) {
+func (c *Client) Reserve(ctx context.Context, a ReserveParams) (*Hold, ReserveResp, error) {
 	self := c.members.Self()
 	homes := Homes(a.Budget, c.members.Zone(), self.ID)
 	if len(homes) == 0 {
@@ -214,11 +214,11 @@
 }
 
 // TakeOver makes this instance the owner of a reservation that a missing instance has at the holder at addr.
-func (c *Client) TakeOver(ctx context.Context, addr string, a Ask) (*Hold, ReserveResp, error) {
+func (c *Client) TakeOver(ctx context.Context, addr string, a ReserveParams) (*Hold, ReserveResp, error) {
 	return c.reserveAt(ctx, addr, a, true)
 }
 
-func (c *Client) reserveAt(ctx context.Context, addr string, a Ask, takeover bool) (*Hold, ReserveResp, error) {
+func (c *Client) reserveAt(ctx context.Context, addr string, a ReserveParams, takeover bool) (*Hold, ReserveResp, error) {
 	h := &Hold{
 		c: c, request: a.Request, budget: a.Budget, customer: a.Customer, tokens: a.Tokens, keyed: a.Keyed,
 		place: a.Place, asked: c.now(), addr: addr,
@@ -235,7 +235,7 @@
 		}
 		return nil, ReserveResp{}, err
 	}
-	resp.At = addr
+	resp.HolderAddr = addr
 	if resp.Outcome != Granted {
 		return nil, resp, nil
 	}
@@ -275,8 +275,8 @@
 // Tokens is the most that may be charged.
 func (h *Hold) Tokens() int64 { return h.tokens }
 
-// Home is the address of the holder.
-func (h *Hold) Home() string {
+// HolderAddr is the address of the holder.
+func (h *Hold) HolderAddr() string {
 	h.c.mu.Lock()
 	defer h.c.mu.Unlock()
 	return h.addr
@@ -311,7 +311,7 @@
 
 // Move tells the holder that the request goes to another place. It must succeed before the request is sent there.
 func (h *Hold) Move(ctx context.Context, p Place) error {
-	addr := h.Home()
+	addr := h.HolderAddr()
 	req := UpdateReq{Request: h.request, Budget: h.budget, Place: p}
 	if _, err := mesh.Call[UpdateReq, mesh.Empty](ctx, h.c.caller, addr, KindUpdate, req); err != nil {
 		return eris.Wrap(err, "moving the reservation")
--- a/internal/budget/client_sync.go
+++ b/internal/budget/client_sync.go
@@ -67,7 +67,7 @@
 				w.req.Pending = append(w.req.Pending, h.request)
 			}
 			if h.unsure {
-				w.req.Unsure = append(w.req.Unsure, h.request)
+				w.req.Unconfirmed = append(w.req.Unconfirmed, h.request)
 			}
 		}
 	}
--- a/internal/budget/draw.go
+++ b/internal/budget/draw.go
@@ -41,7 +41,7 @@
 	if a.busy != nil || now.Before(a.blocked) {
 		return false
 	}
-	return float64(a.available()) < share*float64(Full(a.rateNow(now), a.usual, h.times.Horizon))
+	return float64(a.available()) < share*float64(TargetGrant(a.rateNow(now), a.usual, h.times.Horizon))
 }
 
 // drawing is one account's part of a draw.
@@ -140,7 +140,7 @@
 		h.stats.Draws++
 	case d.need > 0:
 		a.denied = d.err
-		a.blocked = now.Add(h.times.Denied)
+		a.blocked = now.Add(h.times.DrawBackoff)
 	default:
 		a.blocked = now.Add(topUpPause) // a draw ahead of need failed; nobody is refused for it
 		a.denied = nil
@@ -337,7 +337,7 @@
 	if !ok {
 		holders++
 	}
-	size := h.size(Demand{Usual: a.usual, Need: missing, Rate: a.rateNow(now), Held: held + surplus, Free: row.Free(), Holders: holders})
+	size := h.size(Demand{TypicalSize: a.usual, Need: missing, Rate: a.rateNow(now), Available: held + surplus, Free: row.Free(), Holders: holders})
 	if need > 0 && a.granted == 0 {
 		burst := max(need*burstFactor, row.Free()/burstShare)
 		size = max(size, min(burst, row.Free()/int64(2*holders)))
@@ -360,7 +360,7 @@
 	}
 	d.a.granted = d.grant.Granted
 	d.a.customer = d.customer
-	h.book.Written(d.a.budget, d.grant.Settled)
+	h.book.PageWritten(d.a.budget, d.grant.Settled)
 	return nil
 }
 
@@ -460,6 +460,6 @@
 		return 0, err
 	}
 	h.stats.Returns++
-	h.book.Written(a.budget, stored)
+	h.book.PageWritten(a.budget, stored)
 	return n, nil
 }
--- a/internal/budget/home.go
+++ b/internal/budget/home.go
@@ -39,34 +39,34 @@
 
 // Times are the intervals of a holder.
 type Times struct {
-	Tick     time.Duration // how often the holder looks after its accounts
-	Flush    time.Duration // longest time a charge waits for the store
-	Beat     time.Duration // longest time between two writes of the journal
-	Horizon  time.Duration // how long an outage of the store the escrow should last
-	Idle     time.Duration // unused escrow goes back after this time
-	Orphan   time.Duration // a reservation whose owner is missing this long is resolved; longer than the clients' DefaultMaxHold
-	Dead     time.Duration // a holder that is missing this long is reclaimed
-	Denied   time.Duration // how long a failed draw is remembered
-	KeepDone time.Duration // how long settled keyed requests are remembered
+	Tick            time.Duration // how often the holder looks after its accounts
+	Flush           time.Duration // longest time a charge waits for the store
+	RefreshInterval time.Duration // longest time between two writes of the journal
+	Horizon         time.Duration // how long an outage of the store the escrow should last
+	Idle            time.Duration // unused escrow goes back after this time
+	OrphanTimeout   time.Duration // a reservation whose owner is missing this long is resolved; longer than the clients' DefaultMaxHold
+	DeadTimeout     time.Duration // a holder that is missing this long is reclaimed
+	DrawBackoff     time.Duration // how long a failed draw is remembered
+	DoneRetention   time.Duration // how long settled keyed requests are remembered
 }
 
 // DefaultTimes suit an ordinary fleet.
 func DefaultTimes() Times {
 	return Times{
-		Tick:     250 * time.Millisecond,
-		Flush:    time.Second,
-		Beat:     5 * time.Second,
-		Horizon:  10 * time.Minute,
-		Idle:     time.Hour,
-		Orphan:   12 * time.Second,
-		Dead:     12 * time.Second,
-		Denied:   300 * time.Millisecond,
-		KeepDone: 15 * time.Minute,
+		Tick:            250 * time.Millisecond,
+		Flush:           time.Second,
+		RefreshInterval: 5 * time.Second,
+		Horizon:         10 * time.Minute,
+		Idle:            time.Hour,
+		OrphanTimeout:   12 * time.Second,
+		DeadTimeout:     12 * time.Second,
+		DrawBackoff:     300 * time.Millisecond,
+		DoneRetention:   15 * time.Minute,
 	}
 }
 
-// Billed is notified of every charge that has become durable.
-type Billed func(c ledger.Charge)
+// BilledFunc is notified of every charge that has become durable.
+type BilledFunc func(c ledger.Charge)
 
 // Home is the holder: the part of an instance that owns escrow and answers reservations of its zone.
 type Home struct {
@@ -79,7 +79,7 @@
 	now      func() time.Time
 	hook     step.Hook
 	log      zerolog.Logger
-	billed   Billed
+	billed   BilledFunc
 	keyCheck KeyCheck
 
 	// flushing lets one write of the journal go at a time. Whoever waits for it, waits no longer than its caller does.
@@ -146,8 +146,8 @@
 // WithLogger sets the logger.
 func WithLogger(log zerolog.Logger) HomeOption { return func(h *Home) { h.log = log } }
 
-// WithBilled sets the receiver of durable charges.
-func WithBilled(b Billed) HomeOption { return func(h *Home) { h.billed = b } }
+// OnBilled sets the receiver of durable charges.
+func OnBilled(b BilledFunc) HomeOption { return func(h *Home) { h.billed = b } }
 
 // NewHome makes a holder and registers its messages.
 func NewHome(store external.Store, members Members, caller mesh.Caller, router *mesh.Router, stopper Stopper, opts ...HomeOption) *Home {
@@ -455,7 +455,7 @@
 			resp.Flushed = append(resp.Flushed, id)
 		}
 	}
-	for _, id := range req.Unsure {
+	for _, id := range req.Unconfirmed {
 		if h.isOpen(id) {
 			resp.Known = append(resp.Known, id)
 		}
--- a/internal/budget/inspect.go
+++ b/internal/budget/inspect.go
@@ -88,8 +88,8 @@
 	return v
 }
 
-// HoldView is a dead holder whose escrow is held, and who still has to report.
-type HoldView struct {
+// FencedHolderView is a dead holder whose escrow is held, and who still has to report.
+type FencedHolderView struct {
 	Holder    string   `json:"holder"`
 	Zone      string   `json:"zone"`
 	Successor string   `json:"successor"`
@@ -97,14 +97,14 @@
 	Held      int64    `json:"held_tokens"` // unspent escrow on all its budgets
 }
 
-// Holds lists the dead holders whose escrow has not been released.
-func Holds(ctx context.Context, store external.Store) ([]HoldView, error) {
+// FencedHolders lists the dead holders whose escrow has not been released.
+func FencedHolders(ctx context.Context, store external.Store) ([]FencedHolderView, error) {
 	ctx = external.WithDuty(ctx, external.DutyAudit)
 	js, err := Journals(ctx, store)
 	if err != nil {
 		return nil, err
 	}
-	out := []HoldView{}
+	out := []FencedHolderView{}
 	for _, j := range js {
 		if j.Fenced == "" {
 			continue
@@ -113,7 +113,7 @@
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, HoldView{Holder: j.Holder, Zone: j.Zone, Successor: j.Fenced, Clients: j.Clients, Held: held})
+		out = append(out, FencedHolderView{Holder: j.Holder, Zone: j.Zone, Successor: j.Fenced, Clients: j.Clients, Held: held})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Holder < out[j].Holder })
 	return out, nil
--- a/internal/budget/messages.go
+++ b/internal/budget/messages.go
@@ -48,8 +48,8 @@
 	Owner   string  `cbor:"4,keyasint,omitempty"`
 	Place   Place   `cbor:"5,keyasint"`
 
-	// At is the holder's address; the client fills it in.
-	At string `cbor:"-"`
+	// HolderAddr is the holder's address; the client fills it in.
+	HolderAddr string `cbor:"-"`
 }
 
 // UpdateReq moves an open reservation to another endpoint, attempt or run.
@@ -70,10 +70,10 @@
 
 // SyncReq asks which charges have reached the store, and confirms those that the client has forgotten.
 type SyncReq struct {
-	Holder  string   `cbor:"1,keyasint"`
-	Pending []string `cbor:"2,keyasint"` // settled requests
-	Unsure  []string `cbor:"3,keyasint"` // open requests that a successor may not have taken over yet
-	Confirm []string `cbor:"4,keyasint"`
+	Holder      string   `cbor:"1,keyasint"`
+	Pending     []string `cbor:"2,keyasint"` // settled requests
+	Unconfirmed []string `cbor:"3,keyasint"` // open requests that a successor may not have taken over yet
+	Confirm     []string `cbor:"4,keyasint"`
 }
 
 // SyncResp answers a SyncReq.
--- a/internal/budget/orphan.go
+++ b/internal/budget/orphan.go
@@ -86,7 +86,7 @@
 	if r.orphan.IsZero() {
 		r.orphan = now
 	}
-	return now.Sub(r.orphan) >= h.times.Orphan
+	return now.Sub(r.orphan) >= h.times.OrphanTimeout
 }
 
 func (h *Home) postpone(o orphan) {
--- a/internal/budget/property_test.go
+++ b/internal/budget/property_test.go
@@ -200,7 +200,7 @@
 }
 
 func (m *model) check(t *rapid.T) {
-	if !m.row.Sound() {
+	if !m.row.Valid() {
 		t.Fatalf("granted and spent exceed what was deposited: %+v", m.row)
 	}
 	var spent int64
@@ -254,7 +254,7 @@
 			"close":   func(t *rapid.T) { _ = r.Close(holder.Draw(t, "h"), amount.Draw(t, "n")) },
 			"reclaim": func(t *rapid.T) { _ = r.Reclaim("h1", "h2", amount.Draw(t, "s"), amount.Draw(t, "o"), seq) },
 			"": func(t *rapid.T) {
-				if !r.Sound() {
+				if !r.Valid() {
 					t.Fatalf("not sound: %+v", r)
 				}
 			},
--- a/internal/budget/reclaim.go
+++ b/internal/budget/reclaim.go
@@ -38,7 +38,7 @@
 func (h *Home) reclaimDue(ctx context.Context) {
 	now := h.now()
 	h.mu.Lock()
-	due := now.Sub(h.sweptAt) >= h.times.Dead/sweepFactor
+	due := now.Sub(h.sweptAt) >= h.times.DeadTimeout/sweepFactor
 	if due {
 		h.sweptAt = now
 	}
@@ -102,7 +102,7 @@
 	if InstanceOf(j.Holder) == h.members.Self().Who() {
 		return true // an earlier incarnation of this very instance
 	}
-	return !h.members.Alive(InstanceOf(j.Holder)) && now.Sub(f.unchanged) >= h.times.Dead
+	return !h.members.Alive(InstanceOf(j.Holder)) && now.Sub(f.unchanged) >= h.times.DeadTimeout
 }
 
 // Reclaim takes over a dead holder: fence its journal, collect the reports of all its clients, move its grants.
--- a/internal/budget/row.go
+++ b/internal/budget/row.go
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// Sound reports whether the invariant holds.
-func (r *Row) Sound() bool {
+// Valid reports whether the invariant holds.
+func (r *Row) Valid() bool {
 	for _, g := range r.Grants {
 		if g.Granted < 0 || g.Settled < 0 || g.Settled > g.Granted {
 			return false
--- a/internal/budget/sizing.go
+++ b/internal/budget/sizing.go
@@ -4,12 +4,12 @@
 
 // Demand is what a holder knows when it decides how much to draw. Amounts are tokens.
 type Demand struct {
-	Usual   int64   // size of the larger reservations lately
-	Need    int64   // what the waiting reservations lack
-	Rate    float64 // tokens a second spent through this holder lately
-	Held    int64   // what the holder already has unspent and unreserved
-	Free    int64   // what the row can still grant
-	Holders int     // holders on the row, this one among them
+	TypicalSize int64   // size of the larger reservations lately
+	Need        int64   // what the waiting reservations lack
+	Rate        float64 // tokens a second spent through this holder lately
+	Available   int64   // what the holder already has unspent and unreserved
+	Free        int64   // what the row can still grant
+	Holders     int     // holders on the row, this one among them
 }
 
 // SizePolicy decides how much to draw. A result below Need means that the need cannot be met.
@@ -24,9 +24,9 @@
 		if d.Need > d.Free {
 			return 0
 		}
-		full := Full(d.Rate, d.Usual, horizon)
+		full := TargetGrant(d.Rate, d.TypicalSize, horizon)
 		share := d.Free / int64(2*max(d.Holders, 1))
-		size := min(full-d.Held, share)
+		size := min(full-d.Available, share)
 		if d.Need == 0 && size < full/smallestTopUp {
 			return 0 // too little to be worth a write
 		}
@@ -50,7 +50,7 @@
 // EvenSplit gives each of n holders an equal part of the deposit at its first draw and nothing later. It is a baseline.
 func EvenSplit(n int) SizePolicy {
 	return func(d Demand) int64 {
-		if d.Held > 0 || d.Rate > 0 {
+		if d.Available > 0 || d.Rate > 0 {
 			return 0
 		}
 		left := max(n-d.Holders+1, 1)
@@ -70,7 +70,7 @@
 	usualTimes = 8 // a full grant covers at least this many usual reservations
 )
 
-// Full is how much a holder wants to have in hand: the horizon's use, or some usual reservations if that is more.
-func Full(rate float64, usual int64, horizon time.Duration) int64 {
+// TargetGrant is how much a holder wants to have in hand: the horizon's use, or some usual reservations if that is more.
+func TargetGrant(rate float64, usual int64, horizon time.Duration) int64 {
 	return max(int64(rate*horizon.Seconds()), usualTimes*usual)
 }
--- a/internal/budget/tick.go
+++ b/internal/budget/tick.go
@@ -42,7 +42,7 @@
 	if !j.dirty.IsZero() && now.Sub(j.dirty) >= h.times.Flush {
 		return true
 	}
-	return j.rev > 0 && now.Sub(j.written) >= h.times.Beat
+	return j.rev > 0 && now.Sub(j.written) >= h.times.RefreshInterval
 }
 
 func (h *Home) forgetDone() {
@@ -50,10 +50,10 @@
 	defer h.mu.Unlock()
 	now := h.now()
 	for _, a := range h.accounts {
-		a.forget(now, h.times.KeepDone)
+		a.forget(now, h.times.DoneRetention)
 	}
 	for run, at := range h.given {
-		if now.Sub(at) > h.times.KeepDone {
+		if now.Sub(at) > h.times.DoneRetention {
 			delete(h.given, run)
 		}
 	}
@@ -99,7 +99,7 @@
 // closeGrant folds a fully spent grant into the row. It does nothing while the journal may still carry its total.
 func (h *Home) closeGrant(ctx context.Context, a *account) error {
 	h.mu.Lock()
-	if a.busy != nil || len(a.open) > 0 || a.available() != 0 || a.stored != a.settled || h.book.Mentions(a.budget) {
+	if a.busy != nil || len(a.open) > 0 || a.available() != 0 || a.stored != a.settled || h.book.References(a.budget) {
 		h.mu.Unlock()
 		return nil
 	}
@@ -241,8 +241,8 @@
 	return eris.Wrapf(last, "deleting %s", key)
 }
 
-// Held is what an operator sees of a holder's account. Amounts are tokens.
-type Held struct {
+// AccountView is what an operator sees of a holder's account. Amounts are tokens.
+type AccountView struct {
 	Budget   string  `json:"budget"`
 	Granted  int64   `json:"granted"`
 	Settled  int64   `json:"settled"`
@@ -252,13 +252,13 @@
 }
 
 // Accounts lists the accounts of this holder.
-func (h *Home) Accounts() []Held {
+func (h *Home) Accounts() []AccountView {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
-	out := make([]Held, 0, len(h.accounts))
+	out := make([]AccountView, 0, len(h.accounts))
 	for _, a := range h.accounts {
-		out = append(out, Held{
+		out = append(out, AccountView{
 			Budget: a.budget, Granted: a.granted, Settled: a.settled, Reserved: a.reserved, Open: len(a.open), Rate: a.rateNow(now),
 		})
 	}
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -185,7 +185,7 @@
 		instance.WithPlatformTransport(&braked{b: b, platform: true, next: &http.Transport{MaxIdleConnsPerHost: 16}}),
 		instance.WithEndpointTransport(&braked{b: b, next: endpoint.NewTransport()}),
 		instance.WithIntervals(beatEvery, listEvery, pollEvery), instance.WithBilled(f.billed),
-		instance.WithMaxHold(maxHold), instance.WithKeysOptions(once.WithSettling(keysTick, keysSettling)), instance.WithBudgetTimes(func(t *budget.Times) { t.Tick = 50 * time.Millisecond }))
+		instance.WithMaxHold(maxHold), instance.WithKeysOptions(once.WithSettleTime(keysTick, keysSettling)), instance.WithBudgetTimes(func(t *budget.Times) { t.Tick = 50 * time.Millisecond }))
 	if err != nil {
 		return eris.Wrapf(err, "starting instance %s", id)
 	}
--- a/internal/gateway/attach.go
+++ b/internal/gateway/attach.go
@@ -79,7 +79,7 @@
 
 func (g *Gateway) startKeyed(ctx context.Context, j *job) error {
 	resp, err := g.keys.Begin(ctx, j.customer, j.record(budget.Place{}, false, 0))
-	if errors.Is(err, once.ErrNoHome) {
+	if errors.Is(err, once.ErrHomeUnreachable) {
 		j.provisional = true
 		g.detach(ctx, j.run)
 		return nil
@@ -160,7 +160,7 @@
 
 // takeOver continues a request whose serving instance is gone: same reservation, same run at the endpoint.
 func (g *Gateway) takeOver(ctx context.Context, j *job, rec once.Record) {
-	now, err := g.keys.Take(ctx, j.customer, rec)
+	now, err := g.keys.TakeOver(ctx, j.customer, rec)
 	if err != nil || now.Owner.Who() != g.members.Self().Who() {
 		g.endJoined(j, verdict.New(verdict.MayHaveRun, verdict.CodeConflict, "the request is being taken over elsewhere",
 			verdict.WithRetryAfter(time.Second), verdict.WithCause(err)))
@@ -175,7 +175,7 @@
 }
 
 func (g *Gateway) continueRun(ctx context.Context, j *job, rec once.Record) error {
-	hold, resp, err := g.budgets.TakeOver(ctx, rec.Home, budget.Ask{
+	hold, resp, err := g.budgets.TakeOver(ctx, rec.HolderAddr, budget.ReserveParams{
 		Request: j.id, Budget: j.budget, Customer: j.customer, Tokens: j.tokens, Place: rec.Place, Keyed: true,
 	})
 	if err != nil {
--- a/internal/gateway/deferred.go
+++ b/internal/gateway/deferred.go
@@ -58,7 +58,7 @@
 	}
 	rec := resp.Record
 	if !resp.New {
-		if rec, err = g.keys.TakeUnbilled(ctx, d.j.customer, rec); err != nil {
+		if rec, err = g.keys.TakeOverUnbilled(ctx, d.j.customer, rec); err != nil {
 			return false
 		}
 	}
@@ -66,7 +66,7 @@
 	// This very instance may have billed another run: that of an orphan whose escrow it holds.
 	billedOther := rec.Done && rec.Tokens > 0 && rec.Place.Run != place.Run
 	if resp.New || (rec.Owner.Who() == self && !billedOther) {
-		_, _ = g.keys.Note(ctx, d.j.customer, d.j.record(place, true, d.used))
+		_, _ = g.keys.Update(ctx, d.j.customer, d.j.record(place, true, d.used))
 		d.j.hold.Settle(d.used)
 		return true
 	}
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -375,7 +375,7 @@
 		return
 	}
 	if !j.provisional && j.hold != nil {
-		_, _ = j.g.keys.Note(c, j.customer, j.record(j.hold.Place(), true, used))
+		_, _ = j.g.keys.Update(c, j.customer, j.record(j.hold.Place(), true, used))
 	}
 }
 
--- a/internal/gateway/secure.go
+++ b/internal/gateway/secure.go
@@ -37,7 +37,7 @@
 		return err
 	}
 	if resp.Outcome == budget.Existing && j.formerOwner != "" && resp.Owner == j.formerOwner {
-		return j.inherit(ctx, resp.At, place)
+		return j.inherit(ctx, resp.HolderAddr, place)
 	}
 	if resp.Outcome != budget.Granted {
 		return j.occupied(resp)
@@ -54,7 +54,7 @@
 // askBudget reserves. A reservation that an earlier attempt of the same request left behind, when it was refused as not
 // run, goes away within moments: it is waited for.
 func (j *job) askBudget(ctx context.Context, place budget.Place) (h *budget.Hold, resp budget.ReserveResp, err error) {
-	ask := budget.Ask{
+	ask := budget.ReserveParams{
 		Request: j.id, Budget: j.budget, Customer: j.customer, Tokens: j.tokens, Place: place, Keyed: j.keyed(),
 	}
 	for range leftoverTries {
@@ -83,7 +83,7 @@
 
 // inherit makes the former owner's reservation this job's. The former owner never dispatched it, and may not any more.
 func (j *job) inherit(ctx context.Context, at string, place budget.Place) error {
-	h, resp, err := j.g.budgets.TakeOver(ctx, at, budget.Ask{
+	h, resp, err := j.g.budgets.TakeOver(ctx, at, budget.ReserveParams{
 		Request: j.id, Budget: j.budget, Customer: j.customer, Tokens: j.tokens, Place: place, Keyed: true,
 	})
 	if err != nil {
@@ -103,7 +103,7 @@
 	if err := j.g.hook(ctx, step.Claim); err != nil {
 		return err
 	}
-	if err := j.g.claims.Make(ctx, j.id, place.Run); err != nil {
+	if err := j.g.claims.Acquire(ctx, j.id, place.Run); err != nil {
 		return err
 	}
 	j.claimed, j.claimRun = true, place.Run
@@ -115,7 +115,7 @@
 	if j.provisional {
 		return nil
 	}
-	owner, err := j.g.keys.Note(ctx, j.customer, j.record(place, false, 0))
+	owner, err := j.g.keys.Update(ctx, j.customer, j.record(place, false, 0))
 	if err != nil {
 		j.provisional = true
 		return nil //nolint:nilerr // the request is settled only once the home has been asked
@@ -132,7 +132,7 @@
 		Request: j.id, Fingerprint: j.fingerprint, Owner: j.g.members.Self(), Place: place, Done: done, Tokens: tokens,
 	}
 	if j.hold != nil {
-		rec.Home = j.hold.Home()
+		rec.HolderAddr = j.hold.HolderAddr()
 	}
 	return rec
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -65,7 +65,7 @@
 }
 
 type options struct {
-	billed    budget.Billed
+	billed    budget.BilledFunc
 	outcomes  func(gateway.Outcome)
 	meshTo    func(addr string) bool
 	meshFrom  mesh.Gate
@@ -90,7 +90,7 @@
 func WithLogger(log zerolog.Logger) Option { return func(in *Instance) { in.log = log } }
 
 // WithBilled sets the receiver of durable charges.
-func WithBilled(b budget.Billed) Option { return func(in *Instance) { in.opts.billed = b } }
+func WithBilled(b budget.BilledFunc) Option { return func(in *Instance) { in.opts.billed = b } }
 
 // WithGate cuts links to and from other instances.
 func WithGate(to func(addr string) bool, from mesh.Gate) Option {
@@ -237,11 +237,11 @@
 func (in *Instance) buildBudget() error {
 	times := budget.DefaultTimes()
 	b := in.set.Budget
-	times.Flush, times.Beat, times.Horizon = b.Flush, b.Beat, b.Horizon
-	times.Idle, times.Dead, times.Orphan = b.Idle, b.Dead, b.Orphan
+	times.Flush, times.RefreshInterval, times.Horizon = b.Flush, b.Beat, b.Horizon
+	times.Idle, times.DeadTimeout, times.OrphanTimeout = b.Idle, b.Dead, b.Orphan
 	in.opts.times(&times)
 	opts := []budget.HomeOption{
-		budget.WithTimes(times), budget.WithHook(in.hook), budget.WithLogger(in.log), budget.WithBilled(in.opts.billed),
+		budget.WithTimes(times), budget.WithHook(in.hook), budget.WithLogger(in.log), budget.OnBilled(in.opts.billed),
 		budget.WithKeyCheck(func(ctx context.Context, customer, request string, place budget.Place, tokens int64) (bill, sure bool) {
 			return in.keys.BillOrphan(ctx, customer, request, place, tokens)
 		}),
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -99,15 +99,15 @@
 	}
 }
 
-// Written forgets a budget's total once the page carries it.
-func (b *Book) Written(budget string, total int64) {
+// PageWritten forgets a budget's total once the page carries it.
+func (b *Book) PageWritten(budget string, total int64) {
 	if b.settled[budget] == total && b.waiting[budget] == 0 {
 		delete(b.settled, budget)
 	}
 }
 
-// Mentions reports whether the next journal will carry anything of a budget.
-func (b *Book) Mentions(budget string) bool {
+// References reports whether the next journal will carry anything of a budget.
+func (b *Book) References(budget string) bool {
 	_, ok := b.settled[budget]
 	return ok || b.written[budget]
 }
--- a/internal/matrix/cell_test.go
+++ b/internal/matrix/cell_test.go
@@ -144,7 +144,7 @@
 	case step.Reclaim:
 		c.awaitSettled()
 		c.w.homeOf(serving(c)).crash()
-		for range 3 * int(testTimes.Dead/time.Second) {
+		for range 3 * int(testTimes.DeadTimeout/time.Second) {
 			c.w.clock.Advance(time.Second)
 			time.Sleep(5 * time.Millisecond)
 		}
--- a/internal/matrix/world_test.go
+++ b/internal/matrix/world_test.go
@@ -64,8 +64,8 @@
 }
 
 var testTimes = budget.Times{
-	Tick: time.Millisecond, Flush: 0, Beat: time.Second, Horizon: time.Minute, Idle: time.Hour, Orphan: 10 * time.Second,
-	Dead: 4 * time.Second, Denied: 10 * time.Millisecond, KeepDone: time.Hour,
+	Tick: time.Millisecond, Flush: 0, RefreshInterval: time.Second, Horizon: time.Minute, Idle: time.Hour, OrphanTimeout: 10 * time.Second,
+	DeadTimeout: 4 * time.Second, DrawBackoff: 10 * time.Millisecond, DoneRetention: time.Hour,
 }
 
 func newWorld(t *testing.T) *world { return newWorldWith(t, func(*world) {}) }
--- a/internal/once/claims.go
+++ b/internal/once/claims.go
@@ -48,14 +48,14 @@
 	return &Claims{store: store, self: self, now: now}
 }
 
-// Make claims a request for a run. Its errors are NotRun, but for CodeClaimTaken: another run may have run.
+// Acquire claims a request for a run. Its errors are NotRun, but for CodeClaimTaken: another run may have run.
 //
 // For a moment after a claim could not be made, others are refused at once: the store is asked again later.
-func (c *Claims) Make(ctx context.Context, request, run string) error {
+func (c *Claims) Acquire(ctx context.Context, request, run string) error {
 	if c.failing() {
 		return unclaimed(external.ErrUnavailable)
 	}
-	err := c.make(ctx, request, run)
+	err := c.acquire(ctx, request, run)
 	if err != nil && verdict.From(err).Code() == verdict.CodeClaimUnavailable {
 		c.mu.Lock()
 		c.failed = c.now()
@@ -70,7 +70,7 @@
 	return !c.failed.IsZero() && c.now().Sub(c.failed) < failPause
 }
 
-func (c *Claims) make(ctx context.Context, request, run string) error {
+func (c *Claims) acquire(ctx context.Context, request, run string) error {
 	ctx, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyClaim), claimWithin)
 	defer cancel()
 	lease, err := c.leaseFor(ctx)
--- a/internal/once/formats_test.go
+++ b/internal/once/formats_test.go
@@ -11,7 +11,7 @@
 	formattest.Check[Claim](t, "claim")
 	formattest.Check[Record](t, "record")
 	formattest.Check[BeginResp](t, "begin")
-	formattest.Check[NoteResp](t, "note")
-	formattest.Check[TakeReq](t, "take")
-	formattest.Check[Notes](t, "notes")
+	formattest.Check[UpdateResp](t, "note")
+	formattest.Check[TakeOverReq](t, "take")
+	formattest.Check[Transfer](t, "notes")
 }
--- a/internal/once/keys.go
+++ b/internal/once/keys.go
@@ -24,11 +24,11 @@
 
 // The registry's messages.
 const (
-	KindBegin mesh.Kind = "once.begin"
-	KindNote  mesh.Kind = "once.note"
-	KindTake  mesh.Kind = "once.take"
-	KindDrop  mesh.Kind = "once.drop"
-	KindNotes mesh.Kind = "once.notes"
+	KindBegin    mesh.Kind = "once.begin"
+	KindUpdate   mesh.Kind = "once.note"
+	KindTakeOver mesh.Kind = "once.take"
+	KindDrop     mesh.Kind = "once.drop"
+	KindTransfer mesh.Kind = "once.notes"
 )
 
 const (
@@ -42,8 +42,8 @@
 	keyCallLimit    = 32
 )
 
-// ErrNoHome means that the instance that should know a key cannot be asked.
-var ErrNoHome = errors.New("the home of the key does not answer")
+// ErrHomeUnreachable means that the instance that should know a key cannot be asked.
+var ErrHomeUnreachable = errors.New("the home of the key does not answer")
 
 // Record is what is known of a keyed request.
 type Record struct {
@@ -51,7 +51,7 @@
 	Fingerprint uint64       `cbor:"2,keyasint"` // hash of the body: the same key with another body is refused
 	Owner       mesh.Peer    `cbor:"3,keyasint"` // the serving instance
 	Place       budget.Place `cbor:"4,keyasint"` // set before the request is dispatched
-	Home        string       `cbor:"5,keyasint"` // address of the budget's holder
+	HolderAddr  string       `cbor:"5,keyasint"` // address of the budget's holder
 	Done        bool         `cbor:"6,keyasint"`
 	Tokens      int64        `cbor:"7,keyasint"` // billed, once done
 }
@@ -63,27 +63,27 @@
 // BeginResp answers a Begin: the record that stands, and whether it is new. Unsure means that there is no record here,
 // but that one may still be on its way from its owner.
 type BeginResp struct {
-	New    bool   `cbor:"1,keyasint"`
-	Record Record `cbor:"2,keyasint"`
-	Unsure bool   `cbor:"3,keyasint,omitempty"`
+	New          bool   `cbor:"1,keyasint"`
+	Record       Record `cbor:"2,keyasint"`
+	Inconclusive bool   `cbor:"3,keyasint,omitempty"`
 }
 
-// TakeReq makes another instance the owner, if the owner is still the one expected. Unbilled asks for that only if the
+// TakeOverReq makes another instance the owner, if the owner is still the one expected. Unbilled asks for that only if the
 // owner has neither dispatched the request nor billed anything for it.
-type TakeReq struct {
+type TakeOverReq struct {
 	Request  string    `cbor:"1,keyasint"`
 	From     string    `cbor:"2,keyasint"`
 	To       mesh.Peer `cbor:"3,keyasint"`
 	Unbilled bool      `cbor:"4,keyasint,omitempty"`
 }
 
-// NoteResp tells an owner whether it still is one.
-type NoteResp struct {
-	Owner bool `cbor:"1,keyasint"`
+// UpdateResp tells an owner whether it still is one.
+type UpdateResp struct {
+	StillOwner bool `cbor:"1,keyasint"`
 }
 
-// Notes are records that have got a new home.
-type Notes struct {
+// Transfer are records that have got a new home.
+type Transfer struct {
 	Records []Record `cbor:"1,keyasint"`
 }
 
@@ -133,8 +133,8 @@
 // WithKeysClock replaces the clock.
 func WithKeysClock(now func() time.Time) KeysOption { return func(k *Keys) { k.now = now } }
 
-// WithSettling sets the time between ticks, and how long a home does not trust that it knows every record.
-func WithSettling(tick, settling time.Duration) KeysOption {
+// WithSettleTime sets the time between ticks, and how long a home does not trust that it knows every record.
+func WithSettleTime(tick, settling time.Duration) KeysOption {
 	return func(k *Keys) { k.tick, k.settling = tick, settling }
 }
 
@@ -151,14 +151,14 @@
 		opt(k)
 	}
 	mesh.Handle(r, KindBegin, func(_ context.Context, _ mesh.Peer, rec Record) (BeginResp, error) { return k.begin(rec), nil })
-	mesh.Handle(r, KindNote, func(_ context.Context, _ mesh.Peer, rec Record) (NoteResp, error) { return k.note(rec), nil })
-	mesh.Handle(r, KindNotes, func(_ context.Context, _ mesh.Peer, n Notes) (mesh.Empty, error) {
+	mesh.Handle(r, KindUpdate, func(_ context.Context, _ mesh.Peer, rec Record) (UpdateResp, error) { return k.note(rec), nil })
+	mesh.Handle(r, KindTransfer, func(_ context.Context, _ mesh.Peer, n Transfer) (mesh.Empty, error) {
 		for _, rec := range n.Records {
 			k.note(rec)
 		}
 		return mesh.Empty{}, nil
 	})
-	mesh.Handle(r, KindTake, func(_ context.Context, _ mesh.Peer, req TakeReq) (BeginResp, error) { return k.take(req), nil })
+	mesh.Handle(r, KindTakeOver, func(_ context.Context, _ mesh.Peer, req TakeOverReq) (BeginResp, error) { return k.take(req), nil })
 	mesh.Handle(r, KindDrop, func(_ context.Context, from mesh.Peer, rec Record) (mesh.Empty, error) {
 		k.drop(from, rec)
 		return mesh.Empty{}, nil
@@ -243,8 +243,8 @@
 	if err != nil {
 		return BeginResp{}, err
 	}
-	if resp.Unsure {
-		return BeginResp{}, ErrNoHome
+	if resp.Inconclusive {
+		return BeginResp{}, ErrHomeUnreachable
 	}
 	if resp.New {
 		k.own(rec, customer, home)
@@ -263,10 +263,10 @@
 	case resp.New || resp.Record.Place.Run == place.Run:
 		return true, true
 	case resp.Record.unbilled():
-		now, err := k.TakeUnbilled(ctx, customer, resp.Record)
+		now, err := k.TakeOverUnbilled(ctx, customer, resp.Record)
 		mine := err == nil && now.Owner.Who() == k.members.Self().Who()
 		if mine {
-			_, err = k.Note(ctx, customer, rec)
+			_, err = k.Update(ctx, customer, rec)
 		}
 		return mine && err == nil, mine && err == nil
 	case resp.Record.Done:
@@ -275,31 +275,31 @@
 	return false, false
 }
 
-// Note tells the home where a request runs, or how it ended. False means that another instance has taken it over.
-func (k *Keys) Note(ctx context.Context, customer string, rec Record) (bool, error) {
+// Update tells the home where a request runs, or how it ended. False means that another instance has taken it over.
+func (k *Keys) Update(ctx context.Context, customer string, rec Record) (bool, error) {
 	k.own(rec, customer, "")
-	resp, home, err := ask[Record, NoteResp](ctx, k, customer, rec.Request, KindNote, rec)
+	resp, home, err := ask[Record, UpdateResp](ctx, k, customer, rec.Request, KindUpdate, rec)
 	if err != nil {
 		return false, err
 	}
 	k.own(rec, customer, home)
-	return resp.Owner, nil
+	return resp.StillOwner, nil
 }
 
-// Take makes this instance the owner of a request whose owner is gone.
-func (k *Keys) Take(ctx context.Context, customer string, rec Record) (Record, error) {
-	return k.takeAs(ctx, customer, TakeReq{Request: rec.Request, From: rec.Owner.Who(), To: k.members.Self()})
+// TakeOver makes this instance the owner of a request whose owner is gone.
+func (k *Keys) TakeOver(ctx context.Context, customer string, rec Record) (Record, error) {
+	return k.takeAs(ctx, customer, TakeOverReq{Request: rec.Request, From: rec.Owner.Who(), To: k.members.Self()})
 }
 
-// TakeUnbilled makes this instance the owner of a request that it has served itself, unless the owner has dispatched or
+// TakeOverUnbilled makes this instance the owner of a request that it has served itself, unless the owner has dispatched or
 // billed it.
-func (k *Keys) TakeUnbilled(ctx context.Context, customer string, rec Record) (Record, error) {
-	return k.takeAs(ctx, customer, TakeReq{Request: rec.Request, From: rec.Owner.Who(), To: k.members.Self(), Unbilled: true})
+func (k *Keys) TakeOverUnbilled(ctx context.Context, customer string, rec Record) (Record, error) {
+	return k.takeAs(ctx, customer, TakeOverReq{Request: rec.Request, From: rec.Owner.Who(), To: k.members.Self(), Unbilled: true})
 }
 
-func (k *Keys) takeAs(ctx context.Context, customer string, req TakeReq) (Record, error) {
+func (k *Keys) takeAs(ctx context.Context, customer string, req TakeOverReq) (Record, error) {
 	self := k.members.Self()
-	resp, home, err := ask[TakeReq, BeginResp](ctx, k, customer, req.Request, KindTake, req)
+	resp, home, err := ask[TakeOverReq, BeginResp](ctx, k, customer, req.Request, KindTakeOver, req)
 	if err != nil {
 		return Record{}, err
 	}
@@ -359,7 +359,7 @@
 	var zero Resp
 	p, ok := k.home(request, customer)
 	if !ok {
-		return zero, "", ErrNoHome
+		return zero, "", ErrHomeUnreachable
 	}
 	var last error
 	for range homesAsked {
@@ -374,5 +374,5 @@
 			break
 		}
 	}
-	return zero, "", errors.Join(ErrNoHome, last)
+	return zero, "", errors.Join(ErrHomeUnreachable, last)
 }
--- a/internal/once/keys_home.go
+++ b/internal/once/keys_home.go
@@ -13,28 +13,28 @@
 		return BeginResp{Record: h.rec}
 	}
 	if !k.settled() {
-		return BeginResp{Unsure: true}
+		return BeginResp{Inconclusive: true}
 	}
 	k.held[rec.Request] = &kept{rec: rec, at: k.now()}
 	return BeginResp{New: true, Record: rec}
 }
 
-func (k *Keys) note(rec Record) NoteResp {
+func (k *Keys) note(rec Record) UpdateResp {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	h, ok := k.held[rec.Request]
 	if !ok {
 		k.held[rec.Request] = &kept{rec: rec, at: k.now()}
-		return NoteResp{Owner: true}
+		return UpdateResp{StillOwner: true}
 	}
 	if h.rec.Owner.Who() != rec.Owner.Who() {
-		return NoteResp{}
+		return UpdateResp{}
 	}
 	h.rec, h.at = rec, k.now()
-	return NoteResp{Owner: true}
+	return UpdateResp{StillOwner: true}
 }
 
-func (k *Keys) take(req TakeReq) BeginResp {
+func (k *Keys) take(req TakeOverReq) BeginResp {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	h, ok := k.held[req.Request]
@@ -105,7 +105,7 @@
 
 // tell sends records to their home. It reports whether the home has them.
 func (k *Keys) tell(ctx context.Context, home mesh.Peer, ids []string) bool {
-	var n Notes
+	var n Transfer
 	k.mu.Lock()
 	for _, id := range ids {
 		if o, ok := k.owned[id]; ok {
@@ -115,7 +115,7 @@
 	k.mu.Unlock()
 	c, cancel := context.WithTimeout(ctx, keyTimeout)
 	defer cancel()
-	if _, err := mesh.Call[Notes, mesh.Empty](c, k.caller, home.Addr, KindNotes, n); err != nil {
+	if _, err := mesh.Call[Transfer, mesh.Empty](c, k.caller, home.Addr, KindTransfer, n); err != nil {
 		return false
 	}
 	k.mu.Lock()
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -245,7 +245,7 @@
 }
 
 func (s *Server) holds(c echo.Context) error {
-	v, err := budget.Holds(c.Request().Context(), s.d.Store)
+	v, err := budget.FencedHolders(c.Request().Context(), s.d.Store)
 	if err != nil {
 		return unavailable(err)
 	}
