--- a/internal/once/formats_test.go
+++ b/internal/once/formats_test.go
@@ -6,12 +6,12 @@
 	"github.com/ledgemount/ledgemount/internal/compat/formattest"
 )
 
-// What instances of other builds read, or have written.
+// TestFormats checks the encodings that instances of other builds read or have written.
 func TestFormats(t *testing.T) {
 	formattest.Check[Claim](t, "claim")
 	formattest.Check[Record](t, "record")
 	formattest.Check[BeginResp](t, "begin")
-	formattest.Check[NoteResp](t, "note")
-	formattest.Check[TakeReq](t, "take")
-	formattest.Check[Notes](t, "notes")
+	formattest.Check[UpdateResp](t, "note")
+	formattest.Check[TakeOverReq](t, "take")
+	formattest.Check[Transfer](t, "notes")
 }
