--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -55,7 +55,7 @@
 			return 0, 0, 0, err
 		}
 		r := mesh.NewRouter()
-		t, err := mesh.Listen(mesh.Peer{ID: id, Zone: "z", Addr: "127.0.0.1:0", Inc: "x"}, cfg, r)
+		t, err := mesh.Listen(mesh.Peer{ID: id, Zone: "z", Addr: "127.0.0.1:0", Incarnation: "x"}, cfg, r)
 		if err != nil {
 			return 0, 0, 0, err
 		}
--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -34,7 +34,7 @@
 func peersOf(zone string, n int) []mesh.Peer {
 	out := make([]mesh.Peer, n)
 	for i := range out {
-		out[i] = mesh.Peer{ID: fmt.Sprintf("%s-%d", zone, i), Zone: zone, Addr: fmt.Sprintf("%s-%d", zone, i), Inc: "x"}
+		out[i] = mesh.Peer{ID: fmt.Sprintf("%s-%d", zone, i), Zone: zone, Addr: fmt.Sprintf("%s-%d", zone, i), Incarnation: "x"}
 	}
 	return out
 }
--- a/internal/bench/store.go
+++ b/internal/bench/store.go
@@ -137,7 +137,7 @@
 	id := budgetID(rank)
 	peers := s.zones[zone]
 	h := s.homes[budget.Homes(id, peers, client.ID)[0].ID]
-	_, err := h.Reserve(ctx, client.Who(), budget.ReserveReq{
+	_, err := h.Reserve(ctx, client.IncarnationID(), budget.ReserveReq{
 		Request: req, Budget: id, Customer: benchCustomer, Tokens: reserveMost, Place: budget.Place{Run: req},
 	})
 	if err != nil {
--- a/internal/budget/client_fence.go
+++ b/internal/budget/client_fence.go
@@ -11,7 +11,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fenced[req.Holder] = true
-	out := FenceResp{Client: c.members.Self().Who()}
+	out := FenceResp{Client: c.members.Self().IncarnationID()}
 	for h := range c.holds {
 		if !slices.Contains(h.chain, req.Holder) {
 			continue
@@ -36,7 +36,7 @@
 	}
 	r := Report{
 		Request: h.request, Budget: h.budget, Customer: h.customer, Tokens: h.tokens, Open: h.state == stateDispatched,
-		Keyed: h.keyed, Place: h.place, Owner: c.members.Self().Who(), Chain: append([]string(nil), h.chain...),
+		Keyed: h.keyed, Place: h.place, Owner: c.members.Self().IncarnationID(), Chain: append([]string(nil), h.chain...),
 	}
 	if !r.Open {
 		r.Tokens = h.used
--- a/internal/budget/home.go
+++ b/internal/budget/home.go
@@ -187,7 +187,7 @@
 // reset begins a new incarnation with nothing. The caller holds the lock.
 func (h *Home) reset() {
 	h.gen++
-	h.holder = h.members.Self().Who()
+	h.holder = h.members.Self().IncarnationID()
 	if h.gen > 1 {
 		h.holder = fmt.Sprintf("%s%s%d", h.holder, genSeparator, h.gen)
 	}
@@ -209,16 +209,16 @@
 
 func (h *Home) register(r *mesh.Router) {
 	mesh.Handle(r, KindReserve, func(ctx context.Context, from mesh.Peer, req ReserveReq) (ReserveResp, error) {
-		return h.Reserve(ctx, from.Who(), req)
+		return h.Reserve(ctx, from.IncarnationID(), req)
 	})
 	mesh.Handle(r, KindUpdate, func(_ context.Context, from mesh.Peer, req UpdateReq) (mesh.Empty, error) {
-		return mesh.Empty{}, h.Update(from.Who(), req)
+		return mesh.Empty{}, h.Update(from.IncarnationID(), req)
 	})
 	mesh.Handle(r, KindSettle, func(ctx context.Context, _ mesh.Peer, req SettleReq) (mesh.Empty, error) {
 		return mesh.Empty{}, h.Settle(ctx, req)
 	})
 	mesh.Handle(r, KindSync, func(_ context.Context, from mesh.Peer, req SyncReq) (SyncResp, error) {
-		return h.Sync(from.Who(), req), nil
+		return h.Sync(from.IncarnationID(), req), nil
 	})
 	mesh.Handle(r, KindRecall, func(ctx context.Context, _ mesh.Peer, req RecallReq) (RecallResp, error) {
 		n, err := h.giveBack(ctx, req.Budget, req.Need)
--- a/internal/budget/home_test.go
+++ b/internal/budget/home_test.go
@@ -50,7 +50,7 @@
 	if _, err := store.Put(t.Context(), PageKey(PageOf("budget")), data, 0, 0); err != nil {
 		t.Fatal(err)
 	}
-	view := pair{mesh.Peer{ID: "a", Zone: "z", Inc: "x"}, mesh.Peer{ID: "b", Zone: "z", Inc: "x"}}
+	view := pair{mesh.Peer{ID: "a", Zone: "z", Incarnation: "x"}, mesh.Peer{ID: "b", Zone: "z", Incarnation: "x"}}
 	times := DefaultTimes()
 	times.Flush = 0
 	return NewHome(store, view, nil, mesh.NewRouter(), stopNothing{}, WithTimes(times)), store
--- a/internal/budget/journal.go
+++ b/internal/budget/journal.go
@@ -116,11 +116,11 @@
 // and the one that asks. Whoever is left out must be written again before its next reservation. This instance itself is
 // a client only while it must be: if it dies, nobody can report for it. The caller holds the lock.
 func (h *Home) clientsNow(zone []mesh.Peer, client string) map[string]bool {
-	self := h.members.Self().Who()
+	self := h.members.Self().IncarnationID()
 	now := make(map[string]bool)
 	for _, p := range zone {
-		if p.Who() != self {
-			now[p.Who()] = true
+		if p.IncarnationID() != self {
+			now[p.IncarnationID()] = true
 		}
 	}
 	for _, a := range h.accounts {
--- a/internal/budget/reclaim.go
+++ b/internal/budget/reclaim.go
@@ -99,7 +99,7 @@
 	if j.Fenced != "" {
 		return true
 	}
-	if InstanceOf(j.Holder) == h.members.Self().Who() {
+	if InstanceOf(j.Holder) == h.members.Self().IncarnationID() {
 		return true // an earlier incarnation of this very instance
 	}
 	return !h.members.Alive(InstanceOf(j.Holder)) && now.Sub(f.unchanged) >= h.times.Dead
--- a/internal/budget/row.go
+++ b/internal/budget/row.go
@@ -28,7 +28,7 @@
 	Closed   int64            `cbor:"3,keyasint"` // spent through holders that are gone
 	Grants   map[string]Grant `cbor:"4,keyasint"` // by holder
 
-	unknown compat.Unknown // what a later build has put there
+	unknown compat.UnknownFields // what a later build has put there
 }
 
 // Grant is what one holder may spend in all, and what it had spent when it last wrote the row.
--- a/internal/chat/chat.go
+++ b/internal/chat/chat.go
@@ -120,8 +120,8 @@
 	return n
 }
 
-// MostTokens is the most that the request can cost. It cannot overflow.
-func (r *Request) MostTokens() int64 {
+// TotalLimit is the most that the request can cost. It cannot overflow.
+func (r *Request) TotalLimit() int64 {
 	in, out := r.InputLimit(), r.OutputLimit()
 	if in > math.MaxInt64-out {
 		return math.MaxInt64
--- a/internal/chat/chat_test.go
+++ b/internal/chat/chat_test.go
@@ -40,7 +40,7 @@
 		if err != nil {
 			return
 		}
-		if n := req.MostTokens(); n < 1 {
+		if n := req.TotalLimit(); n < 1 {
 			t.Fatalf("%q can cost %d tokens", body, n)
 		}
 	})
--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -19,8 +19,8 @@
 // up to its own.
 const Generation = 5
 
-// Unknown is a value as it was read, if it has fields that its type does not know. Its zero value is one without such fields.
-type Unknown struct{ raw cbor.RawMessage }
+// UnknownFields is a value as it was read, if it has fields that its type does not know. Its zero value is one without such fields.
+type UnknownFields struct{ raw cbor.RawMessage }
 
 var strict = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
@@ -31,24 +31,24 @@
 }()
 
 // Decode reads a value. Fields that its type does not know are kept for Encode.
-func Decode(b []byte, v any) (Unknown, error) {
+func Decode(b []byte, v any) (UnknownFields, error) {
 	var unknown *cbor.UnknownFieldError
 	err := strict.Unmarshal(b, v)
 	switch {
 	case err == nil:
-		return Unknown{}, nil
+		return UnknownFields{}, nil
 	case !errors.As(err, &unknown):
-		return Unknown{}, err
+		return UnknownFields{}, err
 	}
 	reflect.ValueOf(v).Elem().SetZero()
 	if err := cbor.Unmarshal(b, v); err != nil {
-		return Unknown{}, err
+		return UnknownFields{}, err
 	}
-	return Unknown{raw: append(cbor.RawMessage(nil), b...)}, nil
+	return UnknownFields{raw: append(cbor.RawMessage(nil), b...)}, nil
 }
 
 // Encode writes a value, with the fields that were not known when it was read.
-func Encode(v any, u Unknown) ([]byte, error) {
+func Encode(v any, u UnknownFields) ([]byte, error) {
 	b, err := cbor.Marshal(v)
 	if err != nil || u.raw == nil {
 		return b, err
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -71,7 +71,7 @@
 		var p page
 		u, err := Decode(encoded(laterPage{Accounts: map[string]*laterAccount{"north": {}}}), &p)
 		So(err, ShouldBeNil)
-		So(u, ShouldResemble, Unknown{})
+		So(u, ShouldResemble, UnknownFields{})
 		out, err := Encode(&p, u)
 		So(err, ShouldBeNil)
 		So(out, ShouldResemble, encoded(&p))
--- a/internal/compat/formattest/formattest.go
+++ b/internal/compat/formattest/formattest.go
@@ -71,7 +71,7 @@
 			faults = append(faults, fmt.Sprintf("%s of generation %d: %v", name, f.generation, err))
 		}
 	}
-	now, err := c.Encode(Filled[T]())
+	now, err := c.Encode(SampleValue[T]())
 	if err != nil {
 		return nil, err
 	}
@@ -147,8 +147,8 @@
 
 func path(name string, n int) string { return filepath.Join(dir, fmt.Sprintf("%s.%d.hex", name, n)) }
 
-// Filled is a value of which every field says something, always the same.
-func Filled[T any]() T {
+// SampleValue is a value of which every field says something, always the same.
+func SampleValue[T any]() T {
 	var v T
 	f := filler{}
 	f.fill(reflect.ValueOf(&v).Elem())
--- a/internal/demo/caller.go
+++ b/internal/demo/caller.go
@@ -177,7 +177,7 @@
 	if err != nil {
 		return 0
 	}
-	return req.MostTokens()
+	return req.TotalLimit()
 }
 
 func (c *call) body() []byte {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -23,15 +23,15 @@
 	Parse(r *http.Request, body []byte, arrived time.Time) (*relay.Request, error)
 }
 
-// Times bound what callers may take.
-type Times struct {
+// Timeouts bound what callers may take.
+type Timeouts struct {
 	Header time.Duration // for a request's head
 	Idle   time.Duration // between requests on a connection
 }
 
-// DefaultTimes are generous; a configuration's own limits are tighter.
-func DefaultTimes() Times {
-	return Times{Header: 10 * time.Second, Idle: 60 * time.Second}
+// DefaultTimeouts are generous; a configuration's own limits are tighter.
+func DefaultTimeouts() Timeouts {
+	return Timeouts{Header: 10 * time.Second, Idle: 60 * time.Second}
 }
 
 // maxHead is the largest head that is read, in bytes.
@@ -52,17 +52,19 @@
 // Option changes a Server.
 type Option func(*Server)
 
-// WithAway sets what reports whether callers are to be sent to other instances: their connections end with their answers.
-func WithAway(f func() bool) Option { return func(s *Server) { s.away = f } }
+// WithDiverting sets what reports whether callers are to be sent to other instances: their connections end with their answers.
+func WithDiverting(f func() bool) Option { return func(s *Server) { s.away = f } }
 
 // WithNow replaces the clock, which is read once for each request.
 func WithNow(now func() time.Time) Option { return func(s *Server) { s.now = now } }
 
-// WithWrap sets what is put around the listener.
-func WithWrap(f func(net.Listener) net.Listener) Option { return func(s *Server) { s.wrap = f } }
+// WithListenerWrapper sets what is put around the listener.
+func WithListenerWrapper(f func(net.Listener) net.Listener) Option {
+	return func(s *Server) { s.wrap = f }
+}
 
 // Listen opens the callers' address.
-func Listen(addr string, core *relay.Core, parser Parser, times Times, opts ...Option) (*Server, error) {
+func Listen(addr string, core *relay.Core, parser Parser, times Timeouts, opts ...Option) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, eris.Wrapf(err, "listening for callers on %s", addr)
--- a/internal/endpoint/engine.go
+++ b/internal/endpoint/engine.go
@@ -42,14 +42,14 @@
 	Priority int
 	Fence    int64
 	Body     []byte // chat-completions request, already prepared with Prepare
-	Heard    OnNotice
+	OnNotice NoticeFunc
 }
 
-// OnNotice is told what an endpoint reports of itself in the head of an answer; nil: nobody is.
-type OnNotice func(w pool.Notice, status int)
+// NoticeFunc is told what an endpoint reports of itself in the head of an answer; nil: nobody is.
+type NoticeFunc func(w pool.Notice, status int)
 
 // tell reads the head of an answer, unless it names another request.
-func (f OnNotice) tell(resp *http.Response, run string) {
+func (f NoticeFunc) tell(resp *http.Response, run string) {
 	if named := resp.Header.Get(chat.HeaderRequestID); f != nil && (named == "" || named == run) {
 		f(answer.Notice(resp.StatusCode, resp.Header, answer.Headers{Leaving: chat.HeaderLeaving, Limit: chat.HeaderLimit}), resp.StatusCode)
 	}
@@ -80,8 +80,8 @@
 // Close drops idle connections.
 func (d *Driver) Close() { d.http.CloseIdleConnections() }
 
-// Alien is the number of pieces of answers that were dropped because they name another request or attempt.
-func (d *Driver) Alien() int64 { return d.alien.Load() }
+// MismatchedPieces is the number of pieces of answers that were dropped because they name another request or attempt.
+func (d *Driver) MismatchedPieces() int64 { return d.alien.Load() }
 
 // Prepare turns a caller's body into what is sent to an engine: always streamed, with usage, with an output limit.
 func Prepare(body []byte, limit int64) ([]byte, error) {
@@ -108,7 +108,7 @@
 	mark(req, c.Run, c.Attempt)
 	req.Header.Set(chat.HeaderPriority, strconv.Itoa(c.Priority))
 	req.Header.Set(chat.HeaderFence, strconv.FormatInt(c.Fence, 10))
-	return d.open(req, c.Run, c.Attempt, 0, c.Heard)
+	return d.open(req, c.Run, c.Attempt, 0, c.OnNotice)
 }
 
 // Resume goes on with a run after offset tokens. CodeNotFound means that the engine does not know the run.
@@ -127,7 +127,7 @@
 	req.Header.Set(chat.HeaderAttempt, strconv.Itoa(attempt))
 }
 
-func (d *Driver) open(req *http.Request, run string, attempt int, offset int64, heard OnNotice) (*Stream, error) {
+func (d *Driver) open(req *http.Request, run string, attempt int, offset int64, heard NoticeFunc) (*Stream, error) {
 	resp, err := d.http.Do(req)
 	if err != nil {
 		return nil, sendError(req.Context(), err)
--- a/internal/endpoint/plain.go
+++ b/internal/endpoint/plain.go
@@ -21,18 +21,18 @@
 	Attempt     int
 	Key         string // the caller's idempotency key, or empty
 	Body        []byte
-	Heard       OnNotice
+	OnNotice    NoticeFunc
 }
 
-// Answer is a plain service's whole answer.
-type Answer struct {
+// Response is a plain service's whole answer.
+type Response struct {
 	Status      int    `cbor:"1,keyasint"`
 	ContentType string `cbor:"2,keyasint"`
 	Body        []byte `cbor:"3,keyasint"`
 }
 
 // Invoke calls a plain service. An answer that names another request is dropped: the call may have run.
-func (d *Driver) Invoke(ctx context.Context, c PlainCall) (*Answer, error) {
+func (d *Driver) Invoke(ctx context.Context, c PlainCall) (*Response, error) {
 	req, err := http.NewRequestWithContext(ctx, c.Method, c.URL, onceBody(c.Body))
 	if err != nil {
 		return nil, notRun(verdict.CodeInternal, "making the service request", err)
@@ -50,7 +50,7 @@
 		return nil, sendError(ctx, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	c.Heard.tell(resp, c.Run)
+	c.OnNotice.tell(resp, c.Run)
 	if said := resp.Header.Get(chat.HeaderVerdict); said == verdict.NotRun.String() {
 		return nil, statusError(resp)
 	}
@@ -65,7 +65,7 @@
 // Idempotency-Key whose connection breaks, also when the service has run it already.
 func onceBody(b []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
 
-func readAnswer(resp *http.Response) (*Answer, error) {
+func readAnswer(resp *http.Response) (*Response, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
 	if err != nil {
 		return nil, verdict.New(verdict.Ran, verdict.CodeTruncated, "the service's answer ended early", verdict.WithCause(err))
@@ -73,5 +73,5 @@
 	if len(body) > maxAnswer {
 		return nil, verdict.New(verdict.Ran, verdict.CodeTooLarge, "the service's answer is too large")
 	}
-	return &Answer{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
+	return &Response{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
 }
--- a/internal/endpoint/stream.go
+++ b/internal/endpoint/stream.go
@@ -72,7 +72,7 @@
 
 // accept verifies a piece. Pieces of other requests and attempts, and pieces that came before, are dropped.
 func (s *Stream) accept(c *chat.Chunk) (Piece, bool, error) {
-	run, attempt, ok := wire.SplitAnswerID(c.ID)
+	run, attempt, ok := wire.SplitResponseID(c.ID)
 	if !ok || run != s.run || attempt != s.attempt {
 		s.d.alien.Add(1)
 		return Piece{}, false, nil
--- a/internal/endpoint/wire/wire.go
+++ b/internal/endpoint/wire/wire.go
@@ -40,13 +40,13 @@
 	Usage     chat.Usage `json:"usage"`
 }
 
-// AnswerID is the id field of every piece of an answer: request and attempt.
-func AnswerID(request string, attempt int) string {
+// ResponseID is the id field of every piece of an answer: request and attempt.
+func ResponseID(request string, attempt int) string {
 	return request + "." + strconv.Itoa(attempt)
 }
 
-// SplitAnswerID undoes AnswerID.
-func SplitAnswerID(id string) (request string, attempt int, ok bool) {
+// SplitResponseID undoes AnswerID.
+func SplitResponseID(id string) (request string, attempt int, ok bool) {
 	i := strings.LastIndexByte(id, '.')
 	if i < 0 {
 		return "", 0, false
--- a/internal/escrow/page.go
+++ b/internal/escrow/page.go
@@ -82,7 +82,7 @@
 	// RestoredAt is the wall clock, in ms, at the page's first write in that epoch.
 	RestoredAt int64 `cbor:"5,keyasint,omitempty"`
 
-	unknown compat.Unknown // fields written by a later build
+	unknown compat.UnknownFields // fields written by a later build
 }
 
 // DecodePage decodes a page, compressed or not. Empty input is an empty page.
--- a/internal/gateway/attach.go
+++ b/internal/gateway/attach.go
@@ -24,8 +24,8 @@
 
 // AttachItem is a part of the answer: pieces, or a plain service's whole answer.
 type AttachItem struct {
-	Pieces []endpoint.Piece `cbor:"1,keyasint,omitempty"`
-	Answer *endpoint.Answer `cbor:"2,keyasint,omitempty"`
+	Pieces   []endpoint.Piece   `cbor:"1,keyasint,omitempty"`
+	Response *endpoint.Response `cbor:"2,keyasint,omitempty"`
 }
 
 const (
@@ -47,7 +47,7 @@
 	answer := j.out.answer
 	j.out.mu.Unlock()
 	if answer != nil {
-		return send(AttachItem{Answer: answer})
+		return send(AttachItem{Response: answer})
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	if resp.New || (resp.Record.Owner.Who() == g.members.Self().Who() && resp.Record.Place.Run == "") {
+	if resp.New || (resp.Record.Owner.IncarnationID() == g.members.Self().IncarnationID() && resp.Record.Place.Run == "") {
 		g.detach(ctx, j.run)
 		return nil
 	}
@@ -143,7 +143,7 @@
 }
 
 func (g *Gateway) relay(ctx context.Context, j *job, rec once.Record) error {
-	if rec.Owner.Who() == g.members.Self().Who() {
+	if rec.Owner.IncarnationID() == g.members.Self().IncarnationID() {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeNotFound, "this instance has forgotten the request")
 	}
 	req := AttachReq{Request: j.id}
@@ -151,8 +151,8 @@
 		for _, p := range it.Pieces {
 			j.out.add(p)
 		}
-		if it.Answer != nil {
-			j.out.setAnswer(it.Answer)
+		if it.Response != nil {
+			j.out.setAnswer(it.Response)
 		}
 		return nil
 	})
@@ -161,13 +161,13 @@
 // takeOver continues a request whose serving instance is gone: same reservation, same run at the endpoint.
 func (g *Gateway) takeOver(ctx context.Context, j *job, rec once.Record) {
 	now, err := g.keys.Take(ctx, j.customer, rec)
-	if err != nil || now.Owner.Who() != g.members.Self().Who() {
+	if err != nil || now.Owner.IncarnationID() != g.members.Self().IncarnationID() {
 		g.endJoined(j, verdict.New(verdict.MayHaveRun, verdict.CodeConflict, "the request is being taken over elsewhere",
 			verdict.WithRetryAfter(time.Second), verdict.WithCause(err)))
 		return
 	}
 	if now.Place.Run == "" {
-		j.formerOwner = rec.Owner.Who()
+		j.formerOwner = rec.Owner.IncarnationID()
 		j.run(ctx) // it was never dispatched, and the former owner may not dispatch it any more
 		return
 	}
--- a/internal/gateway/deferred.go
+++ b/internal/gateway/deferred.go
@@ -39,7 +39,7 @@
 // stillThere reports whether an instance is in the fleet.
 func (g *Gateway) stillThere(p mesh.Peer) bool {
 	for _, q := range g.members.Fleet() {
-		if q.Who() == p.Who() {
+		if q.IncarnationID() == p.IncarnationID() {
 			return true
 		}
 	}
@@ -62,10 +62,10 @@
 			return false
 		}
 	}
-	self := g.members.Self().Who()
+	self := g.members.Self().IncarnationID()
 	// This very instance may have billed another run: that of an orphan whose escrow it holds.
 	billedOther := rec.Done && rec.Tokens > 0 && rec.Place.Run != place.Run
-	if resp.New || (rec.Owner.Who() == self && !billedOther) {
+	if resp.New || (rec.Owner.IncarnationID() == self && !billedOther) {
 		_, _ = g.keys.Note(ctx, d.j.customer, d.j.record(place, true, d.used))
 		d.j.hold.Settle(d.used)
 		return true
--- a/internal/gateway/endings.go
+++ b/internal/gateway/endings.go
@@ -13,8 +13,8 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// Looker finds out whether an endpoint's process has ended: upstream.Client.
-type Looker interface {
+// Prober finds out whether an endpoint's process has ended: upstream.Client.
+type Prober interface {
 	// Refused reports whether a new connection to an address is refused now.
 	Refused(ctx context.Context, addr string) bool
 	// RefusedSoon reports whether it is within a moment.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -76,7 +76,7 @@
 	caller   mesh.Caller
 	targets  *targets.Targets
 	suspects *quarantine.Tracker
-	looker   Looker
+	looker   Prober
 	budgets  *budget.Client
 	keys     *once.Keys
 	claims   *once.Claims
@@ -126,8 +126,8 @@
 // WithKill sets a context whose end ends every job at once.
 func WithKill(ctx context.Context) Option { return func(g *Gateway) { g.killed = ctx } }
 
-// WithLooker replaces what finds out whether an endpoint's process has ended.
-func WithLooker(l Looker) Option { return func(g *Gateway) { g.looker = l } }
+// WithProber replaces what finds out whether an endpoint's process has ended.
+func WithProber(l Prober) Option { return func(g *Gateway) { g.looker = l } }
 
 const defaultMaxBody = 4 << 20
 
--- a/internal/gateway/http.go
+++ b/internal/gateway/http.go
@@ -234,7 +234,7 @@
 		return bad("(body)", err.Error())
 	}
 	j.repeatable = true
-	j.tokens = req.MostTokens()
+	j.tokens = req.TotalLimit()
 	j.long = req.OutputLimit() > longOutput
 	j.blocks = pool.Blocks(j.body)
 	return nil
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -164,7 +164,7 @@
 		return j.invoke(ctx, t, place)
 	}
 	s, err := j.g.driver.Dispatch(ctx, endpoint.Call{
-		URL: t.URL, Run: place.Run, Attempt: place.Attempt, Priority: j.priority, Fence: t.Fence, Body: j.body, Heard: j.onNotice(t),
+		URL: t.URL, Run: place.Run, Attempt: place.Attempt, Priority: j.priority, Fence: t.Fence, Body: j.body, OnNotice: j.onNotice(t),
 	})
 	if err != nil {
 		j.abandon(place, err)
@@ -176,7 +176,7 @@
 func (j *job) invoke(ctx context.Context, t targets.Target, place budget.Place) error {
 	a, err := j.g.driver.Invoke(ctx, endpoint.PlainCall{
 		URL: t.URL + j.plain.path, Method: j.plain.method, ContentType: j.plain.contentType,
-		Run: place.Run, Attempt: place.Attempt, Key: j.key, Body: j.plain.body, Heard: j.onNotice(t),
+		Run: place.Run, Attempt: place.Attempt, Key: j.key, Body: j.plain.body, OnNotice: j.onNotice(t),
 	})
 	if err != nil {
 		return err
@@ -187,7 +187,7 @@
 }
 
 // onNotice takes what the endpoint reports of itself in its answer.
-func (j *job) onNotice(t targets.Target) endpoint.OnNotice {
+func (j *job) onNotice(t targets.Target) endpoint.NoticeFunc {
 	return func(w pool.Notice, status int) {
 		t.Lease.ObserveNotice(w, pool.Answer{Request: j.id, Status: status})
 		if status < http.StatusMultipleChoices {
--- a/internal/gateway/transcript.go
+++ b/internal/gateway/transcript.go
@@ -12,7 +12,7 @@
 type transcript struct {
 	mu      sync.Mutex
 	pieces  []endpoint.Piece
-	answer  *endpoint.Answer // of a plain service
+	answer  *endpoint.Response // of a plain service
 	usage   chat.Usage
 	ended   bool
 	err     error
@@ -39,7 +39,7 @@
 	t.wake()
 }
 
-func (t *transcript) setAnswer(a *endpoint.Answer) {
+func (t *transcript) setAnswer(a *endpoint.Response) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.answer = a
@@ -115,7 +115,7 @@
 }
 
 // whole waits for the end and returns every piece.
-func (t *transcript) whole(ctx context.Context) ([]endpoint.Piece, *endpoint.Answer, error) {
+func (t *transcript) whole(ctx context.Context) ([]endpoint.Piece, *endpoint.Response, error) {
 	for {
 		t.mu.Lock()
 		ended, err, changed := t.ended, t.err, t.changed
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -68,7 +68,7 @@
 	billed    budget.Billed
 	outcomes  func(gateway.Outcome)
 	meshTo    func(addr string) bool
-	meshFrom  mesh.Gate
+	meshFrom  mesh.PeerFilter
 	transport http.RoundTripper
 	endpoints http.RoundTripper
 	times     func(*budget.Times)
@@ -93,7 +93,7 @@
 func WithBilled(b budget.Billed) Option { return func(in *Instance) { in.opts.billed = b } }
 
 // WithGate cuts links to and from other instances.
-func WithGate(to func(addr string) bool, from mesh.Gate) Option {
+func WithGate(to func(addr string) bool, from mesh.PeerFilter) Option {
 	return func(in *Instance) { in.opts.meshTo, in.opts.meshFrom = to, from }
 }
 
@@ -210,9 +210,9 @@
 		return err
 	}
 	self := mesh.Peer{
-		ID: in.set.Instance.ID, Zone: in.set.Instance.Zone, Addr: in.set.Mesh.Listen, Inc: strings.ToLower(ulid.Make().String()),
+		ID: in.set.Instance.ID, Zone: in.set.Instance.Zone, Addr: in.set.Mesh.Listen, Incarnation: strings.ToLower(ulid.Make().String()),
 	}
-	in.transport, err = mesh.Listen(self, cfg, in.router, mesh.WithGate(in.opts.meshTo, in.opts.meshFrom), mesh.WithLogger(in.log))
+	in.transport, err = mesh.Listen(self, cfg, in.router, mesh.WithFilters(in.opts.meshTo, in.opts.meshFrom), mesh.WithLogger(in.log))
 	return eris.Wrap(err, "starting the mesh")
 }
 
@@ -286,7 +286,7 @@
 func (in *Instance) buildGateway() error {
 	in.gateway = gateway.New(gateway.Deps{
 		Feed: in.feed, Members: in.view, Caller: in.transport, Router: in.router, Targets: in.targets, Budgets: in.client,
-		Keys: in.keys, Claims: once.NewClaims(in.store, in.view.Self().Who(), time.Now), Driver: in.driver,
+		Keys: in.keys, Claims: once.NewClaims(in.store, in.view.Self().IncarnationID(), time.Now), Driver: in.driver,
 		Stopper: endpoint.NewStopper(in.driver, in.targets),
 	},
 		gateway.WithHook(in.hook), gateway.WithLogger(in.log), gateway.WithScope(in.metrics.Scope()),
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -33,7 +33,7 @@
 	Settled map[string]int64 `cbor:"7,keyasint"` // spent in all, by budget, where the page does not say so yet
 	Recent  []string         `cbor:"8,keyasint"` // charged requests that a client may still report
 
-	unknown compat.Unknown // what a later build has put there
+	unknown compat.UnknownFields // what a later build has put there
 }
 
 // Decode reads a stored journal.
--- a/internal/matrix/node_test.go
+++ b/internal/matrix/node_test.go
@@ -182,7 +182,7 @@
 }
 
 func (m members) Find(who string) (mesh.Peer, bool) {
-	id, _ := mesh.SplitWho(who)
+	id, _ := mesh.SplitIncarnationID(who)
 	for _, o := range m.n.w.nodes {
 		if o.peer.ID == id {
 			return o.peer, true
@@ -193,7 +193,7 @@
 
 func (m members) Alive(who string) bool {
 	for _, o := range m.n.w.nodes {
-		if o.peer.Who() == who {
+		if o.peer.IncarnationID() == who {
 			return o == m.n || m.n.w.looksAlive(o)
 		}
 	}
--- a/internal/matrix/world_test.go
+++ b/internal/matrix/world_test.go
@@ -193,7 +193,7 @@
 
 func (w *world) newNode(id, zone string) *node {
 	ctx, cancel := context.WithCancel(context.Background())
-	n := &node{w: w, peer: mesh.Peer{ID: id, Zone: zone, Addr: id, Inc: "x"}, cancel: cancel}
+	n := &node{w: w, peer: mesh.Peer{ID: id, Zone: zone, Addr: id, Incarnation: "x"}, cancel: cancel}
 	router := mesh.NewRouter()
 	caller := w.wrap(&gatedCaller{n: n, next: w.net.Join(n.peer, router)})
 	m := members{n}
@@ -212,8 +212,8 @@
 	n.keys = once.NewKeys(m, caller, router, zones, once.WithKeysClock(w.clock.Now))
 	n.gateway = gateway.New(gateway.Deps{
 		Feed: n.feed, Members: m, Caller: caller, Router: router, Targets: tg, Budgets: n.client, Keys: n.keys,
-		Claims: once.NewClaims(store, n.peer.Who(), w.clock.Now), Driver: driver, Stopper: stopper,
-	}, gateway.WithClock(w.clock.Now), gateway.WithHook(n.hook), gateway.WithKill(ctx), gateway.WithLooker(w.http),
+		Claims: once.NewClaims(store, n.peer.IncarnationID(), w.clock.Now), Driver: driver, Stopper: stopper,
+	}, gateway.WithClock(w.clock.Now), gateway.WithHook(n.hook), gateway.WithKill(ctx), gateway.WithProber(w.http),
 		gateway.WithLogger(zerolog.New(zerolog.SyncWriter(&n.log)).Level(zerolog.WarnLevel)))
 	n.feed.OnChange(n.gateway.SetDocument)
 	n.planner = intent.New(store, n.feed, m, caller, router, tg.InFlight, intent.WithHook(n.hook))
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -207,7 +207,7 @@
 		s = &seen{}
 		v.peers[b.Peer.ID] = s
 	}
-	if s.heard.IsZero() || s.leaving != b.Leaving || s.peer.Inc != b.Peer.Inc {
+	if s.heard.IsZero() || s.leaving != b.Leaving || s.peer.Incarnation != b.Peer.Incarnation {
 		v.cacheTill = time.Time{}
 	}
 	s.peer, s.heard, s.leaving, s.config = b.Peer, v.now(), b.Leaving, b.Config
@@ -301,14 +301,14 @@
 
 // Alive reports whether a process, named as by mesh.Peer.Who, was heard lately. Leaving ones are alive.
 func (v *View) Alive(who string) bool {
-	id, inc := mesh.SplitWho(who)
+	id, inc := mesh.SplitIncarnationID(who)
 	if id == v.self.ID {
-		return inc == v.self.Inc
+		return inc == v.self.Incarnation
 	}
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	s, ok := v.peers[id]
-	return ok && s.peer.Inc == inc && v.fresh(s, v.now())
+	return ok && s.peer.Incarnation == inc && v.fresh(s, v.now())
 }
 
 // Zone returns the live, staying instances of this zone, ordered by id; this one among them unless it is leaving.
@@ -354,7 +354,7 @@
 
 // Find returns the instance of a process, wherever it is; the process itself may have been replaced.
 func (v *View) Find(who string) (mesh.Peer, bool) {
-	id, _ := mesh.SplitWho(who)
+	id, _ := mesh.SplitIncarnationID(who)
 	if id == v.self.ID {
 		return v.self, true
 	}
@@ -369,9 +369,9 @@
 
 // Gone reports whether a process is neither listed nor heard lately, or has been replaced by another of its instance.
 func (v *View) Gone(who string) bool {
-	id, inc := mesh.SplitWho(who)
+	id, inc := mesh.SplitIncarnationID(who)
 	if id == v.self.ID {
-		return inc != v.self.Inc
+		return inc != v.self.Incarnation
 	}
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -379,7 +379,7 @@
 	if !ok {
 		return true
 	}
-	if s.peer.Inc != "" && s.peer.Inc != inc {
+	if s.peer.Incarnation != "" && s.peer.Incarnation != inc {
 		return true
 	}
 	return !s.listed && !v.fresh(s, v.now())
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -30,7 +30,7 @@
 		c, l, net := clock.New(), &list{}, meshtest.New()
 		l.insts = []external.Instance{{ID: "a", Zone: "z", Addr: "a", State: external.StateLive}, {ID: "b", Zone: "z", Addr: "b", State: external.StateLive}}
 		join := func(id, inc string) *View {
-			p := mesh.Peer{ID: id, Zone: "z", Addr: id, Inc: inc}
+			p := mesh.Peer{ID: id, Zone: "z", Addr: id, Incarnation: inc}
 			r := mesh.NewRouter()
 			return New(p, l, net.Join(p, r), r, WithClock(c.Now), WithIntervals(time.Second, time.Second))
 		}
@@ -40,17 +40,17 @@
 			So(len(a.Zone()), ShouldEqual, 1)
 			a.beatAll(ctx)
 			So(len(a.Zone()), ShouldEqual, 2)
-			So(a.Alive(b.self.Who()), ShouldBeTrue)
+			So(a.Alive(b.self.IncarnationID()), ShouldBeTrue)
 		})
 		Convey("a silent peer is not alive, but is gone only when it is off the list too", func() {
 			a.beatAll(ctx)
 			net.SetDown("b", true)
 			c.Advance(10 * time.Second)
-			So(a.Alive(b.self.Who()), ShouldBeFalse)
-			So(a.Gone(b.self.Who()), ShouldBeFalse)
+			So(a.Alive(b.self.IncarnationID()), ShouldBeFalse)
+			So(a.Gone(b.self.IncarnationID()), ShouldBeFalse)
 			l.insts = l.insts[:1]
 			a.refresh(ctx)
-			So(a.Gone(b.self.Who()), ShouldBeTrue)
+			So(a.Gone(b.self.IncarnationID()), ShouldBeTrue)
 		})
 		Convey("a list that cannot be read changes nothing", func() {
 			a.beatAll(ctx)
@@ -68,7 +68,7 @@
 		Convey("a leaving instance is alive, but no home", func() {
 			b.Leave()
 			a.beatAll(ctx)
-			So(a.Alive(b.self.Who()), ShouldBeTrue)
+			So(a.Alive(b.self.IncarnationID()), ShouldBeTrue)
 			So(len(a.Zone()), ShouldEqual, 1)
 		})
 	})
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -32,25 +32,25 @@
 
 // Peer tells who sent a message.
 type Peer struct {
-	ID   string `cbor:"1,keyasint"`
-	Zone string `cbor:"2,keyasint"`
-	Addr string `cbor:"3,keyasint"`
-	Inc  string `cbor:"4,keyasint,omitempty"` // names one start of the process
+	ID          string `cbor:"1,keyasint"`
+	Zone        string `cbor:"2,keyasint"`
+	Addr        string `cbor:"3,keyasint"`
+	Incarnation string `cbor:"4,keyasint,omitempty"` // names one start of the process
 }
 
 // incSeparator stands between the parts of a process's name.
 const incSeparator = "~"
 
-// Who names one start of the instance's process. A restarted instance has the same ID and is someone else.
-func (p Peer) Who() string {
-	if p.Inc == "" {
+// IncarnationID names one start of the instance's process. A restarted instance has the same ID and is someone else.
+func (p Peer) IncarnationID() string {
+	if p.Incarnation == "" {
 		return p.ID
 	}
-	return p.ID + incSeparator + p.Inc
+	return p.ID + incSeparator + p.Incarnation
 }
 
-// SplitWho undoes Who.
-func SplitWho(who string) (id, inc string) {
+// SplitIncarnationID undoes Who.
+func SplitIncarnationID(who string) (id, inc string) {
 	id, inc, _ = strings.Cut(who, incSeparator)
 	return id, inc
 }
--- a/internal/mesh/meshtest/net.go
+++ b/internal/mesh/meshtest/net.go
@@ -59,8 +59,8 @@
 	n.cut = f
 }
 
-// SetLose says which replies are lost after the call took effect.
-func (n *Net) SetLose(f func(kind mesh.Kind) bool) {
+// SetReplyLoss says which replies are lost after the call took effect.
+func (n *Net) SetReplyLoss(f func(kind mesh.Kind) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lose = f
--- a/internal/mesh/transport.go
+++ b/internal/mesh/transport.go
@@ -33,8 +33,8 @@
 	closeNormally = quic.ApplicationErrorCode(0)
 )
 
-// Gate reports whether a peer may be talked to. Tests cut links with it.
-type Gate func(peer Peer) bool
+// PeerFilter reports whether a peer may be talked to. Tests cut links with it.
+type PeerFilter func(peer Peer) bool
 
 type request struct {
 	Version uint            `cbor:"1,keyasint"`
@@ -55,7 +55,7 @@
 	router *Router
 	tls    *tls.Config
 	gate   func(addr string) bool
-	admit  Gate
+	admit  PeerFilter
 	log    zerolog.Logger
 
 	udp  *quic.Transport
@@ -81,8 +81,8 @@
 // Option changes a Transport.
 type Option func(*Transport)
 
-// WithGate refuses calls to addresses, and calls from peers, for which the functions say no.
-func WithGate(to func(addr string) bool, from Gate) Option {
+// WithFilters refuses calls to addresses, and calls from peers, for which the functions say no.
+func WithFilters(to func(addr string) bool, from PeerFilter) Option {
 	return func(t *Transport) { t.gate, t.admit = to, from }
 }
 
--- a/internal/once/keys.go
+++ b/internal/once/keys.go
@@ -189,7 +189,7 @@
 	var ids []string
 	for _, p := range k.members.Fleet() {
 		if p.Zone == self.Zone {
-			ids = append(ids, p.Who())
+			ids = append(ids, p.IncarnationID())
 		}
 	}
 	sort.Strings(ids)
@@ -264,7 +264,7 @@
 		return true, true
 	case resp.Record.unbilled():
 		now, err := k.TakeUnbilled(ctx, customer, resp.Record)
-		mine := err == nil && now.Owner.Who() == k.members.Self().Who()
+		mine := err == nil && now.Owner.IncarnationID() == k.members.Self().IncarnationID()
 		if mine {
 			_, err = k.Note(ctx, customer, rec)
 		}
@@ -288,13 +288,13 @@
 
 // Take makes this instance the owner of a request whose owner is gone.
 func (k *Keys) Take(ctx context.Context, customer string, rec Record) (Record, error) {
-	return k.takeAs(ctx, customer, TakeReq{Request: rec.Request, From: rec.Owner.Who(), To: k.members.Self()})
+	return k.takeAs(ctx, customer, TakeReq{Request: rec.Request, From: rec.Owner.IncarnationID(), To: k.members.Self()})
 }
 
 // TakeUnbilled makes this instance the owner of a request that it has served itself, unless the owner has dispatched or
 // billed it.
 func (k *Keys) TakeUnbilled(ctx context.Context, customer string, rec Record) (Record, error) {
-	return k.takeAs(ctx, customer, TakeReq{Request: rec.Request, From: rec.Owner.Who(), To: k.members.Self(), Unbilled: true})
+	return k.takeAs(ctx, customer, TakeReq{Request: rec.Request, From: rec.Owner.IncarnationID(), To: k.members.Self(), Unbilled: true})
 }
 
 func (k *Keys) takeAs(ctx context.Context, customer string, req TakeReq) (Record, error) {
@@ -303,7 +303,7 @@
 	if err != nil {
 		return Record{}, err
 	}
-	if resp.Record.Owner.Who() == self.Who() {
+	if resp.Record.Owner.IncarnationID() == self.IncarnationID() {
 		k.own(resp.Record, customer, home)
 	}
 	return resp.Record, nil
--- a/internal/once/keys_home.go
+++ b/internal/once/keys_home.go
@@ -27,7 +27,7 @@
 		k.held[rec.Request] = &kept{rec: rec, at: k.now()}
 		return NoteResp{Owner: true}
 	}
-	if h.rec.Owner.Who() != rec.Owner.Who() {
+	if h.rec.Owner.IncarnationID() != rec.Owner.IncarnationID() {
 		return NoteResp{}
 	}
 	h.rec, h.at = rec, k.now()
@@ -43,7 +43,7 @@
 		k.held[req.Request] = &kept{rec: rec, at: k.now()}
 		return BeginResp{New: true, Record: rec}
 	}
-	if h.rec.Owner.Who() == req.From && (!req.Unbilled || h.rec.unbilled()) {
+	if h.rec.Owner.IncarnationID() == req.From && (!req.Unbilled || h.rec.unbilled()) {
 		h.rec.Owner = req.To
 	}
 	return BeginResp{Record: h.rec}
@@ -52,7 +52,7 @@
 func (k *Keys) drop(from mesh.Peer, rec Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if h, ok := k.held[rec.Request]; ok && h.rec.Owner.Who() == from.Who() {
+	if h, ok := k.held[rec.Request]; ok && h.rec.Owner.IncarnationID() == from.IncarnationID() {
 		delete(k.held, rec.Request)
 	}
 }
--- a/internal/peers/directory.go
+++ b/internal/peers/directory.go
@@ -273,7 +273,7 @@
 		}
 		records[r.Peer.ID] = r
 	}
-	if before, ok := records[d.self.Peer.ID]; ok && before.Peer.Inc != d.self.Peer.Inc {
+	if before, ok := records[d.self.Peer.ID]; ok && before.Peer.Incarnation != d.self.Peer.Incarnation {
 		d.mu.Lock()
 		d.restarted = true
 		d.mu.Unlock()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -255,7 +255,7 @@
 
 		Convey("that is small and was there before, at once", func() {
 			So(last.tell(ctx), ShouldBeNil)
-			last.self.Peer.Inc = "next"
+			last.self.Peer.Incarnation = "next"
 			So(last.read(ctx), ShouldBeNil)
 			So(met(last), ShouldBeTrue)
 		})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -111,7 +111,7 @@
 	)
 	r.client = upstream.New(upstream.WithWrap(r.pressure.Conn), upstream.WithNow(now))
 	self := peers.Record{
-		Peer:     mesh.Peer{ID: set.Instance.ID, Zone: set.Instance.Zone, Addr: set.Peers.Listen, Inc: id},
+		Peer:     mesh.Peer{ID: set.Instance.ID, Zone: set.Instance.Zone, Addr: set.Peers.Listen, Incarnation: id},
 		Capacity: set.Instance.LinkMbps,
 	}
 	r.peers = peers.New(on.Store, set.Store.Prefix, self, links,
@@ -215,7 +215,7 @@
 
 func (r *Router) listen(on Platform) error {
 	var err error
-	r.callers, err = edge.Listen(r.set.Callers.Listen, r.core, on.Parser, edge.DefaultTimes(), edge.WithNow(r.arrived), edge.WithAway(r.pressure.Diverting), edge.WithWrap(r.pressure.Listener))
+	r.callers, err = edge.Listen(r.set.Callers.Listen, r.core, on.Parser, edge.DefaultTimeouts(), edge.WithNow(r.arrived), edge.WithDiverting(r.pressure.Diverting), edge.WithListenerWrapper(r.pressure.Listener))
 	if err != nil {
 		return err
 	}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -378,13 +378,13 @@
 func (e *Engine) meddle(w io.Writer, s *stream) {
 	if e.On(CrossedAnswer) && s.number%faultEvery == 0 {
 		c := s.chunk(0)
-		c.ID = wire.AnswerID("someone-else", 1)
+		c.ID = wire.ResponseID("someone-else", 1)
 		c.Choices[0].Delta.Content = "secret "
 		writeEvent(w, c)
 	}
 	if e.On(LateAnswer) && s.number%faultEvery == 1 {
 		c := s.chunk(0)
-		c.ID = wire.AnswerID(s.run.RequestID, s.attempt-1)
+		c.ID = wire.ResponseID(s.run.RequestID, s.attempt-1)
 		c.Choices[0].Delta.Content = "old "
 		writeEvent(w, c)
 	}
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -159,7 +159,7 @@
 
 func (s *stream) chunk(i int64) chat.Chunk {
 	return chat.Chunk{
-		ID:      wire.AnswerID(s.run.RequestID, s.attempt),
+		ID:      wire.ResponseID(s.run.RequestID, s.attempt),
 		Object:  chat.ObjectChunk,
 		Model:   s.engine.model,
 		Choices: []chat.Choice{{Delta: &chat.Delta{Content: s.words[i]}}},
@@ -174,7 +174,7 @@
 	stop := chat.FinishStop
 	u := s.usage()
 	return chat.Chunk{
-		ID:      wire.AnswerID(s.run.RequestID, s.attempt),
+		ID:      wire.ResponseID(s.run.RequestID, s.attempt),
 		Object:  chat.ObjectChunk,
 		Model:   s.engine.model,
 		Choices: []chat.Choice{{Delta: &chat.Delta{}, FinishReason: &stop}},
