--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -1,4 +1,4 @@
-// Package edge takes callers' plain HTTP requests, hands them to the relay, and writes answers and refusals.
+// Package edge accepts callers' plain HTTP requests, passes them to the relay, and writes responses and rejections.
 package edge
 
 import (
@@ -18,74 +18,75 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// Parser reads a caller's request in the terms of its protocol.
+// Parser converts a caller's HTTP request into a request for the relay.
 type Parser interface {
 	Parse(r *http.Request, body []byte, arrived time.Time) (*relay.Request, error)
 }
 
-// Timeouts bound what callers may take.
+// Timeouts limit how long callers may take.
 type Timeouts struct {
-	Header time.Duration // for a request's head
+	Header time.Duration // to send a request's header
 	Idle   time.Duration // between requests on a connection
 }
 
-// DefaultTimeouts are generous; a configuration's own limits are tighter.
+// DefaultTimeouts returns generous timeouts; the limits of a configuration are tighter.
 func DefaultTimeouts() Timeouts {
 	return Timeouts{Header: 10 * time.Second, Idle: 60 * time.Second}
 }
 
-// maxHead is the largest head that is read, in bytes.
-const maxHead = 64 << 10
+// maxHeaderBytes is the size of the largest request header that is read.
+const maxHeaderBytes = 64 << 10
 
-// Server is the service that listens for callers.
+// Server is the HTTP server for callers.
 type Server struct {
-	listener net.Listener
-	server   *http.Server
-	core     *relay.Core
-	parser   Parser
-	now      func() time.Time
-	away     func() bool
-	wrap     func(net.Listener) net.Listener
-	stopping atomic.Bool
+	listener     net.Listener
+	server       *http.Server
+	core         *relay.Core
+	parser       Parser
+	now          func() time.Time
+	diverting    func() bool
+	wrapListener func(net.Listener) net.Listener
+	stopping     atomic.Bool
 }
 
-// Option changes a Server.
+// Option configures a Server.
 type Option func(*Server)
 
-// WithDiverting sets what reports whether callers are to be sent to other instances: their connections end with their answers.
-func WithDiverting(f func() bool) Option { return func(s *Server) { s.away = f } }
+// WithDiverting sets the function that reports whether callers are diverted to other instances. While they are, each
+// connection is closed after the response.
+func WithDiverting(f func() bool) Option { return func(s *Server) { s.diverting = f } }
 
 // WithNow replaces the clock, which is read once for each request.
 func WithNow(now func() time.Time) Option { return func(s *Server) { s.now = now } }
 
-// WithListenerWrapper sets what is put around the listener.
+// WithListenerWrapper sets a function that wraps the listener.
 func WithListenerWrapper(f func(net.Listener) net.Listener) Option {
-	return func(s *Server) { s.wrap = f }
+	return func(s *Server) { s.wrapListener = f }
 }
 
-// Listen opens the callers' address.
-func Listen(addr string, core *relay.Core, parser Parser, times Timeouts, opts ...Option) (*Server, error) {
+// Listen starts to listen for callers on addr and returns the Server.
+func Listen(addr string, core *relay.Core, parser Parser, timeouts Timeouts, opts ...Option) (*Server, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, eris.Wrapf(err, "listening for callers on %s", addr)
 	}
-	s := &Server{listener: l, core: core, parser: parser, now: time.Now, away: func() bool { return false }}
-	s.wrap = func(l net.Listener) net.Listener { return l }
+	s := &Server{listener: l, core: core, parser: parser, now: time.Now, diverting: func() bool { return false }}
+	s.wrapListener = func(l net.Listener) net.Listener { return l }
 	for _, opt := range opts {
 		opt(s)
 	}
-	s.listener = s.wrap(l)
-	s.server = &http.Server{Handler: s, ReadHeaderTimeout: times.Header, IdleTimeout: times.Idle, MaxHeaderBytes: maxHead}
+	s.listener = s.wrapListener(l)
+	s.server = &http.Server{Handler: s, ReadHeaderTimeout: timeouts.Header, IdleTimeout: timeouts.Idle, MaxHeaderBytes: maxHeaderBytes}
 	return s, nil
 }
 
 // Name implements kernel.Service.
 func (*Server) Name() string { return "callers" }
 
-// Addr is the address on which the server listens.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Run serves until ctx ends or Stop.
+// Run serves callers until ctx ends or Stop is called. It returns after ctx has ended.
 func (s *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.server.Close() })
 	defer stop()
@@ -97,10 +98,10 @@
 	return eris.Wrap(err, "serving callers")
 }
 
-// Leave ends connections as their answers end: the process is about to stop.
+// Leave makes the server close each connection after its next response, because the process is about to stop.
 func (s *Server) Leave() { s.stopping.Store(true) }
 
-// Stop takes no more connections and waits for open requests until ctx ends; then it breaks them off.
+// Stop accepts no more connections and waits for open requests until ctx ends; then it interrupts them.
 func (s *Server) Stop(ctx context.Context) error {
 	err := s.server.Shutdown(ctx)
 	if err != nil {
@@ -112,14 +113,14 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := s.now()
-	if s.stopping.Load() || s.away() {
+	if s.stopping.Load() || s.diverting() {
 		w.Header().Set("Connection", "close")
 	}
-	if err := s.checkHead(r); err != nil {
+	if err := s.checkHeader(r); err != nil {
 		writeError(w, err)
 		return
 	}
-	body, err := s.body(w, r)
+	body, err := s.readBody(w, r)
 	if err != nil {
 		writeError(w, err)
 		return
@@ -139,10 +140,10 @@
 	}
 }
 
-// checkHead holds a request's head against the limit of the configuration in force.
-func (s *Server) checkHead(r *http.Request) error {
-	most := s.core.MaxHeader()
-	if most <= 0 {
+// checkHeader checks the size of a request's header against the limit of the current configuration.
+func (s *Server) checkHeader(r *http.Request) error {
+	limit := s.core.MaxHeader()
+	if limit <= 0 {
 		return nil
 	}
 	const separators = len(": \r\n")
@@ -152,51 +153,51 @@
 			size += len(name) + len(v) + separators
 		}
 	}
-	if size > most {
-		return verdict.New(verdict.NotRun, verdict.CodeHeadTooLarge, "the head is over "+strconv.Itoa(most)+" bytes")
+	if size > limit {
+		return verdict.New(verdict.NotRun, verdict.CodeHeadTooLarge, "the head is over "+strconv.Itoa(limit)+" bytes")
 	}
 	return nil
 }
 
-// body reads a request's body within the limit of the configuration in force.
-func (s *Server) body(w http.ResponseWriter, r *http.Request) ([]byte, error) {
+// readBody reads a request's body, up to the limit of the current configuration.
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		return nil, nil
 	}
-	most := s.core.MaxBody()
-	if r.ContentLength > most {
-		return nil, tooLarge(most)
+	limit := s.core.MaxBody()
+	if r.ContentLength > limit {
+		return nil, tooLarge(limit)
 	}
-	src := http.MaxBytesReader(w, r.Body, most)
+	src := http.MaxBytesReader(w, r.Body, limit)
 	if r.ContentLength > 0 {
 		b := make([]byte, r.ContentLength)
 		_, err := io.ReadFull(src, b)
-		return b, bodyError(err, most)
+		return b, bodyError(err, limit)
 	}
 	b, err := io.ReadAll(src)
-	return b, bodyError(err, most)
+	return b, bodyError(err, limit)
 }
 
-func bodyError(err error, most int64) error {
+func bodyError(err error, limit int64) error {
 	var large *http.MaxBytesError
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &large):
-		return tooLarge(most)
+		return tooLarge(limit)
 	}
 	return verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the body did not come whole", verdict.WithCause(err))
 }
 
-func tooLarge(most int64) error {
-	return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "the body is over "+strconv.FormatInt(most, 10)+" bytes")
+func tooLarge(limit int64) error {
+	return verdict.New(verdict.NotRun, verdict.CodeTooLarge, "the body is over "+strconv.FormatInt(limit, 10)+" bytes")
 }
 
-// sink writes an answer to a caller.
+// sink writes a response to a caller. It implements relay.Sink.
 type sink struct {
-	w      http.ResponseWriter
-	flush  *http.ResponseController
-	stream bool
+	w         http.ResponseWriter
+	flush     *http.ResponseController
+	streaming bool
 }
 
 // Begin implements relay.Sink.
@@ -205,10 +206,10 @@
 	for name, values := range header {
 		h[name] = values
 	}
-	if _, typed := header["Content-Type"]; !typed {
-		h["Content-Type"] = nil // the endpoint named none: none is guessed
+	if _, hasType := header["Content-Type"]; !hasType {
+		h["Content-Type"] = nil // the endpoint sent none: keep net/http from guessing one
 	}
-	s.stream = length < 0
+	s.streaming = length < 0
 	if length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
@@ -222,21 +223,21 @@
 			return err
 		}
 	}
-	if !s.stream {
+	if !s.streaming {
 		return nil
 	}
 	return s.flush.Flush()
 }
 
-// refusal is the body of an answer of the instance's own.
-type refusal struct {
+// errorBody is the body of an error response that the instance itself generates.
+type errorBody struct {
 	Code    verdict.Code `json:"code"`
 	Verdict string       `json:"verdict"`
 	Detail  string       `json:"detail"`
 	Field   string       `json:"field,omitempty"`
 }
 
-// writeError answers with what is known of a request that has no answer of an endpoint.
+// writeError writes the error response for a request that has no response of an endpoint.
 func writeError(w http.ResponseWriter, err error) {
 	e := verdict.From(err)
 	h := w.Header()
@@ -245,7 +246,7 @@
 	if d := e.RetryAfter(); d > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(d.Seconds(), 'f', 3, 64))
 	}
-	b, _ := json.Marshal(refusal{Code: e.Code(), Verdict: e.Verdict().String(), Detail: e.Detail(), Field: e.Field()})
+	b, _ := json.Marshal(errorBody{Code: e.Code(), Verdict: e.Verdict().String(), Detail: e.Detail(), Field: e.Field()})
 	w.WriteHeader(e.Code().Status())
 	_, _ = w.Write(b)
 }
--- a/internal/gateway/attach.go
+++ b/internal/gateway/attach.go
@@ -14,62 +14,62 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// KindAttach asks a serving instance for the answer of a request that it serves or has served.
+// KindAttach asks an instance for the response to a request that it serves or has served.
 const KindAttach mesh.Kind = "gateway.attach"
 
-// AttachReq names the request.
+// AttachReq is the body of a KindAttach message.
 type AttachReq struct {
 	Request string `cbor:"1,keyasint"`
 }
 
-// AttachItem is a part of the answer: pieces, or a plain service's whole answer.
+// AttachItem is a part of the response: pieces, or the complete response of a plain service.
 type AttachItem struct {
 	Pieces   []endpoint.Piece   `cbor:"1,keyasint,omitempty"`
 	Response *endpoint.Response `cbor:"2,keyasint,omitempty"`
 }
 
 const (
-	transcriptLife = 10 * time.Minute
-	fullAnswer     = "the answer is no longer available; the request ran and was billed"
+	transcriptTTL       = 10 * time.Minute
+	responseUnavailable = "the answer is no longer available; the request ran and was billed"
 )
 
-// serveAttach streams a transcript to another instance.
+// serveAttach sends a transcript to another instance while it grows.
 func (g *Gateway) serveAttach(ctx context.Context, _ mesh.Peer, req AttachReq, send func(AttachItem) error) error {
-	j, ok := g.find(req.Request)
+	j, ok := g.findJob(req.Request)
 	if !ok {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeNotFound, "this instance does not know the request")
 	}
-	err := j.out.follow(ctx, func(ps []endpoint.Piece) error { return send(AttachItem{Pieces: ps}) })
+	err := j.transcript.follow(ctx, func(ps []endpoint.Piece) error { return send(AttachItem{Pieces: ps}) })
 	if err != nil {
 		return err
 	}
-	j.out.mu.Lock()
-	answer := j.out.answer
-	j.out.mu.Unlock()
-	if answer != nil {
-		return send(AttachItem{Response: answer})
+	j.transcript.mu.Lock()
+	response := j.transcript.response
+	j.transcript.mu.Unlock()
+	if response != nil {
+		return send(AttachItem{Response: response})
 	}
 	return nil
 }
 
-// start begins a job, or joins the one that serves the same keyed request, here or elsewhere.
+// start starts a job. If this or another instance already serves the same keyed request, the caller joins that one.
 func (g *Gateway) start(ctx context.Context, j *job) (*job, error) {
 	if !j.keyed() {
 		g.work.run(func() { j.run(ctx) })
 		return j, nil
 	}
-	if old, ok := g.adoptLocal(j); ok {
-		return old, sameBody(old.fingerprint, j.fingerprint)
+	if existing, ok := g.loadOrStore(j); ok {
+		return existing, checkFingerprint(existing.fingerprint, j.fingerprint)
 	}
 	if err := g.startKeyed(ctx, j); err != nil {
-		g.forget(j.id, j)
-		j.out.end(err)
+		g.removeJob(j.id, j)
+		j.transcript.end(err)
 		return nil, err
 	}
 	return j, nil
 }
 
-func sameBody(a, b uint64) error {
+func checkFingerprint(a, b uint64) error {
 	if a == b {
 		return nil
 	}
@@ -78,7 +78,7 @@
 }
 
 func (g *Gateway) startKeyed(ctx context.Context, j *job) error {
-	resp, err := g.keys.Begin(ctx, j.customer, j.record(budget.Place{}, false, 0))
+	resp, err := g.keys.Begin(ctx, j.customer, j.keyRecord(budget.Place{}, false, 0))
 	if errors.Is(err, once.ErrNoHome) {
 		j.provisional = true
 		g.detach(ctx, j.run)
@@ -92,16 +92,17 @@
 		return nil
 	}
 	rec := resp.Record
-	if err := sameBody(rec.Fingerprint, j.fingerprint); err != nil {
+	if err := checkFingerprint(rec.Fingerprint, j.fingerprint); err != nil {
 		return err
 	}
-	g.detach(ctx, func(ctx context.Context) { g.join(ctx, j, rec) })
+	g.detach(ctx, func(ctx context.Context) { g.joinJob(ctx, j, rec) })
 	return nil
 }
 
-// detach runs a keyed job on its own time: the caller may hang up and come back for the answer.
+// detach runs a keyed job independently of the caller's connection: the caller may disconnect and fetch the response
+// later.
 func (g *Gateway) detach(ctx context.Context, run func(context.Context)) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), longestStream)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), maxStreamDuration)
 	g.work.run(func() {
 		defer cancel()
 		stop := context.AfterFunc(g.killed, cancel)
@@ -110,23 +111,24 @@
 	})
 }
 
-// join gets the answer from the instance that serves the request, or takes the request over if that one is gone.
-func (g *Gateway) join(ctx context.Context, j *job, rec once.Record) {
-	err := g.relay(ctx, j, rec)
+// joinJob gets the response from the instance that serves the request. If that instance cannot give it, this one takes
+// the request over.
+func (g *Gateway) joinJob(ctx context.Context, j *job, rec once.Record) {
+	err := g.relayResponse(ctx, j, rec)
 	if err == nil {
-		j.out.end(nil)
+		j.transcript.end(nil)
 		return
 	}
-	if !lost(err) || j.out.delivered() {
+	if !ownerLost(err) || j.transcript.delivered() {
 		g.endJoined(j, err)
 		return
 	}
-	j.out.reset()
+	j.transcript.reset()
 	g.takeOver(ctx, j, rec)
 }
 
-// lost reports whether an owner cannot give the answer, as opposed to an answer that is an error.
-func lost(err error) bool {
+// ownerLost reports whether err means that the owner cannot give the response, rather than that the response is an error.
+func ownerLost(err error) bool {
 	if errors.Is(err, mesh.ErrUnreachable) || errors.Is(err, mesh.ErrNoReply) {
 		return true
 	}
@@ -138,40 +140,40 @@
 		err = verdict.New(verdict.Ran, verdict.CodeTruncated, "the serving instance was lost in mid-answer",
 			verdict.WithRetryAfter(time.Second), verdict.WithCause(err))
 	}
-	g.forget(j.id, j)
-	j.out.end(err)
+	g.removeJob(j.id, j)
+	j.transcript.end(err)
 }
 
-func (g *Gateway) relay(ctx context.Context, j *job, rec once.Record) error {
+func (g *Gateway) relayResponse(ctx context.Context, j *job, rec once.Record) error {
 	if rec.Owner.IncarnationID() == g.members.Self().IncarnationID() {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeNotFound, "this instance has forgotten the request")
 	}
 	req := AttachReq{Request: j.id}
-	return mesh.Stream(ctx, g.caller, rec.Owner.Addr, KindAttach, req, func(it AttachItem) error {
-		for _, p := range it.Pieces {
-			j.out.add(p)
+	return mesh.Stream(ctx, g.caller, rec.Owner.Addr, KindAttach, req, func(item AttachItem) error {
+		for _, p := range item.Pieces {
+			j.transcript.add(p)
 		}
-		if it.Response != nil {
-			j.out.setAnswer(it.Response)
+		if item.Response != nil {
+			j.transcript.setResponse(item.Response)
 		}
 		return nil
 	})
 }
 
-// takeOver continues a request whose serving instance is gone: same reservation, same run at the endpoint.
+// takeOver continues a request whose serving instance is lost, with the same reservation and the same run at the endpoint.
 func (g *Gateway) takeOver(ctx context.Context, j *job, rec once.Record) {
-	now, err := g.keys.Take(ctx, j.customer, rec)
-	if err != nil || now.Owner.IncarnationID() != g.members.Self().IncarnationID() {
+	current, err := g.keys.Take(ctx, j.customer, rec)
+	if err != nil || current.Owner.IncarnationID() != g.members.Self().IncarnationID() {
 		g.endJoined(j, verdict.New(verdict.MayHaveRun, verdict.CodeConflict, "the request is being taken over elsewhere",
 			verdict.WithRetryAfter(time.Second), verdict.WithCause(err)))
 		return
 	}
-	if now.Place.Run == "" {
+	if current.Place.Run == "" {
 		j.formerOwner = rec.Owner.IncarnationID()
-		j.run(ctx) // it was never dispatched, and the former owner may not dispatch it any more
+		j.run(ctx) // the former owner never dispatched the request, and can no longer do so
 		return
 	}
-	j.finish(ctx, g.continueRun(ctx, j, now))
+	j.finish(ctx, g.continueRun(ctx, j, current))
 }
 
 func (g *Gateway) continueRun(ctx context.Context, j *job, rec once.Record) error {
@@ -190,7 +192,7 @@
 	if err == nil {
 		return nil
 	}
-	return g.afterResume(ctx, j, rec, resp, err)
+	return g.afterFailedResume(ctx, j, rec, resp, err)
 }
 
 func (g *Gateway) resumeRun(ctx context.Context, j *job, place budget.Place) error {
@@ -202,29 +204,30 @@
 	if err != nil {
 		return err
 	}
-	return j.read(ctx, url, place, s)
+	return j.readStream(ctx, url, place, s)
 }
 
-// afterResume decides what becomes of a request whose run cannot be found again.
-func (g *Gateway) afterResume(ctx context.Context, j *job, rec once.Record, resp budget.ReserveResp, err error) error {
+// afterFailedResume decides how a request goes on whose run could not be resumed. If it may run again, the former run is
+// stopped and the request served anew.
+func (g *Gateway) afterFailedResume(ctx context.Context, j *job, rec once.Record, resp budget.ReserveResp, err error) error {
 	if resp.Outcome != budget.Granted {
-		return verdict.New(verdict.Ran, verdict.CodeTruncated, fullAnswer, verdict.WithCause(err))
+		return verdict.New(verdict.Ran, verdict.CodeTruncated, responseUnavailable, verdict.WithCause(err))
 	}
-	if !j.repeatable || j.out.delivered() {
+	if !j.repeatable || j.transcript.delivered() {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeEndpointFailed, "the run's fate is unknown", verdict.WithCause(err))
 	}
 	if resp.Place.Run != rec.Place.Run && resp.Place.Run == "" {
 		return err
 	}
 	g.work.run(func() {
-		c, cancel := context.WithTimeout(context.Background(), stopWithin)
+		stopCtx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 		defer cancel()
-		_, _, _, _ = g.stopper.StopRun(c, rec.Place)
+		_, _, _, _ = g.stopper.StopRun(stopCtx, rec.Place)
 	})
-	j.out.reset()
+	j.transcript.reset()
 	j.mayHaveRun = true
 	return j.serve(ctx)
 }
 
-// newRequestID names a request that its caller has not named.
+// newRequestID returns a random ID for a request without an idempotency key.
 func newRequestID() string { return "r-" + ulid.Make().String() }
--- a/internal/gateway/auth.go
+++ b/internal/gateway/auth.go
@@ -7,14 +7,14 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// identity is who makes a request, and in which class.
+// identity is the customer that a key belongs to, with the default class and budget of the key's requests.
 type identity struct {
 	customer string
 	class    string
 	budget   string
 }
 
-// authTable finds the owner of a key by its hash.
+// authTable maps the hashes of keys to their identities.
 type authTable struct {
 	version int64
 	keys    map[string]identity
@@ -30,7 +30,7 @@
 	return t
 }
 
-// authenticate reads a bearer key.
+// authenticate returns the identity that the bearer key in an Authorization header belongs to.
 func (g *Gateway) authenticate(header string) (identity, error) {
 	secret, ok := strings.CutPrefix(header, "Bearer ")
 	if !ok || secret == "" {
--- a/internal/gateway/chunk.go
+++ b/internal/gateway/chunk.go
@@ -9,13 +9,14 @@
 	"github.com/ledgemount/ledgemount/internal/endpoint"
 )
 
-// chunkEncoder writes pieces as events of chat.Chunk. What is the same in every event of an answer is encoded once:
-// a quarter of an instance's time went into that. TestChunkEncoder holds it to what encoding/json makes of a chat.Chunk.
+// chunkEncoder encodes pieces as server-sent events, each of which holds a chat.Chunk. The part that all events of a
+// response share is encoded only once: encoding it anew for each event took a quarter of an instance's CPU time.
+// TestChunkEncoder checks that the output equals that of encoding/json for a chat.Chunk.
 type chunkEncoder struct {
-	head   []byte // up to the content of the delta
-	usage  bool   // the caller wants the usage
-	offset int64
-	buf    bytes.Buffer
+	prefix       []byte // the event up to the content of its delta
+	includeUsage bool   // the caller requested the token usage
+	offset       int64
+	buf          bytes.Buffer
 }
 
 const (
@@ -28,39 +29,39 @@
 	c := chat.Chunk{
 		ID: j.id, Object: chat.ObjectChunk, Created: j.accepted.Unix(), Model: req.Model, Choices: []chat.Choice{{Delta: &chat.Delta{}}},
 	}
-	e := &chunkEncoder{usage: req.StreamOptions != nil && req.StreamOptions.IncludeUsage}
+	e := &chunkEncoder{includeUsage: req.StreamOptions != nil && req.StreamOptions.IncludeUsage}
 	if b, err := json.Marshal(c); err == nil {
 		at := bytes.LastIndex(b, []byte(deltaMark)) + len(deltaMark)
-		e.head = append([]byte(eventStart), b[:at]...)
+		e.prefix = append([]byte(eventStart), b[:at]...)
 	}
 	return e
 }
 
-// encode returns the events of some pieces. The bytes are good until the next call.
+// encode returns the events for pieces. The returned bytes are valid until the next call.
 func (e *chunkEncoder) encode(ps []endpoint.Piece) []byte {
 	e.buf.Reset()
 	for _, p := range ps {
-		e.piece(p)
+		e.writePiece(p)
 		e.offset += p.Tokens
 	}
 	return e.buf.Bytes()
 }
 
-func (e *chunkEncoder) piece(p endpoint.Piece) {
+func (e *chunkEncoder) writePiece(p endpoint.Piece) {
 	b := &e.buf
-	b.Write(e.head)
+	b.Write(e.prefix)
 	if p.Text != "" {
 		b.WriteString(`"content":`)
-		b.Write(quoted(p.Text))
+		b.Write(quoteJSON(p.Text))
 	}
 	b.WriteString(`},"finish_reason":`)
 	if p.Finish == "" {
 		b.WriteString("null")
 	} else {
-		b.Write(quoted(p.Finish))
+		b.Write(quoteJSON(p.Finish))
 	}
 	b.WriteString("}]")
-	if p.Usage != nil && e.usage {
+	if p.Usage != nil && e.includeUsage {
 		u, err := json.Marshal(p.Usage)
 		if err == nil {
 			b.WriteString(`,"usage":`)
@@ -76,8 +77,8 @@
 	b.WriteString("}" + eventEnd)
 }
 
-// quoted is a string in JSON.
-func quoted(s string) []byte {
+// quoteJSON returns a string as a JSON string literal.
+func quoteJSON(s string) []byte {
 	b, err := json.Marshal(s)
 	if err != nil {
 		return []byte(`""`)
--- a/internal/gateway/chunk_test.go
+++ b/internal/gateway/chunk_test.go
@@ -13,13 +13,13 @@
 	"github.com/ledgemount/ledgemount/internal/endpoint"
 )
 
-// TestChunkEncoder holds the encoder to what encoding/json makes of a chat.Chunk.
+// TestChunkEncoder checks that the encoder's output equals that of encoding/json for a chat.Chunk.
 func TestChunkEncoder(t *testing.T) {
 	req := &chat.Request{Model: "a \"model\"", StreamOptions: &struct {
 		IncludeUsage bool `json:"include_usage"`
 	}{IncludeUsage: true}}
 	j := &job{id: "k-1", accepted: time.Unix(1000, 0)}
-	Convey("Given any pieces, the events are those of encoding/json", t, func() {
+	Convey("For arbitrary pieces, the events equal the output of encoding/json", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			enc := newChunkEncoder(j, req)
 			var offset int64
--- a/internal/gateway/deferred.go
+++ b/internal/gateway/deferred.go
@@ -7,26 +7,26 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// deferred is a request that was served while the home of its key could not be asked. Its tokens stay held until the
-// home reports whether the same request has been billed elsewhere.
+// deferred is a request that was served while the key's home, the instance that stores the key's record, did not answer.
+// Its tokens stay reserved until the home reports whether another instance has billed the same request.
 type deferred struct {
 	j    *job
 	used int64
 }
 
-func (g *Gateway) deferSettle(j *job, used int64) {
+func (g *Gateway) deferSettlement(j *job, used int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.deferred = append(g.deferred, deferred{j: j, used: used})
 }
 
-// settleDeferred asks the homes again.
+// settleDeferred asks the homes of the deferred requests' keys again, and settles what they decide.
 func (g *Gateway) settleDeferred(ctx context.Context) {
 	g.mu.Lock()
-	todo := g.deferred
+	pending := g.deferred
 	g.deferred = nil
 	g.mu.Unlock()
-	for _, d := range todo {
+	for _, d := range pending {
 		if ctx.Err() == nil && g.settleOne(ctx, d) {
 			continue
 		}
@@ -36,8 +36,8 @@
 	}
 }
 
-// stillThere reports whether an instance is in the fleet.
-func (g *Gateway) stillThere(p mesh.Peer) bool {
+// inFleet reports whether an incarnation of an instance is in the fleet.
+func (g *Gateway) inFleet(p mesh.Peer) bool {
 	for _, q := range g.members.Fleet() {
 		if q.IncarnationID() == p.IncarnationID() {
 			return true
@@ -46,13 +46,13 @@
 	return false
 }
 
-// settleOne bills a deferred request unless another instance owns it. It reports whether the home has answered.
+// settleOne bills a deferred request, unless another instance owns it. It returns false if that cannot be decided yet.
 func (g *Gateway) settleOne(ctx context.Context, d deferred) bool {
 	var place budget.Place
 	if d.j.hold != nil {
 		place = d.j.hold.Place()
 	}
-	resp, err := g.keys.Begin(ctx, d.j.customer, d.j.record(place, true, d.used))
+	resp, err := g.keys.Begin(ctx, d.j.customer, d.j.keyRecord(place, true, d.used))
 	if err != nil {
 		return false
 	}
@@ -63,18 +63,18 @@
 		}
 	}
 	self := g.members.Self().IncarnationID()
-	// This very instance may have billed another run: that of an orphan whose escrow it holds.
+	// This instance itself may have billed another run of the request: an orphaned one, whose escrow it holds.
 	billedOther := rec.Done && rec.Tokens > 0 && rec.Place.Run != place.Run
 	if resp.New || (rec.Owner.IncarnationID() == self && !billedOther) {
-		_, _ = g.keys.Note(ctx, d.j.customer, d.j.record(place, true, d.used))
+		_, _ = g.keys.Note(ctx, d.j.customer, d.j.keyRecord(place, true, d.used))
 		d.j.hold.Settle(d.used)
 		return true
 	}
-	if !rec.Done && g.stillThere(rec.Owner) {
-		return false // it may yet end as not run
+	if !rec.Done && g.inFleet(rec.Owner) {
+		return false // the owner's run may still end as not run
 	}
 	g.log.Info().Str("event", "duplicate_unbilled").Str("request", d.j.id).Int64("tokens", d.used).
-		Msg("another zone has billed this request; this run is not billed")
+		Msg("request already billed by another availability zone; this run is not billed")
 	d.j.hold.Settle(0)
 	return true
 }
--- a/internal/gateway/endings.go
+++ b/internal/gateway/endings.go
@@ -13,98 +13,100 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// Prober finds out whether an endpoint's process has ended: upstream.Client.
+// Prober detects whether an endpoint's process has exited. upstream.Client implements it.
 type Prober interface {
 	// Refused reports whether a new connection to an address is refused now.
 	Refused(ctx context.Context, addr string) bool
-	// RefusedSoon reports whether it is within a moment.
+	// RefusedSoon reports whether one is refused now or shortly afterwards.
 	RefusedSoon(ctx context.Context, addr string) bool
 }
 
-// Times after which a caller that was refused may come back.
+// Times after which a rejected caller may retry.
 const (
-	retryRunning  = 400 * time.Millisecond // another run of the request is under way
-	retryEndpoint = time.Second            // no endpoint takes work
+	retryAfterRunning    = 400 * time.Millisecond // another run of the request is in progress
+	retryAfterNoEndpoint = time.Second            // no endpoint accepts work
 )
 
-// asks names what the request asks for, whatever its ID.
-func (j *job) asks() quarantine.Digest {
+// requestDigest identifies the request by its content, whatever its ID.
+func (j *job) requestDigest() quarantine.Digest {
 	if j.plain != nil {
 		return quarantine.Of(j.customer, j.plain.method, j.pool, j.plain.path, j.plain.body)
 	}
 	return quarantine.Of(j.customer, http.MethodPost, j.pool, wire.PathCompletions, j.body)
 }
 
-// enter refuses a request at once that several endpoints did not outlive, and lets one run of it at a time after two.
-func (j *job) enter() error {
+// admitSuspect rejects a request in quarantine, under which several endpoints crashed. After two crashes in a row it
+// admits one run of the request at a time.
+func (j *job) admitSuspect() error {
 	if !j.g.suspects.Suspects(j.customer) {
 		return nil
 	}
-	decision, after := j.g.suspects.Enter(j.asks())
+	decision, after := j.g.suspects.Enter(j.requestDigest())
 	switch decision {
 	case quarantine.Refuse:
-		return quarantined("several endpoints ended while they ran this request before; it is kept from the others for a while", after)
+		return quarantineError("several endpoints ended while they ran this request before; it is kept from the others for a while", after)
 	case quarantine.Wait:
-		return quarantined("the endpoints that ran this request before have ended, and another run of it is under way", retryRunning)
+		return quarantineError("the endpoints that ran this request before have ended, and another run of it is under way", retryAfterRunning)
 	case quarantine.Run:
 	}
-	j.entered = true
+	j.admittedAsSuspect = true
 	return nil
 }
 
-func quarantined(detail string, after time.Duration) error {
+func quarantineError(detail string, after time.Duration) error {
 	return verdict.New(verdict.NotRun, verdict.CodeQuarantined, detail, verdict.WithRetryAfter(after))
 }
 
-func (j *job) leave() {
-	if j.entered {
-		j.g.suspects.Leave(j.asks())
+func (j *job) releaseSuspect() {
+	if j.admittedAsSuspect {
+		j.g.suspects.Leave(j.requestDigest())
 	}
 }
 
-// lone reports whether only its caller may send the request again: two endpoints in a row did not outlive it.
-func (j *job) lone() bool {
-	return j.g.suspects.Suspects(j.customer) && j.g.suspects.NoRetry(j.asks())
+// noRetry reports whether only the caller may retry the request, because two endpoints in a row crashed under it.
+func (j *job) noRetry() bool {
+	return j.g.suspects.Suspects(j.customer) && j.g.suspects.NoRetry(j.requestDigest())
 }
 
-// sawEnd notes that the endpoint of an attempt that broke off has ended with it.
-func (j *job) sawEnd(ctx context.Context, t targets.Target, began time.Time, err error) {
+// detectCrash records a crash if the endpoint's process exited during an attempt that was interrupted.
+func (j *job) detectCrash(ctx context.Context, t targets.Target, started time.Time, err error) {
 	if code := verdict.From(err).Code(); code != verdict.CodeTruncated && code != verdict.CodeEndpointFailed {
 		return
 	}
-	u, uerr := url.Parse(t.URL)
-	if uerr != nil || t.Lease.ProcessState() == pool.ProcessLeaving {
+	u, parseErr := url.Parse(t.URL)
+	if parseErr != nil || t.Lease.ProcessState() == pool.ProcessLeaving {
 		return
 	}
-	digest, customer := j.asks(), j.customer
-	end := quarantine.Crash{Run: t.ID, Began: began, Ended: j.g.now(), Streamed: j.begun}
-	if j.g.looker.Refused(ctx, u.Host) {
-		j.g.endedUnder(digest, customer, end)
+	digest, customer := j.requestDigest(), j.customer
+	crash := quarantine.Crash{Run: t.ID, Began: started, Ended: j.g.now(), Streamed: j.streamed}
+	if j.g.prober.Refused(ctx, u.Host) {
+		j.g.recordCrash(digest, customer, crash)
 		return
 	}
 	j.g.work.run(func() {
-		if j.g.looker.RefusedSoon(context.Background(), u.Host) {
-			j.g.endedUnder(digest, customer, end)
+		if j.g.prober.RefusedSoon(context.Background(), u.Host) {
+			j.g.recordCrash(digest, customer, crash)
 		}
 	})
 }
 
-// endedUnder notes that an endpoint has ended under a request.
-func (g *Gateway) endedUnder(digest quarantine.Digest, customer string, end quarantine.Crash) {
-	quarantine.LogCrash(g.log, end.Run, digest.String())
-	g.suspects.RecordCrash(digest, customer, end)
+// recordCrash records that an endpoint crashed while it ran a request.
+func (g *Gateway) recordCrash(digest quarantine.Digest, customer string, crash quarantine.Crash) {
+	quarantine.LogCrash(g.log, crash.Run, digest.String())
+	g.suspects.RecordCrash(digest, customer, crash)
 }
 
-// quarantined logs and counts that a request is kept from endpoints from now on, or logs that it is not any more.
-func (g *Gateway) quarantined(c quarantine.Change) {
+// onQuarantineChange logs that a request enters or leaves quarantine, and counts those that enter.
+func (g *Gateway) onQuarantineChange(c quarantine.Change) {
 	if c.Quarantined {
-		g.metrics.held.Inc(1)
+		g.metrics.quarantined.Inc(1)
 	}
 	quarantine.LogChanges(g.log)(c)
 }
 
-// opens refuses a request at once that no endpoint of its pool takes now.
-func (j *job) opens() error {
+// checkAvailability rejects a request immediately if no endpoint of its pool accepts it now. A pool that is merely full
+// does not count: the request waits at the gate.
+func (j *job) checkAvailability() error {
 	if o := j.g.targets.Opens(j.pool); !o.Open && !o.Full {
 		return j.noEndpoint(o)
 	}
@@ -112,7 +114,7 @@
 }
 
 func (j *job) noEndpoint(o pool.Availability) error {
-	detail, after := "no endpoint of pool "+j.pool+" can take the request", retryEndpoint
+	detail, after := "no endpoint of pool "+j.pool+" can take the request", retryAfterNoEndpoint
 	if o.Rest > 0 {
 		detail, after = "all endpoints of pool "+j.pool+" that take work have asked for rest", o.Rest
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -28,34 +28,34 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// ServiceName is the gateway's name in the kernel.
+// ServiceName is the name of the service in the kernel.
 const ServiceName = "gateway"
 
 const (
-	longestStream = 15 * time.Minute
-	tickEvery     = 500 * time.Millisecond
+	maxStreamDuration = 15 * time.Minute
+	tickInterval      = 500 * time.Millisecond
 )
 
-// Feed is what the gateway uses of the configuration feed.
+// Feed provides the current configuration.
 type Feed interface {
 	Document() *declare.Document
 	Version() int64
 }
 
-// Outcome is what the service-level report is notified of a request.
+// Outcome describes how a request ended, for the service-level report.
 type Outcome struct {
 	Class      string
 	Customer   string
 	Budget     string
 	Verdict    verdict.Verdict
-	Code       verdict.Code // empty: answered whole
+	Code       verdict.Code // empty: the response is complete
 	Tokens     int64
 	FirstToken time.Duration
 	SlowestGap time.Duration
 	Attempts   int
 }
 
-// Deps are the services that the gateway needs.
+// Deps are the services on which the gateway depends.
 type Deps struct {
 	Feed    Feed
 	Members once.Members
@@ -69,14 +69,14 @@
 	Stopper budget.Stopper
 }
 
-// Gateway is the callers' side of an instance.
+// Gateway serves the callers of an instance.
 type Gateway struct {
 	feed     Feed
 	members  once.Members
 	caller   mesh.Caller
 	targets  *targets.Targets
 	suspects *quarantine.Tracker
-	looker   Prober
+	prober   Prober
 	budgets  *budget.Client
 	keys     *once.Keys
 	claims   *once.Claims
@@ -92,7 +92,7 @@
 	maxBody  int64
 	killed   context.Context //nolint:containedctx // ends every job at once
 
-	work *tracker // requests and what they leave behind
+	work *tracker // open requests and their background work
 
 	mu       sync.Mutex
 	gates    map[string]*admit.Gate
@@ -102,7 +102,7 @@
 	auth     *authTable
 }
 
-// Option changes a Gateway.
+// Option configures a Gateway.
 type Option func(*Gateway)
 
 // WithClock replaces the clock.
@@ -114,30 +114,30 @@
 // WithLogger sets the logger.
 func WithLogger(log zerolog.Logger) Option { return func(g *Gateway) { g.log = log } }
 
-// WithScope sets where metrics are made.
+// WithScope sets the scope in which metrics are registered.
 func WithScope(s tally.Scope) Option { return func(g *Gateway) { g.metrics = newMetrics(s) } }
 
-// WithOutcomes sets the receiver of requests' outcomes.
+// WithOutcomes sets the function that receives the outcome of each request.
 func WithOutcomes(f func(Outcome)) Option { return func(g *Gateway) { g.outcomes = f } }
 
-// WithMaxBody limits callers' bodies, in bytes.
+// WithMaxBody limits the size of request bodies, in bytes.
 func WithMaxBody(n int64) Option { return func(g *Gateway) { g.maxBody = n } }
 
-// WithKill sets a context whose end ends every job at once.
+// WithKill sets a context. When it ends, all jobs are cancelled at once.
 func WithKill(ctx context.Context) Option { return func(g *Gateway) { g.killed = ctx } }
 
-// WithProber replaces what finds out whether an endpoint's process has ended.
-func WithProber(l Prober) Option { return func(g *Gateway) { g.looker = l } }
+// WithProber replaces the Prober, which detects that an endpoint's process has exited.
+func WithProber(p Prober) Option { return func(g *Gateway) { g.prober = p } }
 
 const defaultMaxBody = 4 << 20
 
-// New makes a gateway and registers its message.
+// New returns a Gateway and registers the handler of KindAttach.
 func New(d Deps, opts ...Option) *Gateway {
 	g := &Gateway{
 		feed: d.Feed, members: d.Members, caller: d.Caller, targets: d.Targets, budgets: d.Budgets,
 		keys: d.Keys, claims: d.Claims, driver: d.Driver, stopper: d.Stopper,
 		retries:  retry.NewBudgets(),
-		looker:   upstream.New(upstream.WithMaxIdle(0)),
+		prober:   upstream.New(upstream.WithMaxIdle(0)),
 		now:      time.Now,
 		hook:     step.None,
 		log:      zerolog.Nop(),
@@ -154,7 +154,7 @@
 	for _, opt := range opts {
 		opt(g)
 	}
-	g.suspects = quarantine.New(quarantine.WithNow(g.now), quarantine.OnChange(g.quarantined))
+	g.suspects = quarantine.New(quarantine.WithNow(g.now), quarantine.OnChange(g.onQuarantineChange))
 	mesh.HandleStream(d.Router, KindAttach, g.serveAttach)
 	return g
 }
@@ -162,20 +162,20 @@
 // Name implements kernel.Service.
 func (g *Gateway) Name() string { return ServiceName }
 
-// Run implements kernel.Service: it forgets old answers, settles what was deferred and wakes the gates.
+// Run implements kernel.Service. It calls Tick periodically until ctx ends, then waits for all work to end.
 func (g *Gateway) Run(ctx context.Context) error {
-	kernel.Every(ctx, tickEvery, g.Tick)
+	kernel.Every(ctx, tickInterval, g.Tick)
 	return g.work.wait(context.WithoutCancel(ctx))
 }
 
-// Tick does what is due. Tests call it directly.
+// Tick evicts expired jobs, retries deferred settlements and wakes the admission gates. Tests call it directly.
 func (g *Gateway) Tick(ctx context.Context) {
-	g.forgetOld()
+	g.evictExpired()
 	g.settleDeferred(ctx)
 	g.wakeGates()
 }
 
-// SetDocument takes a newer configuration.
+// SetDocument applies a configuration, unless it is older than the current one.
 func (g *Gateway) SetDocument(doc *declare.Document) {
 	t := newAuthTable(doc)
 	g.mu.Lock()
@@ -186,7 +186,7 @@
 	g.wakeGates()
 }
 
-// Leave makes the gateway refuse new requests as not run.
+// Leave makes the gateway refuse new requests. They count as not run.
 func (g *Gateway) Leave() {
 	g.work.close()
 }
@@ -194,7 +194,7 @@
 // Leaving reports whether the gateway refuses new requests.
 func (g *Gateway) Leaving() bool { return g.work.isClosed() }
 
-// Drain waits until every job has ended and every deferred settlement is made, or ctx ends.
+// Drain waits until all work in progress has ended, or ctx ends.
 func (g *Gateway) Drain(ctx context.Context) error { return g.work.wait(ctx) }
 
 func (g *Gateway) gate(pool string) *admit.Gate {
@@ -220,25 +220,26 @@
 	}
 }
 
-// adoptLocal records a keyed job, or returns the one that is there already.
-func (g *Gateway) adoptLocal(j *job) (*job, bool) {
+// loadOrStore stores a keyed job, unless there is one with the same ID. It returns the job that is stored, and whether
+// it was there before.
+func (g *Gateway) loadOrStore(j *job) (*job, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if old, ok := g.jobs[j.id]; ok {
-		return old, true
+	if existing, ok := g.jobs[j.id]; ok {
+		return existing, true
 	}
 	g.jobs[j.id] = j
 	return j, false
 }
 
-func (g *Gateway) find(id string) (*job, bool) {
+func (g *Gateway) findJob(id string) (*job, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	j, ok := g.jobs[id]
 	return j, ok
 }
 
-func (g *Gateway) forget(id string, j *job) {
+func (g *Gateway) removeJob(id string, j *job) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.jobs[id] == j {
@@ -247,20 +248,20 @@
 	}
 }
 
-func (g *Gateway) forgetOld() {
+func (g *Gateway) evictExpired() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	for id, at := range g.ended {
-		if now.Sub(at) > transcriptLife {
+		if now.Sub(at) > transcriptTTL {
 			delete(g.jobs, id)
 			delete(g.ended, id)
 		}
 	}
 }
 
-// record tells the logs, the metrics and the report how a request ended.
-func (g *Gateway) record(j *job, err error, used int64) {
+// recordOutcome writes the outcome of a request to the log, the metrics and the service-level report.
+func (g *Gateway) recordOutcome(j *job, err error, used int64) {
 	o := Outcome{
 		Class: j.class, Customer: j.customer, Budget: j.budget, Verdict: verdict.Ran, Tokens: used,
 		FirstToken: j.firstToken, SlowestGap: j.slowestGap, Attempts: j.attempts,
@@ -282,10 +283,11 @@
 	}
 }
 
-// requestIDBytes is how much of the hash names a keyed request: enough that no two ever meet.
+// requestIDBytes is the length of the hash prefix in a keyed request's ID. It is long enough that collisions are
+// practically impossible.
 const requestIDBytes = 16
 
-// requestID names a keyed request within its customer.
+// requestID returns the ID of a keyed request. Equal keys of different customers give different IDs.
 func requestID(customer, key string) string {
 	sum := sha256.Sum256([]byte(strconv.Itoa(len(customer)) + ":" + customer + key))
 	return "k-" + hex.EncodeToString(sum[:requestIDBytes])
--- a/internal/gateway/http.go
+++ b/internal/gateway/http.go
@@ -31,11 +31,11 @@
 )
 
 const (
-	maxKey      = 255
-	maxDeadline = time.Hour
+	maxKeyLength = 255
+	maxDeadline  = time.Hour
 )
 
-// Handler serves callers.
+// Handler returns the HTTP handler for callers.
 func (g *Gateway) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
@@ -64,14 +64,14 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// Model is one line of the list of models.
+// Model is an entry of a ModelList.
 type Model struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	OwnedBy string `json:"owned_by"`
 }
 
-// ModelList answers GET /v1/models.
+// ModelList is the response to GET /v1/models.
 type ModelList struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
@@ -91,8 +91,8 @@
 	return c.JSON(http.StatusOK, out)
 }
 
-// open reads what every request has in common and checks it.
-func (g *Gateway) open(r *http.Request) (*job, []byte, error) {
+// newJob authenticates a request, reads its body and sets the fields that all kinds of requests share.
+func (g *Gateway) newJob(r *http.Request) (*job, []byte, error) {
 	if err := g.hook(r.Context(), step.Accept); err != nil {
 		return nil, nil, err
 	}
@@ -107,11 +107,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	j := &job{g: g, customer: id.customer, accepted: g.now(), out: newTranscript(), fingerprint: fingerprint(r, body)}
-	return j, body, g.fill(j, r, id)
+	j := &job{g: g, customer: id.customer, accepted: g.now(), transcript: newTranscript(), fingerprint: fingerprint(r, body)}
+	return j, body, g.resolve(j, r, id)
 }
 
-func leaving() error {
+func leavingError() error {
 	return verdict.New(verdict.NotRun, verdict.CodeStopping, "this instance is leaving", verdict.WithRetryAfter(time.Second))
 }
 
@@ -134,8 +134,8 @@
 	return h.Sum64()
 }
 
-// fill resolves the class, the deadline, the budget and the request's name.
-func (g *Gateway) fill(j *job, r *http.Request, id identity) error {
+// resolve sets the class, the deadline, the budget and the ID of the request.
+func (g *Gateway) resolve(j *job, r *http.Request, id identity) error {
 	j.class = id.class
 	if name := r.Header.Get(HeaderClass); name != "" {
 		j.class = name
@@ -143,13 +143,13 @@
 	decl := &g.feed.Document().Decl
 	class, ok := decl.Classes[j.class]
 	if !ok {
-		return bad(HeaderClass, "there is no class "+strconv.Quote(j.class))
+		return badRequest(HeaderClass, "there is no class "+strconv.Quote(j.class))
 	}
-	if own := decl.Classes[id.class]; class.Priority < own.Priority {
+	if keyClass := decl.Classes[id.class]; class.Priority < keyClass.Priority {
 		return verdict.New(verdict.NotRun, verdict.CodeForbidden, "the key may not use a more urgent class", verdict.WithField(HeaderClass))
 	}
 	j.priority = class.Priority
-	limit, err := deadline(r.Header.Get(HeaderDeadline), class.Deadline())
+	limit, err := parseDeadline(r.Header.Get(HeaderDeadline), class.Deadline())
 	if err != nil {
 		return err
 	}
@@ -158,44 +158,44 @@
 	if name := r.Header.Get(HeaderBudget); name != "" {
 		j.budget = name
 	}
-	return j.name(r.Header.Get(HeaderKey))
+	return j.setID(r.Header.Get(HeaderKey))
 }
 
-func deadline(header string, most time.Duration) (time.Duration, error) {
+func parseDeadline(header string, classDeadline time.Duration) (time.Duration, error) {
 	if header == "" {
-		return most, nil
+		return classDeadline, nil
 	}
 	ms, err := strconv.ParseInt(header, 10, 64)
 	if err != nil || ms < 1 || ms > maxDeadline.Milliseconds() {
-		return 0, bad(HeaderDeadline, "must be a number of milliseconds from 1 to 3600000")
+		return 0, badRequest(HeaderDeadline, "must be a number of milliseconds from 1 to 3600000")
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-func (j *job) name(key string) error {
+func (j *job) setID(key string) error {
 	if key == "" {
 		j.id = newRequestID()
 		return nil
 	}
-	if len(key) > maxKey {
-		return bad(HeaderKey, "must be at most 255 bytes")
+	if len(key) > maxKeyLength {
+		return badRequest(HeaderKey, "must be at most 255 bytes")
 	}
 	j.key = key
 	j.id = requestID(j.customer, key)
 	return nil
 }
 
-func bad(field, detail string) error {
+func badRequest(field, detail string) error {
 	return verdict.New(verdict.NotRun, verdict.CodeBadRequest, detail, verdict.WithField(field))
 }
 
 func (g *Gateway) completions(c echo.Context) error {
 	w, r := c.Response(), c.Request()
 	if !g.work.enter() {
-		return leaving()
+		return leavingError()
 	}
 	defer g.work.leave()
-	j, body, err := g.open(r)
+	j, body, err := g.newJob(r)
 	if err != nil {
 		return err
 	}
@@ -203,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	if err := g.fillChat(j, req, body); err != nil {
+	if err := g.resolveChat(j, req, body); err != nil {
 		return err
 	}
 	j, err = g.start(r.Context(), j)
@@ -213,14 +213,14 @@
 	}
 	w.Header().Set(chat.HeaderRequestID, j.id)
 	if req.Stream {
-		g.streamTo(r.Context(), w, j, req)
+		g.writeStream(r.Context(), w, j, req)
 	} else {
-		g.answerTo(r.Context(), w, j, req)
+		g.writeCompletion(r.Context(), w, j, req)
 	}
 	return nil
 }
 
-func (g *Gateway) fillChat(j *job, req *chat.Request, body []byte) error {
+func (g *Gateway) resolveChat(j *job, req *chat.Request, body []byte) error {
 	for name, p := range g.feed.Document().Decl.Pools {
 		if p.Kind == declare.KindEngine && p.Model == req.Model {
 			j.pool = name
@@ -231,7 +231,7 @@
 	}
 	var err error
 	if j.body, err = endpoint.Prepare(body, req.OutputLimit()); err != nil {
-		return bad("(body)", err.Error())
+		return badRequest("(body)", err.Error())
 	}
 	j.repeatable = true
 	j.tokens = req.TotalLimit()
@@ -240,33 +240,33 @@
 	return nil
 }
 
-// streamTo sends the answer as server-sent events. Errors before the first piece are problems; later ones are an
-// error event in place of the end marker.
-func (g *Gateway) streamTo(ctx context.Context, w http.ResponseWriter, j *job, req *chat.Request) {
+// writeStream sends the response as server-sent events. An error before the first piece is written as a problem
+// document; a later one as an error event in place of the end marker.
+func (g *Gateway) writeStream(ctx context.Context, w http.ResponseWriter, j *job, req *chat.Request) {
 	rc := http.NewResponseController(w)
-	begun := false
-	begin := func() {
-		if begun {
+	headerSent := false
+	sendHeader := func() {
+		if headerSent {
 			return
 		}
-		begun = true
+		headerSent = true
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.Header().Set("Cache-Control", "no-cache")
 		w.WriteHeader(http.StatusOK)
 	}
 	enc := newChunkEncoder(j, req)
-	err := j.out.follow(ctx, func(ps []endpoint.Piece) error {
-		begin()
-		if _, err := w.Write(enc.encode(ps)); err != nil {
+	err := j.transcript.follow(ctx, func(pieces []endpoint.Piece) error {
+		sendHeader()
+		if _, err := w.Write(enc.encode(pieces)); err != nil {
 			return err
 		}
 		return rc.Flush()
 	})
 	switch {
 	case err == nil:
-		begin()
+		sendHeader()
 		_, _ = io.WriteString(w, "data: "+chat.Done+"\n\n")
-	case !begun:
+	case !headerSent:
 		WriteProblem(w, err, j.id)
 	default:
 		writeErrorEvent(w, err, j.id)
@@ -283,7 +283,7 @@
 	return err
 }
 
-// ErrorEvent ends a stream that broke.
+// ErrorEvent is the last event of a stream that ended prematurely.
 type ErrorEvent struct {
 	Error Problem `json:"error"`
 }
@@ -292,8 +292,8 @@
 	_ = writeEvent(w, ErrorEvent{Error: NewProblem(err, request)})
 }
 
-func (g *Gateway) answerTo(ctx context.Context, w http.ResponseWriter, j *job, req *chat.Request) {
-	pieces, _, err := j.out.whole(ctx)
+func (g *Gateway) writeCompletion(ctx context.Context, w http.ResponseWriter, j *job, req *chat.Request) {
+	pieces, _, err := j.transcript.complete(ctx)
 	if err != nil {
 		WriteProblem(w, err, j.id)
 		return
@@ -316,7 +316,7 @@
 	_ = json.NewEncoder(w).Encode(out)
 }
 
-// service passes a call on to a plain service.
+// service forwards a call to a plain service.
 func (g *Gateway) service(c echo.Context) error {
 	w, r := c.Response(), c.Request()
 	route, ok := g.route(r.URL.Path)
@@ -324,17 +324,17 @@
 		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "there is nothing at "+r.URL.Path)
 	}
 	if !g.work.enter() {
-		return leaving()
+		return leavingError()
 	}
 	defer g.work.leave()
-	j, body, err := g.open(r)
+	j, body, err := g.newJob(r)
 	if err != nil {
 		return err
 	}
 	j.pool = route.Pool
 	j.repeatable = route.Repeatable
 	j.tokens = route.Tokens
-	j.plain = &plainJob{
+	j.plain = &plainCall{
 		route: route, path: r.URL.RequestURI(), method: r.Method, contentType: r.Header.Get("Content-Type"), body: body,
 	}
 	j, err = g.start(r.Context(), j)
@@ -342,17 +342,17 @@
 		WriteProblem(w, err, "")
 		return nil
 	}
-	_, answer, err := j.out.whole(r.Context())
+	_, resp, err := j.transcript.complete(r.Context())
 	if err != nil {
 		WriteProblem(w, err, j.id)
 		return nil
 	}
 	w.Header().Set(chat.HeaderRequestID, j.id)
 	w.Header().Set(chat.HeaderVerdict, verdict.Ran.String())
-	return c.Blob(answer.Status, answer.ContentType, answer.Body)
+	return c.Blob(resp.Status, resp.ContentType, resp.Body)
 }
 
-// route finds the declared route with the longest matching path.
+// route returns the declared route with the longest matching path.
 func (g *Gateway) route(path string) (declare.Route, bool) {
 	var best declare.Route
 	found := false
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -21,10 +21,10 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// longOutput is the output limit from which a request counts as long, in tokens.
+// longOutput is the output limit, in tokens, above which a request counts as long.
 const longOutput = 512
 
-// job is one request on its way through this instance.
+// job is a request that this instance serves.
 type job struct {
 	g *Gateway
 
@@ -38,32 +38,32 @@
 	deadline    time.Time
 	pool        string
 	repeatable  bool
-	tokens      int64 // the most that it can cost
+	tokens      int64 // upper bound of the cost
 	accepted    time.Time
 
-	body   []byte // as it is sent to an engine
+	body   []byte // as sent to an engine
 	blocks []uint64
 	long   bool
-	plain  *plainJob
+	plain  *plainCall
 
-	out         *transcript
-	hold        *budget.Hold
-	claimed     bool
-	claimRun    string // the run that the claim was made for
-	provisional bool   // the home of the key could not be asked whether another instance has the request
-	formerOwner string // the process from which an undispatched request was taken over
-	mayHaveRun  bool   // some attempt may have run: the request as a whole cannot be called not run any more
-	tried       []string
-	attempts    int
-	entered     bool // what it asks for is under suspicion, and it was let in
-	dispatched  bool // an endpoint may have been sent the request
-	begun       bool // a piece of the answer has come
-	firstToken  time.Duration
-	slowestGap  time.Duration
+	transcript        *transcript
+	hold              *budget.Hold
+	claimed           bool
+	claimRun          string // the run for which the claim was made
+	provisional       bool   // the key's home did not answer: another instance may have the request too
+	formerOwner       string // the incarnation from which an undispatched request was taken over
+	mayHaveRun        bool   // an earlier attempt may have run, so the request cannot end as not run
+	tried             []string
+	attempts          int
+	admittedAsSuspect bool // admitted although requests with its digest are suspected of crashing endpoints
+	dispatched        bool // the request may have reached an endpoint
+	streamed          bool // a piece of the response has arrived
+	firstToken        time.Duration
+	slowestGap        time.Duration
 }
 
-// plainJob is what a call of a plain service needs beside the rest.
-type plainJob struct {
+// plainCall holds what only a call of a plain service needs.
+type plainCall struct {
 	route       declare.Route
 	path        string
 	method      string
@@ -73,7 +73,7 @@
 
 func (j *job) keyed() bool { return j.key != "" }
 
-// run carries the request to its end: admitted, dispatched, settled, recorded.
+// run serves the request and finishes it.
 func (j *job) run(ctx context.Context) {
 	err := j.serve(ctx)
 	j.finish(ctx, err)
@@ -83,11 +83,11 @@
 	if err := j.g.hook(ctx, step.Admit); err != nil {
 		return err
 	}
-	if err := j.enter(); err != nil {
+	if err := j.admitSuspect(); err != nil {
 		return err
 	}
-	defer j.leave()
-	if err := j.opens(); err != nil {
+	defer j.releaseSuspect()
+	if err := j.checkAvailability(); err != nil {
 		return err
 	}
 	leave, err := j.g.gate(j.pool).Admit(ctx, admit.Request{Priority: j.priority, Customer: j.customer, Long: j.long, Deadline: j.deadline})
@@ -96,11 +96,11 @@
 	}
 	defer leave()
 	j.g.retries.Earn(j.customer)
-	return j.attemptAll(ctx)
+	return j.attemptWithRetries(ctx)
 }
 
-// attemptAll dispatches until an attempt succeeds or another one is not worth it.
-func (j *job) attemptAll(ctx context.Context) error {
+// attemptWithRetries makes attempts until one succeeds or another one is not allowed.
+func (j *job) attemptWithRetries(ctx context.Context) error {
 	for {
 		j.attempts++
 		err := j.attempt(ctx)
@@ -111,21 +111,21 @@
 		j.mayHaveRun = j.mayHaveRun || e.Verdict() != verdict.NotRun
 		f := retry.Failure{
 			Verdict: e.Verdict(), Code: e.Code(), Attempt: j.attempts, Repeatable: j.repeatable,
-			Delivered: j.out.delivered(), Remaining: j.deadline.Sub(j.g.now()),
+			Delivered: j.transcript.delivered(), Remaining: j.deadline.Sub(j.g.now()),
 		}
-		if ctx.Err() != nil || (e.Verdict() != verdict.NotRun && j.lone()) || !retry.ShouldRetry(f) || !j.g.retries.Spend(j.customer) || !j.out.reset() {
+		if ctx.Err() != nil || (e.Verdict() != verdict.NotRun && j.noRetry()) || !retry.ShouldRetry(f) || !j.g.retries.Spend(j.customer) || !j.transcript.reset() {
 			return err
 		}
 		j.g.metrics.retries.Inc(1)
 		select {
-		case <-time.After(retry.Backoff(j.attempts, j.g.rng())):
+		case <-time.After(retry.Backoff(j.attempts, j.g.newRand())):
 		case <-ctx.Done():
 			return err
 		}
 	}
 }
 
-// attempt picks an endpoint, makes sure that the request may run there, and reads its answer.
+// attempt picks an endpoint, ensures that the request may run there, dispatches it and reads the response.
 func (j *job) attempt(ctx context.Context) error {
 	t, ok := j.g.targets.Pick(j.pool, j.blocks, j.tried)
 	if !ok {
@@ -134,7 +134,7 @@
 	defer t.Lease.Done(pool.EndNeutral)
 	j.tried = append(j.tried, t.ID)
 	place := budget.Place{Run: ulid.Make().String(), Endpoint: t.ID, Attempt: j.attempts}
-	place, err := j.secure(ctx, place)
+	place, err := j.prepareRun(ctx, place)
 	if err != nil {
 		return err
 	}
@@ -150,12 +150,12 @@
 		return err
 	}
 	j.dispatched = true
-	began := j.g.now()
+	started := j.g.now()
 	err = j.dispatch(ctx, t, place)
 	if err != nil && ctx.Err() == nil {
-		j.sawEnd(ctx, t, began, err)
+		j.detectCrash(ctx, t, started, err)
 	}
-	j.judge(t, err)
+	j.reportOutcome(t, err)
 	return err
 }
 
@@ -164,32 +164,32 @@
 		return j.invoke(ctx, t, place)
 	}
 	s, err := j.g.driver.Dispatch(ctx, endpoint.Call{
-		URL: t.URL, Run: place.Run, Attempt: place.Attempt, Priority: j.priority, Fence: t.Fence, Body: j.body, OnNotice: j.onNotice(t),
+		URL: t.URL, Run: place.Run, Attempt: place.Attempt, Priority: j.priority, Fence: t.Fence, Body: j.body, OnNotice: j.noticeHandler(t),
 	})
 	if err != nil {
-		j.abandon(place, err)
+		j.stopRun(place, err)
 		return err
 	}
-	return j.read(ctx, t.URL, place, s)
+	return j.readStream(ctx, t.URL, place, s)
 }
 
 func (j *job) invoke(ctx context.Context, t targets.Target, place budget.Place) error {
-	a, err := j.g.driver.Invoke(ctx, endpoint.PlainCall{
+	resp, err := j.g.driver.Invoke(ctx, endpoint.PlainCall{
 		URL: t.URL + j.plain.path, Method: j.plain.method, ContentType: j.plain.contentType,
-		Run: place.Run, Attempt: place.Attempt, Key: j.key, Body: j.plain.body, OnNotice: j.onNotice(t),
+		Run: place.Run, Attempt: place.Attempt, Key: j.key, Body: j.plain.body, OnNotice: j.noticeHandler(t),
 	})
 	if err != nil {
 		return err
 	}
 	j.firstToken = j.g.now().Sub(j.accepted)
-	j.out.setAnswer(a)
+	j.transcript.setResponse(resp)
 	return nil
 }
 
-// onNotice takes what the endpoint reports of itself in its answer.
-func (j *job) onNotice(t targets.Target) endpoint.NoticeFunc {
-	return func(w pool.Notice, status int) {
-		t.Lease.ObserveNotice(w, pool.Answer{Request: j.id, Status: status})
+// noticeHandler returns a function that applies the notice in the endpoint's response header to the pool.
+func (j *job) noticeHandler(t targets.Target) endpoint.NoticeFunc {
+	return func(notice pool.Notice, status int) {
+		t.Lease.ObserveNotice(notice, pool.Answer{Request: j.id, Status: status})
 		if status < http.StatusMultipleChoices {
 			t.Lease.Accepted()
 		}
@@ -197,13 +197,14 @@
 }
 
 const (
-	resumeTries = 3
-	resumePause = 20 * time.Millisecond
-	stopWithin  = time.Second
+	maxResumeAttempts = 3
+	resumePause       = 20 * time.Millisecond
+	stopTimeout       = time.Second
 )
 
-// read copies a stream into the transcript. A broken one is resumed where it broke off, if the engine still has it.
-func (j *job) read(ctx context.Context, url string, place budget.Place, s *endpoint.Stream) error {
+// readStream copies a stream into the transcript. An interrupted stream is resumed where it ended, if the engine still
+// has the run.
+func (j *job) readStream(ctx context.Context, url string, place budget.Place, s *endpoint.Stream) error {
 	for try := 0; ; try++ {
 		err := j.copyStream(ctx, s)
 		offset := s.Offset()
@@ -214,52 +215,52 @@
 		if ctx.Err() != nil {
 			return verdict.New(verdict.Ran, verdict.CodeCancelled, "the caller hung up or the time ran out", verdict.WithCause(err))
 		}
-		if verdict.From(err).Code() != verdict.CodeTruncated || try == resumeTries {
+		if verdict.From(err).Code() != verdict.CodeTruncated || try == maxResumeAttempts {
 			return err
 		}
-		next, rerr := j.resume(ctx, url, place, offset)
-		if rerr != nil {
+		resumed, resumeErr := j.resume(ctx, url, place, offset)
+		if resumeErr != nil {
 			return err
 		}
 		j.g.metrics.resumes.Inc(1)
-		s = next
+		s = resumed
 	}
 }
 
 func (j *job) resume(ctx context.Context, url string, place budget.Place, offset int64) (*endpoint.Stream, error) {
-	var last error
-	for range resumeTries {
+	var lastErr error
+	for range maxResumeAttempts {
 		s, err := j.g.driver.Resume(ctx, url, place.Run, place.Attempt, offset)
 		if err == nil || verdict.From(err).Code() == verdict.CodeNotFound {
 			return s, err
 		}
-		last = err
+		lastErr = err
 		select {
 		case <-time.After(resumePause):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// abandon stops a run whose fate is unknown, so that it does not go on unread.
-func (j *job) abandon(place budget.Place, err error) {
+// stopRun stops a run whose outcome is unknown, so that the endpoint does not generate tokens that nobody reads.
+func (j *job) stopRun(place budget.Place, err error) {
 	if verdict.Of(err) == verdict.NotRun {
 		return
 	}
 	j.g.work.run(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 		defer cancel()
 		_, _, _, _ = j.g.stopper.StopRun(ctx, place)
 	})
 }
 
-// judge notes how the endpoint did.
-func (j *job) judge(t targets.Target, err error) {
+// reportOutcome reports the outcome of an attempt to the pool, and a success also to the quarantine.
+func (j *job) reportOutcome(t targets.Target, err error) {
 	if err == nil {
 		if j.g.suspects.Suspects(j.customer) {
-			j.g.suspects.RecordSuccess(j.asks())
+			j.g.suspects.RecordSuccess(j.requestDigest())
 		}
 		t.Lease.Done(pool.EndGood)
 		t.Lease.ObserveLatency(j.firstToken, j.slowestGap)
@@ -275,39 +276,40 @@
 	}
 }
 
-// copyStream adds the stream's pieces to the transcript until it ends.
+// copyStream adds the pieces of a stream to the transcript until the stream ends.
 func (j *job) copyStream(ctx context.Context, s *endpoint.Stream) error {
-	last := j.g.now()
+	lastPiece := j.g.now()
 	for {
 		p, err := s.Next()
 		if err != nil {
-			return endOf(err)
+			return ignoreEOF(err)
 		}
 		now := j.g.now()
-		if !j.begun {
-			j.begun = true
+		if !j.streamed {
+			j.streamed = true
 			j.firstToken = now.Sub(j.accepted)
 			if err := j.g.hook(ctx, step.FirstToken); err != nil {
 				return err
 			}
 		} else {
-			j.slowestGap = max(j.slowestGap, now.Sub(last))
+			j.slowestGap = max(j.slowestGap, now.Sub(lastPiece))
 			if err := j.g.hook(ctx, step.MidStream); err != nil {
 				return err
 			}
 		}
-		last = now
+		lastPiece = now
 		if p.Usage != nil {
 			if err := j.g.hook(ctx, step.LastToken); err != nil {
 				return err
 			}
 		}
-		j.out.add(p)
+		j.transcript.add(p)
 	}
 }
 
-// overall is the request's error given that of its last attempt: an earlier attempt may have run.
-func (j *job) overall(err error) error {
+// requestError turns the error of the last attempt into that of the request. If an earlier attempt may have run, so may
+// the request.
+func (j *job) requestError(err error) error {
 	if err == nil || !j.mayHaveRun || verdict.Of(err) != verdict.NotRun {
 		return err
 	}
@@ -315,24 +317,25 @@
 	return verdict.New(verdict.MayHaveRun, e.Code(), e.Detail(), verdict.WithRetryAfter(e.RetryAfter()), verdict.WithCause(err))
 }
 
-// finish settles the bill, records the end and lets the callers have it.
+// finish settles the reservation, records the outcome and ends the transcript.
 func (j *job) finish(ctx context.Context, err error) {
-	err = j.overall(err)
-	used := j.used(ctx, err)
+	err = j.requestError(err)
+	used := j.tokensUsed(ctx, err)
 	if j.hold != nil {
 		if j.provisional && used > 0 {
-			j.g.deferSettle(j, used)
+			j.g.deferSettlement(j, used)
 		} else {
 			j.hold.Settle(used)
 		}
 	}
-	j.conclude(ctx, err, used)
-	j.g.record(j, err, used)
-	j.out.end(err)
+	j.updateKey(ctx, err, used)
+	j.g.recordOutcome(j, err, used)
+	j.transcript.end(err)
 }
 
-// used is what the request is billed: what the endpoint says, or what is known to have been generated.
-func (j *job) used(ctx context.Context, err error) int64 {
+// tokensUsed returns the number of tokens to bill: the usage that the endpoint reports, or else the tokens that have been
+// received.
+func (j *job) tokensUsed(ctx context.Context, err error) int64 {
 	if err != nil && verdict.Of(err) == verdict.NotRun {
 		return 0
 	}
@@ -343,48 +346,48 @@
 		return j.tokens
 	}
 	if err == nil {
-		j.out.mu.Lock()
-		defer j.out.mu.Unlock()
-		return j.out.usage.TotalTokens
+		j.transcript.mu.Lock()
+		defer j.transcript.mu.Unlock()
+		return j.transcript.usage.TotalTokens
 	}
-	c, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopWithin)
+	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
-	n, known, _, serr := j.g.stopper.StopRun(c, j.hold.Place())
-	if serr == nil && known {
+	n, known, _, stopErr := j.g.stopper.StopRun(stopCtx, j.hold.Place())
+	if stopErr == nil && known {
 		return n
 	}
-	return j.out.tokens()
+	return j.transcript.tokens()
 }
 
-// conclude tells the home of the key how the request ended, and gives a claim back if it has surely not run.
-func (j *job) conclude(ctx context.Context, err error, used int64) {
+// updateKey reports the outcome of a keyed request to the key's home. If the request has not run, the claim is released.
+func (j *job) updateKey(ctx context.Context, err error, used int64) {
 	if !j.keyed() {
 		return
 	}
-	c, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopWithin)
+	keyCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
 	notRun := err != nil && verdict.Of(err) == verdict.NotRun
 	if notRun {
 		if j.claimRun != "" {
-			j.g.claims.Release(c, j.id, j.claimRun)
+			j.g.claims.Release(keyCtx, j.id, j.claimRun)
 		}
 		if !j.provisional {
-			j.g.keys.Drop(c, j.customer, j.record(budget.Place{}, false, 0))
+			j.g.keys.Drop(keyCtx, j.customer, j.keyRecord(budget.Place{}, false, 0))
 		}
-		j.g.forget(j.id, j)
+		j.g.removeJob(j.id, j)
 		return
 	}
 	if !j.provisional && j.hold != nil {
-		_, _ = j.g.keys.Note(c, j.customer, j.record(j.hold.Place(), true, used))
+		_, _ = j.g.keys.Note(keyCtx, j.customer, j.keyRecord(j.hold.Place(), true, used))
 	}
 }
 
-func (g *Gateway) rng() *rand.Rand {
+func (g *Gateway) newRand() *rand.Rand {
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) //nolint:gosec // jitter
 }
 
-// endOf turns the end marker into success.
-func endOf(err error) error {
+// ignoreEOF returns nil for io.EOF, which stands for a complete response.
+func ignoreEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return nil
 	}
--- a/internal/gateway/problem.go
+++ b/internal/gateway/problem.go
@@ -11,7 +11,7 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// Problem is an error as callers and operators see it (RFC 9457).
+// Problem is the problem document (RFC 9457) in which callers and operators receive an error.
 type Problem struct {
 	Type       string `json:"type"`
 	Title      string `json:"title"`
@@ -24,26 +24,26 @@
 }
 
 const (
-	problemType    = "urn:ledgemount:problem:"
-	problemContent = "application/problem+json"
+	problemType        = "urn:ledgemount:problem:"
+	problemContentType = "application/problem+json"
 )
 
-// NewProblem describes an error.
+// NewProblem returns the problem document of an error.
 func NewProblem(err error, request string) Problem {
 	e := verdict.From(err)
 	return Problem{
 		Type: problemType + string(e.Code()), Title: string(e.Code()), Status: e.Code().Status(), Detail: e.Detail(),
-		Verdict: e.Verdict().String(), Field: e.Field(), RequestID: request, RetryAfter: seconds(e.RetryAfter()),
+		Verdict: e.Verdict().String(), Field: e.Field(), RequestID: request, RetryAfter: ceilSeconds(e.RetryAfter()),
 	}
 }
 
-func seconds(d time.Duration) int64 { return int64(math.Ceil(d.Seconds())) }
+func ceilSeconds(d time.Duration) int64 { return int64(math.Ceil(d.Seconds())) }
 
-// WriteProblem sends an error with its verdict header.
+// WriteProblem sends an error as a problem document, with the verdict header.
 func WriteProblem(w http.ResponseWriter, err error, request string) {
 	p := NewProblem(err, request)
 	h := w.Header()
-	h.Set("Content-Type", problemContent)
+	h.Set("Content-Type", problemContentType)
 	h.Set(chat.HeaderVerdict, p.Verdict)
 	if request != "" {
 		h.Set(chat.HeaderRequestID, request)
--- a/internal/gateway/secure.go
+++ b/internal/gateway/secure.go
@@ -10,9 +10,9 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// secure reserves the budget, claims the request if it must not run twice, and records where it will run. The place
-// that it returns is the one that the budget's holder knows.
-func (j *job) secure(ctx context.Context, place budget.Place) (budget.Place, error) {
+// prepareRun reserves the budget, claims the request if it must not run twice, and records where it will run. It returns
+// the place that the budget's holder has recorded.
+func (j *job) prepareRun(ctx context.Context, place budget.Place) (budget.Place, error) {
 	if err := j.reserve(ctx, place); err != nil {
 		return place, err
 	}
@@ -25,45 +25,45 @@
 			return place, err
 		}
 	}
-	return place, j.note(ctx, place)
+	return place, j.recordPlace(ctx, place)
 }
 
 func (j *job) reserve(ctx context.Context, place budget.Place) error {
 	if j.hold != nil {
 		return j.hold.Move(ctx, place)
 	}
-	h, resp, err := j.askBudget(ctx, place)
+	h, resp, err := j.reserveWithRetries(ctx, place)
 	if err != nil {
 		return err
 	}
 	if resp.Outcome == budget.Existing && j.formerOwner != "" && resp.Owner == j.formerOwner {
-		return j.inherit(ctx, resp.At, place)
+		return j.takeOverReservation(ctx, resp.At, place)
 	}
 	if resp.Outcome != budget.Granted {
-		return j.occupied(resp)
+		return j.conflictError(resp)
 	}
 	j.hold = h
 	return nil
 }
 
 const (
-	leftoverTries = 10
-	leftoverPause = 20 * time.Millisecond
+	staleReservationAttempts = 10
+	staleReservationPause    = 20 * time.Millisecond
 )
 
-// askBudget reserves. A reservation that an earlier attempt of the same request left behind, when it was refused as not
-// run, goes away within moments: it is waited for.
-func (j *job) askBudget(ctx context.Context, place budget.Place) (h *budget.Hold, resp budget.ReserveResp, err error) {
+// reserveWithRetries makes the reservation. An earlier attempt of the same request that was rejected as not run may have
+// left a reservation behind. The holder removes it shortly, so reserveWithRetries retries while it exists.
+func (j *job) reserveWithRetries(ctx context.Context, place budget.Place) (h *budget.Hold, resp budget.ReserveResp, err error) {
 	ask := budget.Ask{
 		Request: j.id, Budget: j.budget, Customer: j.customer, Tokens: j.tokens, Place: place, Keyed: j.keyed(),
 	}
-	for range leftoverTries {
+	for range staleReservationAttempts {
 		h, resp, err = j.g.budgets.Reserve(ctx, ask)
 		if err != nil || resp.Outcome != budget.Existing || j.formerOwner != "" || j.provisional {
 			return h, resp, err
 		}
 		select {
-		case <-time.After(leftoverPause):
+		case <-time.After(staleReservationPause):
 		case <-ctx.Done():
 			return h, resp, nil
 		}
@@ -71,9 +71,9 @@
 	return h, resp, err
 }
 
-// occupied judges a request whose budget is reserved or settled by another instance. If the home of the key knew of
-// nobody else, nothing has run for this one.
-func (j *job) occupied(resp budget.ReserveResp) error {
+// conflictError returns the error for a request whose budget another instance has reserved or settled. If the reservation
+// is still open and the key's home knew of no other owner, this request has not run.
+func (j *job) conflictError(resp budget.ReserveResp) error {
 	v := verdict.MayHaveRun
 	if resp.Outcome == budget.Existing && !j.provisional {
 		v = verdict.NotRun
@@ -81,9 +81,10 @@
 	return verdict.New(v, verdict.CodeConflict, "another instance is serving this request", verdict.WithRetryAfter(time.Second))
 }
 
-// inherit makes the former owner's reservation this job's. The former owner never dispatched it, and may not any more.
-func (j *job) inherit(ctx context.Context, at string, place budget.Place) error {
-	h, resp, err := j.g.budgets.TakeOver(ctx, at, budget.Ask{
+// takeOverReservation makes this job the owner of the former owner's reservation. The former owner never dispatched the
+// request, and can no longer do so.
+func (j *job) takeOverReservation(ctx context.Context, holderAddr string, place budget.Place) error {
+	h, resp, err := j.g.budgets.TakeOver(ctx, holderAddr, budget.Ask{
 		Request: j.id, Budget: j.budget, Customer: j.customer, Tokens: j.tokens, Place: place, Keyed: true,
 	})
 	if err != nil {
@@ -110,15 +111,16 @@
 	return nil
 }
 
-// note records the place with the home of the key. An instance that is no longer the owner must not dispatch.
-func (j *job) note(ctx context.Context, place budget.Place) error {
+// recordPlace reports the place to the key's home. It fails if this instance is no longer the owner, which must not
+// dispatch the request.
+func (j *job) recordPlace(ctx context.Context, place budget.Place) error {
 	if j.provisional {
 		return nil
 	}
-	owner, err := j.g.keys.Note(ctx, j.customer, j.record(place, false, 0))
+	owner, err := j.g.keys.Note(ctx, j.customer, j.keyRecord(place, false, 0))
 	if err != nil {
 		j.provisional = true
-		return nil //nolint:nilerr // the request is settled only once the home has been asked
+		return nil //nolint:nilerr // the request is settled only after the home has answered
 	}
 	if !owner {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeConflict, "another instance has taken this request over",
@@ -127,7 +129,7 @@
 	return nil
 }
 
-func (j *job) record(place budget.Place, done bool, tokens int64) once.Record {
+func (j *job) keyRecord(place budget.Place, done bool, tokens int64) once.Record {
 	rec := once.Record{
 		Request: j.id, Fingerprint: j.fingerprint, Owner: j.g.members.Self(), Place: place, Done: done, Tokens: tokens,
 	}
--- a/internal/gateway/tracker.go
+++ b/internal/gateway/tracker.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// tracker counts what is in progress. Unlike a WaitGroup it may be waited on while work still begins, and entering and
-// closing exclude each other: what has entered before the closing is waited for, nothing enters after it.
+// tracker counts the work in progress. Unlike a WaitGroup, wait may be called while more work starts. enter and close
+// exclude each other: wait covers all work that entered before close, and nothing enters after it.
 type tracker struct {
 	mu     sync.Mutex
 	n      int
@@ -20,7 +20,7 @@
 	return t
 }
 
-// enter begins a piece of work from outside, unless the tracker is closed.
+// enter counts a new piece of work. It returns false if the tracker is closed.
 func (t *tracker) enter() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -38,7 +38,7 @@
 	t.n++
 }
 
-// leave ends a piece of work.
+// leave counts a piece of work as ended.
 func (t *tracker) leave() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,7 +48,8 @@
 	}
 }
 
-// run does a piece of work in the background, also after the closing: it belongs to something that has entered before.
+// run calls f in the background and counts it as work. It does so even after close, since f belongs to work that
+// entered before.
 func (t *tracker) run(f func()) {
 	t.mu.Lock()
 	t.add()
@@ -59,7 +60,7 @@
 	}()
 }
 
-// close keeps anything more from entering.
+// close makes enter return false from now on.
 func (t *tracker) close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,7 +73,7 @@
 	return t.closed
 }
 
-// wait waits until nothing is in progress, or until ctx ends.
+// wait blocks until no work is in progress, or ctx ends.
 func (t *tracker) wait(ctx context.Context) error {
 	for {
 		t.mu.Lock()
--- a/internal/gateway/transcript.go
+++ b/internal/gateway/transcript.go
@@ -8,23 +8,24 @@
 	"github.com/ledgemount/ledgemount/internal/endpoint"
 )
 
-// transcript is an answer as it grows. The request's job writes it; any number of callers read it, from the start.
+// transcript is the part of a response that has been received so far. The request's job writes it. Any number of callers
+// read it, each from the start.
 type transcript struct {
-	mu      sync.Mutex
-	pieces  []endpoint.Piece
-	answer  *endpoint.Response // of a plain service
-	usage   chat.Usage
-	ended   bool
-	err     error
-	tapped  bool // a streaming caller has seen a piece: it cannot be taken back
-	changed chan struct{}
+	mu       sync.Mutex
+	pieces   []endpoint.Piece
+	response *endpoint.Response // only of a plain service
+	usage    chat.Usage
+	ended    bool
+	err      error
+	followed bool // a streaming caller reads along: pieces cannot be discarded any more
+	changed  chan struct{}
 }
 
 func newTranscript() *transcript {
 	return &transcript{changed: make(chan struct{})}
 }
 
-func (t *transcript) wake() {
+func (t *transcript) notify() {
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
@@ -36,41 +37,41 @@
 	if p.Usage != nil {
 		t.usage = *p.Usage
 	}
-	t.wake()
+	t.notify()
 }
 
-func (t *transcript) setAnswer(a *endpoint.Response) {
+func (t *transcript) setResponse(resp *endpoint.Response) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.answer = a
+	t.response = resp
 }
 
 func (t *transcript) end(err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.ended, t.err = true, err
-	t.wake()
+	t.notify()
 }
 
-// reset takes back what nobody has seen. It reports whether that was possible.
+// reset discards the pieces, unless a caller has received some of them. It reports whether it did.
 func (t *transcript) reset() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.tapped && len(t.pieces) > 0 {
+	if t.followed && len(t.pieces) > 0 {
 		return false
 	}
 	t.pieces = nil
 	return true
 }
 
-// delivered reports whether a caller has seen a part of the answer.
+// delivered reports whether a caller has received a part of the response.
 func (t *transcript) delivered() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.tapped && len(t.pieces) > 0
+	return t.followed && len(t.pieces) > 0
 }
 
-// tokens is the number of generated tokens in the transcript.
+// tokens returns the number of generated tokens in the transcript.
 func (t *transcript) tokens() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,26 +82,27 @@
 	return n
 }
 
-// tap marks the answer as seen while it grows.
-func (t *transcript) tap() {
+// markFollowed records that a streaming caller reads the transcript while it grows.
+func (t *transcript) markFollowed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.tapped = true
+	t.followed = true
 }
 
-// follow hands the pieces to each as they come, those that have come together at once, and returns the answer's end.
-func (t *transcript) follow(ctx context.Context, each func([]endpoint.Piece) error) error {
-	t.tap()
+// follow calls fn with the pieces as they arrive, and returns the error with which the response ends. Pieces that have
+// arrived since the last call go into one call.
+func (t *transcript) follow(ctx context.Context, fn func([]endpoint.Piece) error) error {
+	t.markFollowed()
 	for i := 0; ; {
 		t.mu.Lock()
-		fresh := t.pieces[min(i, len(t.pieces)):]
+		added := t.pieces[min(i, len(t.pieces)):]
 		ended, err, changed := t.ended, t.err, t.changed
 		t.mu.Unlock()
-		if len(fresh) > 0 {
-			if err := each(fresh); err != nil {
+		if len(added) > 0 {
+			if err := fn(added); err != nil {
 				return err
 			}
-			i += len(fresh)
+			i += len(added)
 			continue
 		}
 		if ended {
@@ -114,15 +116,15 @@
 	}
 }
 
-// whole waits for the end and returns every piece.
-func (t *transcript) whole(ctx context.Context) ([]endpoint.Piece, *endpoint.Response, error) {
+// complete waits until the response has ended, and returns all of it.
+func (t *transcript) complete(ctx context.Context) ([]endpoint.Piece, *endpoint.Response, error) {
 	for {
 		t.mu.Lock()
 		ended, err, changed := t.ended, t.err, t.changed
-		pieces, answer := t.pieces, t.answer
+		pieces, response := t.pieces, t.response
 		t.mu.Unlock()
 		if ended {
-			return pieces, answer, err
+			return pieces, response, err
 		}
 		select {
 		case <-changed:
