--- a/internal/chat/chat.go
+++ b/internal/chat/chat.go
@@ -1,7 +1,7 @@
-// Package chat has the messages of the chat-completions API, as callers and model engines speak it.
+// Package chat defines the messages of the chat-completions API, which callers and model engines use.
 //
 // Source of the wire format: the published OpenAI-compatible chat-completions API. Fields that the project
-// does not read are kept and passed on to the endpoint unchanged.
+// does not read are retained and forwarded to the endpoint unchanged.
 package chat
 
 import (
@@ -11,18 +11,19 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// Headers that instances and endpoints exchange beside the chat-completions API.
+// Headers that instances and endpoints exchange in addition to the chat-completions API. An endpoint may set HeaderLeaving
+// and HeaderLimit in any response.
 const (
-	HeaderRequestID = "X-Request-Id"         // names the request; endpoints send it back
-	HeaderAttempt   = "X-Request-Attempt"    // decimal number of the try; endpoints send it back
+	HeaderRequestID = "X-Request-Id"         // ID of the request; endpoints return it
+	HeaderAttempt   = "X-Request-Attempt"    // decimal number of the attempt; endpoints return it
 	HeaderPriority  = "X-Request-Priority"   // smaller is more urgent
-	HeaderFence     = "X-Endpoint-Fence"     // orders with a smaller number are refused
+	HeaderFence     = "X-Endpoint-Fence"     // fencing token; the endpoint refuses smaller ones
 	HeaderVerdict   = "X-Ledgemount-Verdict" // not-run, may-have-run or ran
-	HeaderLeaving   = "X-Endpoint-Leaving"   // 1: the endpoint takes no new work and will end; it may stand in any of its answers
-	HeaderLimit     = "X-Endpoint-Limit"     // requests a second that the endpoint takes from all instances together; likewise
+	HeaderLeaving   = "X-Endpoint-Leaving"   // 1: the endpoint accepts no new work and will exit
+	HeaderLimit     = "X-Endpoint-Limit"     // requests per second that the endpoint accepts from all instances together
 )
 
-// Limits on what a caller may ask for.
+// Limits on a caller's request.
 const (
 	DefaultMaxTokens = 256
 	MaxTokens        = 1 << 17
@@ -49,23 +50,23 @@
 	} `json:"stream_options"`
 }
 
-// ParseRequest decodes and checks a caller's body. Its errors are NotRun and name the field.
+// ParseRequest decodes and validates the body of a caller's request. Its errors are NotRun and name the field.
 func ParseRequest(body []byte) (*Request, error) {
 	var req Request
 	if err := json.Unmarshal(body, &req); err != nil {
-		return nil, bad(fieldOf(err), "the body is not valid: "+err.Error())
+		return nil, badRequest(fieldOf(err), "the body is not valid: "+err.Error())
 	}
 	if req.Model == "" {
-		return nil, bad("model", "a model name is needed")
+		return nil, badRequest("model", "a model name is needed")
 	}
 	if len(req.Messages) == 0 {
-		return nil, bad("messages", "at least one message is needed")
+		return nil, badRequest("messages", "at least one message is needed")
 	}
 	if len(req.Messages) > maxMessages {
-		return nil, bad("messages", "too many messages")
+		return nil, badRequest("messages", "too many messages")
 	}
 	if req.Choices != nil && *req.Choices != 1 {
-		return nil, bad("n", "only one choice per request is supported")
+		return nil, badRequest("n", "only one choice per request is supported")
 	}
 	if err := checkTokens("max_tokens", req.MaxTokens); err != nil {
 		return nil, err
@@ -81,15 +82,15 @@
 		return nil
 	}
 	if *n < 1 {
-		return bad(field, "must be at least 1")
+		return badRequest(field, "must be at least 1")
 	}
 	if *n > MaxTokens {
-		return bad(field, "must be at most 131072")
+		return badRequest(field, "must be at most 131072")
 	}
 	return nil
 }
 
-func bad(field, detail string) error {
+func badRequest(field, detail string) error {
 	return verdict.New(verdict.NotRun, verdict.CodeBadRequest, detail, verdict.WithField(field))
 }
 
@@ -100,7 +101,7 @@
 	return ""
 }
 
-// OutputLimit is the largest number of tokens that the request may generate.
+// OutputLimit returns the largest number of tokens that the request may generate.
 func (r *Request) OutputLimit() int64 {
 	switch {
 	case r.MaxCompletionTokens != nil:
@@ -111,7 +112,7 @@
 	return DefaultMaxTokens
 }
 
-// InputLimit is an upper bound of the prompt's tokens: a token covers at least one byte.
+// InputLimit returns an upper bound of the prompt's tokens: a token covers at least one byte.
 func (r *Request) InputLimit() int64 {
 	var n int64
 	for _, m := range r.Messages {
@@ -120,7 +121,7 @@
 	return n
 }
 
-// TotalLimit is the most that the request can cost. It cannot overflow.
+// TotalLimit returns the largest number of tokens that the request can cost. It does not overflow.
 func (r *Request) TotalLimit() int64 {
 	in, out := r.InputLimit(), r.OutputLimit()
 	if in > math.MaxInt64-out {
@@ -136,13 +137,13 @@
 	TotalTokens      int64 `json:"total_tokens"`
 }
 
-// Delta is a piece of the answer.
+// Delta is a piece of the response.
 type Delta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content,omitempty"`
 }
 
-// Choice is one alternative answer; this project always has one.
+// Choice is one of the alternative responses; this project always has exactly one.
 type Choice struct {
 	Index        int     `json:"index"`
 	Delta        *Delta  `json:"delta,omitempty"`
@@ -150,7 +151,7 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Chunk is one event of a streamed answer. Offset is an extension: the tokens generated before this piece.
+// Chunk is one event of a streamed response. Offset is an extension: the number of tokens generated before this chunk.
 type Chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -162,7 +163,7 @@
 	Tokens  int64    `json:"tokens,omitempty"`
 }
 
-// Completion is a whole answer.
+// Completion is a complete response.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -172,10 +173,10 @@
 	Usage   Usage    `json:"usage"`
 }
 
-// Done is the data of a stream's end marker.
+// Done is the data of the event that marks the end of a stream.
 const Done = "[DONE]"
 
-// Objects named in answers.
+// Values of the fields object and finish_reason in responses.
 const (
 	ObjectChunk      = "chat.completion.chunk"
 	ObjectCompletion = "chat.completion"
--- a/internal/chat/chat_test.go
+++ b/internal/chat/chat_test.go
@@ -20,7 +20,7 @@
 		{"wrong type", `{"model":5,"messages":[]}`, "model"},
 	}
 	for _, c := range cases {
-		Convey("A body with "+c.name+" is refused as not run, and the field is named", t, func() {
+		Convey("A body with "+c.name+" is rejected as not run, and the error names the field", t, func() {
 			_, err := ParseRequest([]byte(c.body))
 			So(err, ShouldNotBeNil)
 			e := verdict.From(err)
--- a/internal/endpoint/cache.go
+++ b/internal/endpoint/cache.go
@@ -12,22 +12,22 @@
 	"github.com/ledgemount/ledgemount/internal/endpoint/wire"
 )
 
-// KVCache moves blocks of an engine's prompt cache.
+// KVCache moves blocks of prompt caches between engines.
 type KVCache interface {
-	// ExportKV reads a block's content from an engine.
+	// ExportKV reads the content of a block from an engine.
 	ExportKV(ctx context.Context, base string, block uint64) ([]byte, error)
-	// ImportKV gives a block's content to an engine.
+	// ImportKV writes the content of a block to an engine.
 	ImportKV(ctx context.Context, base string, block uint64, data []byte) error
 }
 
 var _ KVCache = (*Driver)(nil)
 
 const (
-	maxBlock = 64 << 20
-	hexBase  = 16
+	maxBlockBytes = 64 << 20
+	hexBase       = 16
 )
 
-// CacheEvents reads what an engine says of its prompt cache since a number.
+// CacheEvents returns the events of an engine's prompt cache that follow sequence number after.
 func (d *Driver) CacheEvents(ctx context.Context, base string, after int64) ([]wire.CacheEvent, error) {
 	var out wire.CacheEvents
 	u := base + wire.PathEvents + "?after=" + strconv.FormatInt(after, 10)
@@ -56,7 +56,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, statusError(resp)
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBlock))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBlockBytes))
 	return data, eris.Wrap(err, "reading a cache block")
 }
 
--- a/internal/endpoint/engine.go
+++ b/internal/endpoint/engine.go
@@ -1,4 +1,4 @@
-// Package endpoint drives model engines and plain services.
+// Package endpoint is the client of model engines and plain services.
 package endpoint
 
 import (
@@ -26,48 +26,48 @@
 )
 
 const (
-	dialTimeout   = time.Second
-	idlePerHost   = 256
-	idleTimeout   = time.Minute
-	maxEvent      = 1 << 20
-	maxErrorBody  = 4 << 10
-	scannerBuffer = 4 << 10
+	dialTimeout       = time.Second
+	idlePerHost       = 256
+	idleTimeout       = time.Minute
+	maxEventBytes     = 1 << 20
+	maxErrorBodyBytes = 4 << 10
+	scannerBuffer     = 4 << 10
 )
 
-// Call is one dispatch of a request to a model engine.
+// Call is a request to a model engine.
 type Call struct {
 	URL      string
-	Run      string // id under which the engine knows the request
+	Run      string // ID under which the engine runs the request
 	Attempt  int
 	Priority int
 	Fence    int64
-	Body     []byte // chat-completions request, already prepared with Prepare
+	Body     []byte // chat-completions request, as returned by Prepare
 	OnNotice NoticeFunc
 }
 
-// NoticeFunc is told what an endpoint reports of itself in the head of an answer; nil: nobody is.
+// NoticeFunc receives the notice in the header of an endpoint's response, and the status code. It may be nil.
 type NoticeFunc func(w pool.Notice, status int)
 
-// tell reads the head of an answer, unless it names another request.
-func (f NoticeFunc) tell(resp *http.Response, run string) {
-	if named := resp.Header.Get(chat.HeaderRequestID); f != nil && (named == "" || named == run) {
+// notify passes on the notice in a response header, unless the response belongs to another request.
+func (f NoticeFunc) notify(resp *http.Response, run string) {
+	if id := resp.Header.Get(chat.HeaderRequestID); f != nil && (id == "" || id == run) {
 		f(answer.Notice(resp.StatusCode, resp.Header, answer.Headers{Leaving: chat.HeaderLeaving, Limit: chat.HeaderLimit}), resp.StatusCode)
 	}
 }
 
-// Driver speaks to endpoints.
+// Driver is an HTTP client for endpoints.
 type Driver struct {
-	http  *http.Client
-	alien atomic.Int64
+	http       *http.Client
+	mismatched atomic.Int64
 }
 
-// NewDriver makes a driver with a connection pool of its own.
+// NewDriver returns a Driver with its own connection pool.
 func NewDriver() *Driver { return NewDriverWith(NewTransport()) }
 
-// NewDriverWith makes a driver on a transport.
+// NewDriverWith returns a Driver that uses a given transport.
 func NewDriverWith(t http.RoundTripper) *Driver { return &Driver{http: &http.Client{Transport: t}} }
 
-// NewTransport makes the connection pool that suits endpoints.
+// NewTransport returns a transport with a connection pool sized for endpoints.
 func NewTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -77,15 +77,17 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (d *Driver) Close() { d.http.CloseIdleConnections() }
 
-// MismatchedPieces is the number of pieces of answers that were dropped because they name another request or attempt.
-func (d *Driver) MismatchedPieces() int64 { return d.alien.Load() }
+// MismatchedPieces returns the number of pieces of responses that were dropped because they belong to another request or
+// attempt, or were received before.
+func (d *Driver) MismatchedPieces() int64 { return d.mismatched.Load() }
 
-// Prepare turns a caller's body into what is sent to an engine: always streamed, with usage, with an output limit.
+// Prepare converts the body of a caller's request into the one that is sent to an engine. It always requests a stream,
+// usage and an output limit.
 func Prepare(body []byte, limit int64) ([]byte, error) {
-	var fields map[string]json.RawMessage // the caller's other fields are passed on as they are
+	var fields map[string]json.RawMessage // the caller's other fields are forwarded unchanged
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, eris.Wrap(err, "preparing a request")
 	}
@@ -97,7 +99,7 @@
 	return b, eris.Wrap(err, "encoding a request")
 }
 
-// Dispatch sends a request and returns its stream once the engine has accepted it.
+// Dispatch sends a request and returns its stream after the engine has accepted it.
 func (d *Driver) Dispatch(ctx context.Context, c Call) (*Stream, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.URL+wire.PathCompletions, bytes.NewReader(c.Body))
 	if err != nil {
@@ -105,48 +107,48 @@
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Accept", "text/event-stream")
-	mark(req, c.Run, c.Attempt)
+	setRunHeaders(req, c.Run, c.Attempt)
 	req.Header.Set(chat.HeaderPriority, strconv.Itoa(c.Priority))
 	req.Header.Set(chat.HeaderFence, strconv.FormatInt(c.Fence, 10))
-	return d.open(req, c.Run, c.Attempt, 0, c.OnNotice)
+	return d.openStream(req, c.Run, c.Attempt, 0, c.OnNotice)
 }
 
-// Resume goes on with a run after offset tokens. CodeNotFound means that the engine does not know the run.
+// Resume continues the stream of a run after offset tokens. CodeNotFound means that the engine does not have the run.
 func (d *Driver) Resume(ctx context.Context, base, run string, attempt int, offset int64) (*Stream, error) {
 	u := base + wire.PathStreams + url.PathEscape(run) + "?offset=" + strconv.FormatInt(offset, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u, http.NoBody)
 	if err != nil {
 		return nil, notRun(verdict.CodeInternal, "making the resume request", err)
 	}
-	mark(req, run, attempt)
-	return d.open(req, run, attempt, offset, nil)
+	setRunHeaders(req, run, attempt)
+	return d.openStream(req, run, attempt, offset, nil)
 }
 
-func mark(req *http.Request, run string, attempt int) {
+func setRunHeaders(req *http.Request, run string, attempt int) {
 	req.Header.Set(chat.HeaderRequestID, run)
 	req.Header.Set(chat.HeaderAttempt, strconv.Itoa(attempt))
 }
 
-func (d *Driver) open(req *http.Request, run string, attempt int, offset int64, heard NoticeFunc) (*Stream, error) {
+func (d *Driver) openStream(req *http.Request, run string, attempt int, offset int64, onNotice NoticeFunc) (*Stream, error) {
 	resp, err := d.http.Do(req)
 	if err != nil {
 		return nil, sendError(req.Context(), err)
 	}
-	heard.tell(resp, run)
+	onNotice.notify(resp, run)
 	if resp.StatusCode != http.StatusOK {
 		defer func() { _ = resp.Body.Close() }()
 		return nil, statusError(resp)
 	}
 	sc := bufio.NewScanner(resp.Body)
-	sc.Buffer(make([]byte, 0, scannerBuffer), maxEvent)
-	return &Stream{d: d, body: resp.Body, sc: sc, run: run, attempt: attempt, next: offset}, nil
+	sc.Buffer(make([]byte, 0, scannerBuffer), maxEventBytes)
+	return &Stream{d: d, body: resp.Body, sc: sc, run: run, attempt: attempt, nextOffset: offset}, nil
 }
 
 func notRun(c verdict.Code, detail string, err error) error {
 	return verdict.New(verdict.NotRun, c, detail, verdict.WithCause(err))
 }
 
-// sendError judges a request that got no answer: one that never left has not run.
+// sendError returns the error for a request without a response. It has not run if no connection could be opened.
 func sendError(ctx context.Context, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -158,13 +160,14 @@
 	return verdict.New(verdict.MayHaveRun, verdict.CodeEndpointFailed, "the endpoint broke the connection", verdict.WithCause(err))
 }
 
-// statusError judges a refusal. Only an endpoint that says so, or a status that means it, has surely not run it.
+// statusError returns the error for an error status. The request has not run only if the endpoint states so in
+// HeaderVerdict or, without that header, if the status is below 500.
 func statusError(resp *http.Response) error {
-	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
+	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
 	detail := "the endpoint answered " + resp.Status + ": " + strings.TrimSpace(string(b))
 	v := verdict.MayHaveRun
-	if said := resp.Header.Get(chat.HeaderVerdict); said != "" {
-		v = verdict.Parse(said)
+	if stated := resp.Header.Get(chat.HeaderVerdict); stated != "" {
+		v = verdict.Parse(stated)
 	} else if resp.StatusCode < http.StatusInternalServerError {
 		v = verdict.NotRun
 	}
@@ -187,7 +190,7 @@
 	return verdict.CodeEndpointFailed
 }
 
-// Stop cancels a run and keeps it from starting later.
+// Stop cancels a run and prevents it from starting later.
 func (d *Driver) Stop(ctx context.Context, base, run string) (wire.Stopped, error) {
 	var out wire.Stopped
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, base+wire.PathStreams+url.PathEscape(run), http.NoBody)
@@ -197,7 +200,7 @@
 	return out, eris.Wrap(d.json(req, &out), "cancelling a run")
 }
 
-// Load reads an engine's report of itself.
+// Load returns the load that an engine reports.
 func (d *Driver) Load(ctx context.Context, base string) (wire.Load, error) {
 	var out wire.Load
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+wire.PathLoad, http.NoBody)
@@ -207,7 +210,7 @@
 	return out, eris.Wrap(d.json(req, &out), "reading an endpoint's load")
 }
 
-// Order gives a fenced order.
+// Order sends an order with a fencing token to an engine.
 func (d *Driver) Order(ctx context.Context, base string, o wire.Order) error {
 	b, err := json.Marshal(o)
 	if err != nil {
@@ -233,5 +236,5 @@
 	if out == nil {
 		return nil
 	}
-	return json.NewDecoder(io.LimitReader(resp.Body, maxEvent)).Decode(out)
+	return json.NewDecoder(io.LimitReader(resp.Body, maxEventBytes)).Decode(out)
 }
--- a/internal/endpoint/plain.go
+++ b/internal/endpoint/plain.go
@@ -10,11 +10,11 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-const maxAnswer = 8 << 20
+const maxResponseBytes = 8 << 20
 
-// PlainCall is one call of a plain service.
+// PlainCall is a request to a plain service.
 type PlainCall struct {
-	URL         string // whole address
+	URL         string // with path and query
 	Method      string
 	ContentType string
 	Run         string
@@ -24,16 +24,16 @@
 	OnNotice    NoticeFunc
 }
 
-// Response is a plain service's whole answer.
+// Response is the complete response of a plain service.
 type Response struct {
 	Status      int    `cbor:"1,keyasint"`
 	ContentType string `cbor:"2,keyasint"`
 	Body        []byte `cbor:"3,keyasint"`
 }
 
-// Invoke calls a plain service. An answer that names another request is dropped: the call may have run.
+// Invoke calls a plain service. A response that belongs to another request is dropped; the call may have run then.
 func (d *Driver) Invoke(ctx context.Context, c PlainCall) (*Response, error) {
-	req, err := http.NewRequestWithContext(ctx, c.Method, c.URL, onceBody(c.Body))
+	req, err := http.NewRequestWithContext(ctx, c.Method, c.URL, singleUseBody(c.Body))
 	if err != nil {
 		return nil, notRun(verdict.CodeInternal, "making the service request", err)
 	}
@@ -44,33 +44,33 @@
 	if c.Key != "" {
 		req.Header.Set("Idempotency-Key", c.Key)
 	}
-	mark(req, c.Run, c.Attempt)
+	setRunHeaders(req, c.Run, c.Attempt)
 	resp, err := d.http.Do(req)
 	if err != nil {
 		return nil, sendError(ctx, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	c.OnNotice.tell(resp, c.Run)
-	if said := resp.Header.Get(chat.HeaderVerdict); said == verdict.NotRun.String() {
+	c.OnNotice.notify(resp, c.Run)
+	if stated := resp.Header.Get(chat.HeaderVerdict); stated == verdict.NotRun.String() {
 		return nil, statusError(resp)
 	}
-	if named := resp.Header.Get(chat.HeaderRequestID); named != "" && named != c.Run {
-		d.alien.Add(1)
+	if id := resp.Header.Get(chat.HeaderRequestID); id != "" && id != c.Run {
+		d.mismatched.Add(1)
 		return nil, verdict.New(verdict.MayHaveRun, verdict.CodeEndpointFailed, "the service's answer names another request")
 	}
-	return readAnswer(resp)
+	return readResponse(resp)
 }
 
-// onceBody is a body that net/http cannot send a second time. Without it, net/http repeats by itself a request with an
-// Idempotency-Key whose connection breaks, also when the service has run it already.
-func onceBody(b []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
+// singleUseBody returns a body that net/http cannot send twice. Otherwise net/http retries a request with an
+// Idempotency-Key by itself when its connection breaks, even if the service has run it already.
+func singleUseBody(b []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
 
-func readAnswer(resp *http.Response) (*Response, error) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+func readResponse(resp *http.Response) (*Response, error) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil {
 		return nil, verdict.New(verdict.Ran, verdict.CodeTruncated, "the service's answer ended early", verdict.WithCause(err))
 	}
-	if len(body) > maxAnswer {
+	if len(body) > maxResponseBytes {
 		return nil, verdict.New(verdict.Ran, verdict.CodeTooLarge, "the service's answer is too large")
 	}
 	return &Response{Status: resp.StatusCode, ContentType: resp.Header.Get("Content-Type"), Body: body}, nil
--- a/internal/endpoint/stopper.go
+++ b/internal/endpoint/stopper.go
@@ -8,23 +8,23 @@
 	"github.com/ledgemount/ledgemount/internal/budget"
 )
 
-// Directory finds an endpoint's address and whether it checks orders.
+// Directory looks up an endpoint's URL and whether it checks fencing tokens.
 type Directory interface {
-	Endpoint(id string) (url string, checks, ok bool)
+	Endpoint(id string) (url string, fenced, ok bool)
 }
 
-// Stopper stops runs wherever they are. It implements budget.Stopper.
+// Stopper stops runs at any endpoint. It implements budget.Stopper.
 type Stopper struct {
 	driver *Driver
 	dir    Directory
 }
 
-// NewStopper makes a stopper.
+// NewStopper returns a Stopper that looks up endpoints in dir.
 func NewStopper(d *Driver, dir Directory) *Stopper { return &Stopper{driver: d, dir: dir} }
 
-// StopRun implements budget.Stopper. An endpoint that checks orders keeps the run from ever starting.
+// StopRun implements budget.Stopper. An endpoint that checks fencing tokens also prevents the run from starting later.
 func (s *Stopper) StopRun(ctx context.Context, place budget.Place) (used int64, known, final bool, err error) {
-	url, checks, ok := s.dir.Endpoint(place.Endpoint)
+	url, fenced, ok := s.dir.Endpoint(place.Endpoint)
 	if !ok {
 		return 0, false, false, eris.Errorf("endpoint %s is not declared any more", place.Endpoint)
 	}
@@ -32,5 +32,5 @@
 	if err != nil {
 		return 0, false, false, err
 	}
-	return out.Usage.TotalTokens, out.Known, checks, nil
+	return out.Usage.TotalTokens, out.Known, fenced, nil
 }
--- a/internal/endpoint/stream.go
+++ b/internal/endpoint/stream.go
@@ -11,7 +11,7 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// Piece is one verified part of an answer.
+// Piece is a verified part of a response.
 type Piece struct {
 	Text   string
 	Tokens int64 // tokens in this piece
@@ -19,25 +19,25 @@
 	Usage  *chat.Usage // set on the last piece
 }
 
-// Stream reads an engine's answer. Only pieces that name this run and attempt, in order, come out.
+// Stream reads the response of an engine. It returns only pieces that belong to its run and attempt, in order.
 type Stream struct {
-	d       *Driver
-	body    io.ReadCloser
-	sc      *bufio.Scanner
-	run     string
-	attempt int
-	next    int64 // offset of the next token
-	whole   bool
+	d          *Driver
+	body       io.ReadCloser
+	sc         *bufio.Scanner
+	run        string
+	attempt    int
+	nextOffset int64 // offset of the next token
+	complete   bool
 }
 
-// Offset is the number of tokens read so far.
-func (s *Stream) Offset() int64 { return s.next }
+// Offset returns the number of tokens read so far.
+func (s *Stream) Offset() int64 { return s.nextOffset }
 
-// Close ends the reading.
+// Close closes the response body.
 func (s *Stream) Close() error { return s.body.Close() }
 
-// Next returns the next piece, or io.EOF after the end marker of a whole answer. An answer that ends without usage and
-// end marker is a truncated one.
+// Next returns the next piece, or io.EOF after the end marker of a complete response. A response that ends without usage
+// or end marker is truncated.
 func (s *Stream) Next() (Piece, error) {
 	for s.sc.Scan() {
 		data, ok := strings.CutPrefix(s.sc.Text(), "data: ")
@@ -45,7 +45,7 @@
 			continue
 		}
 		if data == chat.Done {
-			if !s.whole {
+			if !s.complete {
 				return Piece{}, truncated("the end marker came without usage")
 			}
 			return Piece{}, io.EOF
@@ -54,7 +54,7 @@
 		if err := json.Unmarshal([]byte(data), &c); err != nil {
 			return Piece{}, truncated("an undecodable piece: " + err.Error())
 		}
-		p, ok, err := s.accept(&c)
+		p, ok, err := s.verify(&c)
 		if err != nil || ok {
 			return p, err
 		}
@@ -70,18 +70,19 @@
 	return verdict.New(verdict.Ran, verdict.CodeTruncated, detail)
 }
 
-// accept verifies a piece. Pieces of other requests and attempts, and pieces that came before, are dropped.
-func (s *Stream) accept(c *chat.Chunk) (Piece, bool, error) {
+// verify checks a piece. It returns false for pieces that are dropped: those of other requests and attempts, and those
+// that were received before.
+func (s *Stream) verify(c *chat.Chunk) (Piece, bool, error) {
 	run, attempt, ok := wire.SplitResponseID(c.ID)
 	if !ok || run != s.run || attempt != s.attempt {
-		s.d.alien.Add(1)
+		s.d.mismatched.Add(1)
 		return Piece{}, false, nil
 	}
-	if c.Offset < s.next {
-		s.d.alien.Add(1)
+	if c.Offset < s.nextOffset {
+		s.d.mismatched.Add(1)
 		return Piece{}, false, nil
 	}
-	if c.Offset > s.next {
+	if c.Offset > s.nextOffset {
 		return Piece{}, false, truncated("a piece is missing")
 	}
 	p := Piece{Tokens: c.Tokens, Usage: c.Usage}
@@ -93,9 +94,9 @@
 			p.Finish = *c.Choices[0].FinishReason
 		}
 	}
-	s.next += c.Tokens
+	s.nextOffset += c.Tokens
 	if p.Usage != nil {
-		s.whole = true
+		s.complete = true
 	}
 	return p, true, nil
 }
--- a/internal/endpoint/wire/wire.go
+++ b/internal/endpoint/wire/wire.go
@@ -1,4 +1,5 @@
-// Package wire has what instances and model engines exchange beside chat completions: load, orders, cancel and resume.
+// Package wire defines what instances and model engines exchange in addition to chat completions: load, orders, cancel
+// and resume.
 package wire
 
 import (
@@ -8,7 +9,7 @@
 	"github.com/ledgemount/ledgemount/internal/chat"
 )
 
-// The paths of a model engine.
+// Paths that a model engine serves.
 const (
 	PathCompletions = "/v1/chat/completions"
 	PathStreams     = "/v1/streams/" // + request id: GET resumes (?offset=tokens), DELETE cancels
@@ -16,7 +17,7 @@
 	PathOrders      = "/orders"
 )
 
-// Load is what an engine reports of itself, with a lag.
+// Load is the state that an engine reports. It may lag behind.
 type Load struct {
 	Running  int    `json:"running"`
 	Capacity int    `json:"capacity"`
@@ -26,26 +27,28 @@
 	Fence    int64  `json:"fence"`
 }
 
-// Order tells an engine to load a version or to change role. Engines that check refuse falling fences.
+// Order tells an engine to load a version or to change its role. Engines that check fencing tokens refuse an order whose
+// token is smaller than an earlier one.
 type Order struct {
 	Fence   int64  `json:"fence"`
 	Version string `json:"version,omitempty"`
 	Role    string `json:"role,omitempty"`
 }
 
-// Stopped answers a cancel: whether the engine ever ran the request, and how far.
+// Stopped is the response to a cancel. Known reports whether the engine ran the request, and Usage how many tokens it
+// used.
 type Stopped struct {
 	RequestID string     `json:"request_id"`
 	Known     bool       `json:"known"`
 	Usage     chat.Usage `json:"usage"`
 }
 
-// ResponseID is the id field of every piece of an answer: request and attempt.
+// ResponseID returns the id field of every piece of a response: request and attempt.
 func ResponseID(request string, attempt int) string {
 	return request + "." + strconv.Itoa(attempt)
 }
 
-// SplitResponseID undoes AnswerID.
+// SplitResponseID splits an ID that ResponseID returned.
 func SplitResponseID(id string) (request string, attempt int, ok bool) {
 	i := strings.LastIndexByte(id, '.')
 	if i < 0 {
@@ -55,20 +58,21 @@
 	return id[:i], n, err == nil
 }
 
-// The paths of an engine's prompt cache.
+// Paths of an engine's prompt cache.
 const (
 	PathEvents = "/cache/events"  // ?after=SEQ
 	PathKV     = "/cache/blocks/" // + block in hexadecimal: GET exports, PUT imports
 )
 
-// CacheEvent reports that an engine has stored or evicted a block of prompts. Numbers rise by one; a missing one is a gap.
+// CacheEvent reports that an engine has stored or evicted a block of its prompt cache. Sequence numbers increase by one; a
+// missing one indicates a lost event.
 type CacheEvent struct {
 	Seq     int64  `json:"seq" cbor:"1,keyasint"`
 	Block   uint64 `json:"block,string" cbor:"2,keyasint"`
 	Evicted bool   `json:"evicted,omitempty" cbor:"3,keyasint,omitempty"`
 }
 
-// CacheEvents answers a question for events. They come late, and some never.
+// CacheEvents is the response to a request for events. Events arrive late, and some are lost.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 }
