--- a/internal/mesh/formats_test.go
+++ b/internal/mesh/formats_test.go
@@ -6,7 +6,7 @@
 	"github.com/ledgemount/ledgemount/internal/compat/formattest"
 )
 
-// What instances of other builds read, or have written.
+// TestFormats guards the encodings that instances exchange with instances of other builds.
 func TestFormats(t *testing.T) {
 	formattest.Check[request](t, "request")
 	formattest.Check[reply](t, "reply")
--- a/internal/mesh/keys.go
+++ b/internal/mesh/keys.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	certLife   = 10 * 365 * 24 * time.Hour
-	serialBits = 120
-	// ServerName is the name in every instance's certificate.
+	certLifetime = 10 * 365 * 24 * time.Hour
+	serialBits   = 120
+	// ServerName is the DNS name in every instance's certificate.
 	ServerName = "ledgemount.instance"
 )
 
-// Authority signs the certificates of one fleet.
+// Authority is the certificate authority of a fleet.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	pem  []byte
 }
 
-// NewAuthority makes a certificate authority.
+// NewAuthority returns an Authority with a new key and certificate.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, eris.Wrap(err, "making the authority's key")
 	}
-	tmpl, err := template("ledgemount fleet")
+	tmpl, err := certTemplate("ledgemount fleet")
 	if err != nil {
 		return nil, err
 	}
@@ -52,7 +52,7 @@
 	return &Authority{cert: cert, key: key, pem: encodePEM("CERTIFICATE", der)}, nil
 }
 
-// LoadAuthority reads an authority from its certificate and key, both PEM.
+// LoadAuthority returns the Authority with a given certificate and key, both in PEM.
 func LoadAuthority(certPEM, keyPEM []byte) (*Authority, error) {
 	pair, err := tls.X509KeyPair(certPEM, keyPEM)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return &Authority{cert: cert, key: key, pem: certPEM}, nil
 }
 
-// KeyPEM is the authority's key: whoever has it can make certificates of the fleet.
+// KeyPEM returns the authority's private key. Whoever has it can issue certificates of the fleet.
 func (a *Authority) KeyPEM() ([]byte, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(a.key)
 	if err != nil {
@@ -78,16 +78,16 @@
 	return encodePEM("PRIVATE KEY", der), nil
 }
 
-// PEM is the authority's certificate.
+// PEM returns the authority's certificate.
 func (a *Authority) PEM() []byte { return a.pem }
 
-// Issue makes a certificate and its key for one instance, both PEM.
+// Issue returns a new certificate for an instance and its key, both in PEM.
 func (a *Authority) Issue(id string) (cert, key []byte, err error) {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, eris.Wrap(err, "making an instance's key")
 	}
-	tmpl, err := template(id)
+	tmpl, err := certTemplate(id)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -98,14 +98,14 @@
 	if err != nil {
 		return nil, nil, eris.Wrap(err, "signing an instance's certificate")
 	}
-	kder, err := x509.MarshalPKCS8PrivateKey(k)
+	keyDER, err := x509.MarshalPKCS8PrivateKey(k)
 	if err != nil {
 		return nil, nil, eris.Wrap(err, "encoding an instance's key")
 	}
-	return encodePEM("CERTIFICATE", der), encodePEM("PRIVATE KEY", kder), nil
+	return encodePEM("CERTIFICATE", der), encodePEM("PRIVATE KEY", keyDER), nil
 }
 
-func template(name string) (*x509.Certificate, error) {
+func certTemplate(name string) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
 		return nil, eris.Wrap(err, "making a serial number")
@@ -115,7 +115,7 @@
 		SerialNumber: serial,
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-time.Hour),
-		NotAfter:     now.Add(certLife),
+		NotAfter:     now.Add(certLifetime),
 	}, nil
 }
 
@@ -123,7 +123,8 @@
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-// TLS makes the configuration for both directions: each side must show a certificate of the fleet's authority.
+// TLS returns a configuration for both clients and servers. Each side must present a certificate of the fleet's
+// authority.
 func TLS(caPEM, certPEM, keyPEM []byte) (*tls.Config, error) {
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(caPEM) {
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -1,4 +1,4 @@
-// Package mesh carries typed messages between instances: CBOR over QUIC with mutual TLS.
+// Package mesh sends typed messages between instances: CBOR over QUIC with mutual TLS.
 package mesh
 
 import (
@@ -14,51 +14,53 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// Version is the version of the messages. A peer with another version is refused.
+// Version is the version of the message format. Messages of another version are refused.
 const Version = 1
 
-// MaxMessage is the largest message in bytes.
+// MaxMessage is the size of the largest message, in bytes.
 const MaxMessage = 4 << 20
 
-// The ways in which a call can fail on the way.
+// Errors of the transport.
 var (
-	ErrUnreachable = errors.New("the peer cannot be reached") // the peer has not seen the call
-	ErrNoReply     = errors.New("the peer's reply was lost")  // the peer may have acted
+	ErrUnreachable = errors.New("the peer cannot be reached") // the peer has not received the call
+	ErrNoReply     = errors.New("the peer's reply was lost")  // the peer may have handled the call
 	ErrVersion     = errors.New("the peer speaks another version")
 )
 
-// Kind names a message.
+// Kind identifies a type of message.
 type Kind string
 
-// Peer tells who sent a message.
+// Peer identifies an instance, as sender or receiver of messages.
 type Peer struct {
 	ID          string `cbor:"1,keyasint"`
 	Zone        string `cbor:"2,keyasint"`
 	Addr        string `cbor:"3,keyasint"`
-	Incarnation string `cbor:"4,keyasint,omitempty"` // names one start of the process
+	Incarnation string `cbor:"4,keyasint,omitempty"` // identifies one start of the process
 }
 
-// incSeparator stands between the parts of a process's name.
-const incSeparator = "~"
+// incarnationSeparator separates the parts of an incarnation's ID.
+const incarnationSeparator = "~"
 
-// IncarnationID names one start of the instance's process. A restarted instance has the same ID and is someone else.
+// IncarnationID identifies one start of the instance's process. A restarted instance keeps its ID but is another
+// incarnation.
 func (p Peer) IncarnationID() string {
 	if p.Incarnation == "" {
 		return p.ID
 	}
-	return p.ID + incSeparator + p.Incarnation
+	return p.ID + incarnationSeparator + p.Incarnation
 }
 
-// SplitIncarnationID undoes Who.
-func SplitIncarnationID(who string) (id, inc string) {
-	id, inc, _ = strings.Cut(who, incSeparator)
+// SplitIncarnationID splits an ID that IncarnationID returned into the instance's ID and the incarnation.
+func SplitIncarnationID(incarnationID string) (id, inc string) {
+	id, inc, _ = strings.Cut(incarnationID, incarnationSeparator)
 	return id, inc
 }
 
-// Caller sends a message to an address and returns the reply's body.
+// Caller sends messages to addresses.
 type Caller interface {
+	// Call sends a message and returns the body of the reply.
 	Call(ctx context.Context, addr string, kind Kind, body []byte) ([]byte, error)
-	// Stream sends a message and hands every body that the peer sends back to each.
+	// Stream sends a message and calls each with every body that the peer sends back.
 	Stream(ctx context.Context, addr string, kind Kind, body []byte, each func([]byte) error) error
 }
 
@@ -76,7 +78,7 @@
 	return resp, eris.Wrapf(cbor.Unmarshal(out, &resp), "decoding the reply to %s", kind)
 }
 
-// Stream sends a typed message and hands every typed item of the reply to each.
+// Stream sends a typed message and calls each with every typed item of the reply.
 func Stream[Req, Item any](ctx context.Context, c Caller, addr string, kind Kind, req Req, each func(Item) error) error {
 	body, err := cbor.Marshal(req)
 	if err != nil {
@@ -91,26 +93,26 @@
 	})
 }
 
-// Empty is the body of a message or reply that says nothing more.
+// Empty is the body of a message or reply without content.
 type Empty struct{}
 
 type handler func(ctx context.Context, from Peer, body []byte) ([]byte, error)
 
 type streamHandler func(ctx context.Context, from Peer, body []byte, send func([]byte) error) error
 
-// Router finds the handler of a message.
+// Router dispatches messages to their handlers.
 type Router struct {
 	mu      sync.RWMutex
 	calls   map[Kind]handler
 	streams map[Kind]streamHandler
 }
 
-// NewRouter makes an empty router.
+// NewRouter returns a Router without handlers.
 func NewRouter() *Router {
 	return &Router{calls: make(map[Kind]handler), streams: make(map[Kind]streamHandler)}
 }
 
-// Handle registers the typed handler of a message.
+// Handle registers the typed handler of a kind of message.
 func Handle[Req, Resp any](r *Router, kind Kind, fn func(ctx context.Context, from Peer, req Req) (Resp, error)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,7 +129,7 @@
 	}
 }
 
-// HandleStream registers the typed handler of a message that is answered by many items.
+// HandleStream registers the typed handler of a kind of message whose reply consists of many items.
 func HandleStream[Req, Item any](r *Router, kind Kind, fn func(ctx context.Context, from Peer, req Req, send func(Item) error) error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,7 +148,7 @@
 	}
 }
 
-// Dispatch hands a call to its handler. Transports use it.
+// Dispatch passes a call to its handler. Transports use it.
 func (r *Router) Dispatch(ctx context.Context, from Peer, kind Kind, body []byte) ([]byte, error) {
 	r.mu.RLock()
 	h, ok := r.calls[kind]
@@ -157,7 +159,7 @@
 	return h(ctx, from, body)
 }
 
-// DispatchStream hands a streaming call to its handler.
+// DispatchStream passes a streaming call to its handler.
 func (r *Router) DispatchStream(ctx context.Context, from Peer, kind Kind, body []byte, send func([]byte) error) error {
 	r.mu.RLock()
 	h, ok := r.streams[kind]
@@ -179,7 +181,7 @@
 	return verdict.New(verdict.NotRun, verdict.CodeBadRequest, "unknown message "+string(kind))
 }
 
-// remoteError is an error as it travels.
+// remoteError is the encoded form of an error in a reply.
 type remoteError struct {
 	Verdict    string        `cbor:"1,keyasint"`
 	Code       string        `cbor:"2,keyasint"`
--- a/internal/mesh/meshtest/net.go
+++ b/internal/mesh/meshtest/net.go
@@ -1,4 +1,4 @@
-// Package meshtest is an in-memory transport for tests, with links that can be cut and replies that can be lost.
+// Package meshtest provides an in-memory transport for tests, in which links can be cut and replies lost.
 package meshtest
 
 import (
@@ -10,13 +10,13 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// Net connects routers by address.
+// Net is an in-memory network that connects the routers of peers by address.
 type Net struct {
-	mu    sync.Mutex
-	nodes map[string]*node
-	cut   func(from, to mesh.Peer) bool
-	lose  func(kind mesh.Kind) bool
-	calls map[mesh.Kind]int
+	mu        sync.Mutex
+	nodes     map[string]*node
+	cut       func(from, to mesh.Peer) bool
+	loseReply func(kind mesh.Kind) bool
+	calls     map[mesh.Kind]int
 }
 
 type node struct {
@@ -25,25 +25,25 @@
 	down   bool
 }
 
-// New makes a net without links.
+// New returns a Net without peers.
 func New() *Net {
 	return &Net{
-		nodes: make(map[string]*node),
-		cut:   func(_, _ mesh.Peer) bool { return false },
-		lose:  func(mesh.Kind) bool { return false },
-		calls: make(map[mesh.Kind]int),
+		nodes:     make(map[string]*node),
+		cut:       func(_, _ mesh.Peer) bool { return false },
+		loseReply: func(mesh.Kind) bool { return false },
+		calls:     make(map[mesh.Kind]int),
 	}
 }
 
-// Join adds a peer and returns its end.
+// Join adds a peer and returns the Caller through which it makes calls.
 func (n *Net) Join(p mesh.Peer, r *mesh.Router) mesh.Caller {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.nodes[p.Addr] = &node{peer: p, router: r}
-	return &end{net: n, self: p}
+	return &caller{net: n, self: p}
 }
 
-// SetDown stops a peer from taking or making calls, or lets it again.
+// SetDown stops a peer from receiving and making calls, or lets it do so again.
 func (n *Net) SetDown(addr string, down bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -52,42 +52,42 @@
 	}
 }
 
-// SetCut says which links are cut.
+// SetCut sets the function that reports which links are cut.
 func (n *Net) SetCut(f func(from, to mesh.Peer) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut = f
 }
 
-// SetReplyLoss says which replies are lost after the call took effect.
+// SetReplyLoss sets the function that reports which replies are lost after the call has taken effect.
 func (n *Net) SetReplyLoss(f func(kind mesh.Kind) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lose = f
+	n.loseReply = f
 }
 
-// Calls counts the calls of a kind.
+// Calls returns the number of calls of a kind.
 func (n *Net) Calls(kind mesh.Kind) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.calls[kind]
 }
 
-type end struct {
+type caller struct {
 	net  *Net
 	self mesh.Peer
 }
 
-func (e *end) find(addr string, kind mesh.Kind) (*node, bool, error) {
-	e.net.mu.Lock()
-	defer e.net.mu.Unlock()
-	e.net.calls[kind]++
-	to, ok := e.net.nodes[addr]
-	me := e.net.nodes[e.self.Addr]
-	if !ok || to.down || me.down || e.net.cut(e.self, to.peer) {
+func (c *caller) find(addr string, kind mesh.Kind) (*node, bool, error) {
+	c.net.mu.Lock()
+	defer c.net.mu.Unlock()
+	c.net.calls[kind]++
+	to, ok := c.net.nodes[addr]
+	from := c.net.nodes[c.self.Addr]
+	if !ok || to.down || from.down || c.net.cut(c.self, to.peer) {
 		return nil, false, eris.Wrapf(mesh.ErrUnreachable, "%s to %s", kind, addr)
 	}
-	return to, e.net.lose(kind), nil
+	return to, c.net.loseReply(kind), nil
 }
 
 func (n *Net) isDown(nd *node) bool {
@@ -97,8 +97,8 @@
 }
 
 // Call implements mesh.Caller.
-func (e *end) Call(ctx context.Context, addr string, kind mesh.Kind, body []byte) ([]byte, error) {
-	to, lost, err := e.find(addr, kind)
+func (c *caller) Call(ctx context.Context, addr string, kind mesh.Kind, body []byte) ([]byte, error) {
+	to, lost, err := c.find(addr, kind)
 	if err != nil {
 		return nil, err
 	}
@@ -108,25 +108,25 @@
 	}
 	done := make(chan result, 1)
 	go func() {
-		out, err := to.router.Dispatch(ctx, e.self, kind, body)
+		out, err := to.router.Dispatch(ctx, c.self, kind, body)
 		done <- result{out, err}
 	}()
 	select {
 	case res := <-done:
-		if lost || e.net.isDown(to) {
+		if lost || c.net.isDown(to) {
 			return nil, eris.Wrapf(mesh.ErrNoReply, "%s to %s", kind, addr)
 		}
 		return res.out, res.err
-	case <-ctx.Done(): // the peer hangs
+	case <-ctx.Done(): // the peer does not reply
 		return nil, eris.Wrapf(mesh.ErrNoReply, "%s to %s", kind, addr)
 	}
 }
 
 // Stream implements mesh.Caller.
-func (e *end) Stream(ctx context.Context, addr string, kind mesh.Kind, body []byte, each func([]byte) error) error {
-	to, _, err := e.find(addr, kind)
+func (c *caller) Stream(ctx context.Context, addr string, kind mesh.Kind, body []byte, each func([]byte) error) error {
+	to, _, err := c.find(addr, kind)
 	if err != nil {
 		return err
 	}
-	return to.router.DispatchStream(ctx, e.self, kind, body, each)
+	return to.router.DispatchStream(ctx, c.self, kind, body, each)
 }
--- a/internal/mesh/transport.go
+++ b/internal/mesh/transport.go
@@ -18,22 +18,22 @@
 	"golang.org/x/time/rate"
 )
 
-// ServiceName is the transport's name in the kernel.
+// ServiceName is the name of the service in the kernel.
 const ServiceName = "mesh"
 
 const (
-	protocol      = "ledgemount/1"
-	idleTimeout   = 10 * time.Second
-	dialTimeout   = 500 * time.Millisecond
-	callTimeout   = 2 * time.Second
-	keepAlive     = 3 * time.Second
-	maxStreams    = 4096
-	callsPerConn  = 20000 // calls a second that one peer may make
-	burstPerConn  = 20000
-	closeNormally = quic.ApplicationErrorCode(0)
+	protocol       = "ledgemount/1"
+	idleTimeout    = 10 * time.Second
+	dialTimeout    = 500 * time.Millisecond
+	callTimeout    = 2 * time.Second
+	keepAlive      = 3 * time.Second
+	maxStreams     = 4096
+	callsPerSecond = 20000 // calls per second that a peer may make on a connection
+	callBurst      = 20000
+	closeNormally  = quic.ApplicationErrorCode(0)
 )
 
-// PeerFilter reports whether a peer may be talked to. Tests cut links with it.
+// PeerFilter reports whether calls from a peer are accepted. Tests cut links with it.
 type PeerFilter func(peer Peer) bool
 
 type request struct {
@@ -51,49 +51,50 @@
 
 // Transport is the QUIC transport of one instance. It implements Caller and kernel.Service.
 type Transport struct {
-	self   Peer
-	router *Router
-	tls    *tls.Config
-	gate   func(addr string) bool
-	admit  PeerFilter
-	log    zerolog.Logger
-
-	udp  *quic.Transport
-	lis  *quic.Listener
-	quit context.CancelFunc
-	ctx  context.Context //nolint:containedctx // ends every handler on Close
-	wg   sync.WaitGroup
+	self      Peer
+	router    *Router
+	tls       *tls.Config
+	allowAddr func(addr string) bool
+	allowPeer PeerFilter
+	log       zerolog.Logger
+
+	udp    *quic.Transport
+	lis    *quic.Listener
+	cancel context.CancelFunc
+	ctx    context.Context //nolint:containedctx // ends every handler on Close
+	wg     sync.WaitGroup
 
 	sent    atomic.Int64
 	traffic func(kind Kind, bytes int)
 
 	mu     sync.Mutex
-	conns  map[string]*link
+	conns  map[string]*peerConn
 	closed bool
 }
 
-type link struct {
+type peerConn struct {
 	ready chan struct{}
 	conn  *quic.Conn
 	err   error
 }
 
-// Option changes a Transport.
+// Option configures a Transport.
 type Option func(*Transport)
 
-// WithFilters refuses calls to addresses, and calls from peers, for which the functions say no.
+// WithFilters makes the transport refuse calls to addresses, and calls from peers, for which the functions return false.
 func WithFilters(to func(addr string) bool, from PeerFilter) Option {
-	return func(t *Transport) { t.gate, t.admit = to, from }
+	return func(t *Transport) { t.allowAddr, t.allowPeer = to, from }
 }
 
 // WithLogger sets the logger.
 func WithLogger(log zerolog.Logger) Option { return func(t *Transport) { t.log = log } }
 
-// WithTraffic sets what is notified of each frame sent, calls and replies alike: its kind and its size in bytes, without the transport's own
-// overhead.
+// WithTraffic sets a function that is called for each frame sent, calls and replies alike, with its kind and its size in
+// bytes. The size excludes the overhead of the transport.
 func WithTraffic(f func(kind Kind, bytes int)) Option { return func(t *Transport) { t.traffic = f } }
 
-// Listen starts listening on the UDP address in self. The TLS configuration must carry a certificate and the fleet's CA.
+// Listen starts a Transport that listens on the UDP address in self. The TLS configuration must contain a certificate and
+// the fleet's CA.
 func Listen(self Peer, cfg *tls.Config, router *Router, opts ...Option) (*Transport, error) {
 	udpAddr, err := net.ResolveUDPAddr("udp", self.Addr)
 	if err != nil {
@@ -106,16 +107,16 @@
 	self.Addr = sock.LocalAddr().String()
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &Transport{
-		self:   self,
-		router: router,
-		tls:    cfg,
-		gate:   func(string) bool { return true },
-		admit:  func(Peer) bool { return true },
-		log:    zerolog.Nop(),
-		udp:    &quic.Transport{Conn: sock},
-		ctx:    ctx,
-		quit:   cancel,
-		conns:  make(map[string]*link),
+		self:      self,
+		router:    router,
+		tls:       cfg,
+		allowAddr: func(string) bool { return true },
+		allowPeer: func(Peer) bool { return true },
+		log:       zerolog.Nop(),
+		udp:       &quic.Transport{Conn: sock},
+		ctx:       ctx,
+		cancel:    cancel,
+		conns:     make(map[string]*peerConn),
 
 		traffic: func(Kind, int) {},
 	}
@@ -145,19 +146,19 @@
 // Name implements kernel.Service.
 func (t *Transport) Name() string { return ServiceName }
 
-// Run implements kernel.Service: it waits for ctx, then closes.
+// Run implements kernel.Service. It closes the transport when ctx ends.
 func (t *Transport) Run(ctx context.Context) error {
 	<-ctx.Done()
 	return t.Close()
 }
 
-// Self is this instance as its peers see it.
+// Self returns this instance as its peers see it.
 func (t *Transport) Self() Peer { return t.self }
 
-// BytesSent is the size of all messages and replies sent, without the transport's own overhead.
+// BytesSent returns the size of all messages and replies sent, without the overhead of the transport.
 func (t *Transport) BytesSent() int64 { return t.sent.Load() }
 
-// write sends a frame and counts it.
+// write sends a frame and counts its bytes.
 func (t *Transport) write(w io.Writer, kind Kind, v any) error {
 	n, err := writeFrame(w, v)
 	t.sent.Add(int64(n))
@@ -165,11 +166,11 @@
 	return err
 }
 
-// Close ends every connection and waits for the handlers.
+// Close closes all connections and waits for the handlers to return.
 func (t *Transport) Close() error {
-	t.quit()
+	t.cancel()
 	_ = t.lis.Close()
-	for _, conn := range t.shut() {
+	for _, conn := range t.takeConns() {
 		_ = conn.CloseWithError(closeNormally, "closing")
 	}
 	err := t.udp.Close()
@@ -178,18 +179,18 @@
 	return eris.Wrap(err, "closing QUIC")
 }
 
-// shut keeps connections from being dialled any more and returns those that stand.
-func (t *Transport) shut() []*quic.Conn {
+// takeConns prevents further dialling, and removes and returns the open connections.
+func (t *Transport) takeConns() []*quic.Conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closed = true
 	var out []*quic.Conn
-	for _, l := range t.conns {
-		if l.conn != nil {
-			out = append(out, l.conn)
+	for _, pc := range t.conns {
+		if pc.conn != nil {
+			out = append(out, pc.conn)
 		}
 	}
-	t.conns = make(map[string]*link)
+	t.conns = make(map[string]*peerConn)
 	return out
 }
 
@@ -205,29 +206,29 @@
 
 func (t *Transport) serve(conn *quic.Conn) {
 	defer func() { _ = conn.CloseWithError(closeNormally, "closing") }()
-	limit := rate.NewLimiter(callsPerConn, burstPerConn)
+	limit := rate.NewLimiter(callsPerSecond, callBurst)
 	for {
 		st, err := conn.AcceptStream(t.ctx)
 		if err != nil {
-			t.refused(conn, err)
+			t.logRefused(conn, err)
 			return
 		}
 		if err := limit.Wait(t.ctx); err != nil {
 			return
 		}
-		t.wg.Go(func() { t.answer(conn.Context(), st) })
+		t.wg.Go(func() { t.handleStream(conn.Context(), st) })
 	}
 }
 
-// refused logs a peer whose certificate was not accepted.
-func (t *Transport) refused(conn *quic.Conn, err error) {
+// logRefused logs a connection that ended because of a TLS error, such as a peer's invalid certificate.
+func (t *Transport) logRefused(conn *quic.Conn, err error) {
 	var te *quic.TransportError
 	if errors.As(err, &te) && te.ErrorCode.IsCryptoError() {
 		t.log.Warn().Str("event", "peer_refused").Str("addr", conn.RemoteAddr().String()).Err(err).Msg("peer refused")
 	}
 }
 
-func (t *Transport) answer(ctx context.Context, st *quic.Stream) {
+func (t *Transport) handleStream(ctx context.Context, st *quic.Stream) {
 	defer func() { _ = st.Close() }()
 	var req request
 	if err := readFrame(st, &req); err != nil {
@@ -238,7 +239,7 @@
 		_ = t.write(st, req.Kind, reply{Err: toRemote(eris.Wrapf(ErrVersion, "version %d", req.Version)), End: true})
 		return
 	}
-	if !t.admit(req.From) {
+	if !t.allowPeer(req.From) {
 		st.CancelWrite(0)
 		return
 	}
@@ -250,14 +251,14 @@
 		return
 	}
 	body, err := t.router.Dispatch(ctx, req.From, req.Kind, req.Body)
-	if !t.admit(req.From) {
+	if !t.allowPeer(req.From) {
 		st.CancelWrite(0)
 		return
 	}
 	_ = t.write(st, req.Kind, reply{Err: toRemote(err), Body: body, End: true})
 }
 
-// Call implements Caller. A call to this instance's own address stays in the process.
+// Call implements Caller. A call to this instance's own address is dispatched locally.
 func (t *Transport) Call(ctx context.Context, addr string, kind Kind, body []byte) ([]byte, error) {
 	if addr == t.self.Addr {
 		return t.router.Dispatch(ctx, t.self, kind, body)
@@ -269,8 +270,8 @@
 		return nil, err
 	}
 	defer st.CancelRead(0)
-	if dl, ok := ctx.Deadline(); ok {
-		_ = st.SetReadDeadline(dl)
+	if deadline, ok := ctx.Deadline(); ok {
+		_ = st.SetReadDeadline(deadline)
 	}
 	stop := context.AfterFunc(ctx, func() { st.CancelRead(0) })
 	defer stop()
@@ -308,7 +309,7 @@
 }
 
 func (t *Transport) open(ctx context.Context, addr string, kind Kind, body []byte) (*quic.Stream, error) {
-	if !t.gate(addr) {
+	if !t.allowAddr(addr) {
 		return nil, eris.Wrapf(ErrUnreachable, "%s to %s", kind, addr)
 	}
 	conn, err := t.conn(ctx, addr)
@@ -317,45 +318,45 @@
 	}
 	st, err := conn.OpenStreamSync(ctx)
 	if err != nil {
-		t.drop(addr, conn)
+		t.dropConn(addr, conn)
 		return nil, eris.Wrapf(ErrUnreachable, "%s to %s: %v", kind, addr, err)
 	}
 	if err := t.write(st, kind, request{Version: Version, Kind: kind, From: t.self, Body: body}); err != nil {
-		t.drop(addr, conn)
+		t.dropConn(addr, conn)
 		return nil, eris.Wrapf(ErrNoReply, "%s to %s: %v", kind, addr, err)
 	}
 	_ = st.Close()
 	return st, nil
 }
 
-// conn returns the connection to addr; concurrent callers share one dial.
+// conn returns a connection to addr. Concurrent callers share one dial.
 func (t *Transport) conn(ctx context.Context, addr string) (*quic.Conn, error) {
 	t.mu.Lock()
 	if t.closed {
 		t.mu.Unlock()
 		return nil, context.Canceled
 	}
-	l, ok := t.conns[addr]
-	if ok && l.conn != nil && l.conn.Context().Err() != nil {
+	pc, ok := t.conns[addr]
+	if ok && pc.conn != nil && pc.conn.Context().Err() != nil {
 		ok = false
 	}
 	if !ok {
-		l = &link{ready: make(chan struct{})}
-		t.conns[addr] = l
-		t.wg.Go(func() { t.dial(addr, l) })
+		pc = &peerConn{ready: make(chan struct{})}
+		t.conns[addr] = pc
+		t.wg.Go(func() { t.dial(addr, pc) })
 	}
 	t.mu.Unlock()
 	select {
-	case <-l.ready:
+	case <-pc.ready:
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		return l.conn, l.err
+		return pc.conn, pc.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-func (t *Transport) dial(addr string, l *link) {
+func (t *Transport) dial(addr string, pc *peerConn) {
 	ctx, cancel := context.WithTimeout(t.ctx, dialTimeout)
 	defer cancel()
 	udpAddr, err := net.ResolveUDPAddr("udp", addr)
@@ -364,20 +365,21 @@
 		conn, err = t.udp.Dial(ctx, udpAddr, t.tls, quicConfig())
 	}
 	t.mu.Lock()
-	l.conn, l.err = conn, err
-	if err != nil && t.conns[addr] == l {
+	pc.conn, pc.err = conn, err
+	if err != nil && t.conns[addr] == pc {
 		delete(t.conns, addr)
 	}
 	t.mu.Unlock()
-	close(l.ready)
+	close(pc.ready)
 }
 
-// Forget gives up the connection to an address. The next call dials anew: one that was cut for long takes long to recover.
+// Forget closes the connection to an address, so that the next call dials anew. A connection whose link was cut for long
+// takes long to recover.
 func (t *Transport) Forget(addr string) {
 	t.mu.Lock()
 	var conn *quic.Conn
-	if l, ok := t.conns[addr]; ok {
-		conn = l.conn
+	if pc, ok := t.conns[addr]; ok {
+		conn = pc.conn
 		delete(t.conns, addr)
 	}
 	t.mu.Unlock()
@@ -386,10 +388,10 @@
 	}
 }
 
-func (t *Transport) drop(addr string, conn *quic.Conn) {
+func (t *Transport) dropConn(addr string, conn *quic.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if l, ok := t.conns[addr]; ok && l.conn == conn {
+	if pc, ok := t.conns[addr]; ok && pc.conn == conn {
 		delete(t.conns, addr)
 	}
 }
@@ -410,11 +412,11 @@
 }
 
 func readFrame(r io.Reader, v any) error {
-	var head [lengthBytes]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [lengthBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return err
 	}
-	n := binary.BigEndian.Uint32(head[:])
+	n := binary.BigEndian.Uint32(header[:])
 	if n > MaxMessage {
 		return eris.Errorf("a message of %d bytes is too large", n)
 	}
--- a/internal/mesh/transport_test.go
+++ b/internal/mesh/transport_test.go
@@ -56,19 +56,19 @@
 	client := listen(t, ca, "client", NewRouter())
 	ctx := context.Background()
 
-	Convey("A call comes back typed, from the peer that it says", t, func() {
+	Convey("A call returns a typed reply, and the handler receives the caller's identity", t, func() {
 		out, err := Call[text, text](ctx, client, server.Self().Addr, "echo", text{S: "hello"})
 		So(err, ShouldBeNil)
 		So(out.S, ShouldEqual, "client hello")
 	})
-	Convey("An error keeps its verdict, code and time", t, func() {
+	Convey("An error keeps its verdict, code and retry time", t, func() {
 		_, err := Call[text, text](ctx, client, server.Self().Addr, "refuse", text{})
 		e := verdict.From(err)
 		So(e.Verdict(), ShouldEqual, verdict.NotRun)
 		So(e.Code(), ShouldEqual, verdict.CodeOverloaded)
 		So(e.RetryAfter(), ShouldEqual, time.Second)
 	})
-	Convey("A stream comes in order and whole", t, func() {
+	Convey("A stream arrives complete and in order", t, func() {
 		var got []string
 		err := Stream(ctx, client, server.Self().Addr, "count", Empty{}, func(x text) error {
 			got = append(got, x.S)
@@ -77,7 +77,7 @@
 		So(err, ShouldBeNil)
 		So(got, ShouldResemble, []string{"a", "b", "c"})
 	})
-	Convey("An unknown message, as a later build may send, is refused as not run, and costs nothing else: the link goes on", t, func() {
+	Convey("An unknown message, as a later build may send, is refused as not run, and the connection stays open", t, func() {
 		conn, err := client.conn(ctx, server.Self().Addr)
 		So(err, ShouldBeNil)
 		for range 3 {
@@ -91,7 +91,7 @@
 		So(err, ShouldBeNil)
 		So(same, ShouldEqual, conn)
 	})
-	Convey("A peer with a key of another fleet cannot call", t, func() {
+	Convey("A peer with a certificate of another fleet cannot call", t, func() {
 		other, err := NewAuthority()
 		So(err, ShouldBeNil)
 		stranger := listen(t, other, "stranger", NewRouter())
@@ -99,7 +99,7 @@
 		So(err, ShouldNotBeNil)
 		So(errors.Is(err, ErrUnreachable) || errors.Is(err, ErrNoReply), ShouldBeTrue)
 	})
-	Convey("A peer that is not there is unreachable: it has not seen the call", t, func() {
+	Convey("A call to an address without a peer fails with ErrUnreachable", t, func() {
 		_, err := Call[text, text](ctx, client, "127.0.0.1:9", "echo", text{})
 		So(errors.Is(err, ErrUnreachable), ShouldBeTrue)
 	})
