--- a/internal/compat/compat.go
+++ b/internal/compat/compat.go
@@ -1,8 +1,8 @@
-// Package compat reads and writes values that builds of other ages read and write too.
+// Package compat encodes and decodes stored values that older and newer builds read and write too.
 //
-// A value in the store may be read, changed and written back by an older build than the one that wrote it. A field that the older build does not know
-// would be lost with that: in a budget's row it may be tokens. So what a build does not know goes back as it came, as long as the value
-// that it stands in is still there.
+// A value in the store may be read, changed and written back by an older build than the one that wrote it. Fields that the
+// older build does not know would be lost then; in a budget's row, that may be tokens. Therefore a build writes back
+// unknown fields unchanged, as long as the value that contains them still exists.
 package compat
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// Generation counts the formats of messages, rows and pages: it rises with each build in which one of them is new or has changed. A build reads all
-// up to its own.
+// Generation is the version of the formats of messages, rows and pages. It increases with each build in which a format is
+// added or changed. A build reads all generations up to its own.
 const Generation = 5
 
-// UnknownFields is a value as it was read, if it has fields that its type does not know. Its zero value is one without such fields.
+// UnknownFields is the encoding of a value that had fields unknown to its type. The zero value means that it had none.
 type UnknownFields struct{ raw cbor.RawMessage }
 
-var strict = func() cbor.DecMode {
+var strictMode = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -30,10 +30,10 @@
 	return mode
 }()
 
-// Decode reads a value. Fields that its type does not know are kept for Encode.
+// Decode decodes a value into v. It returns the fields that the type does not know, to be passed to Encode.
 func Decode(b []byte, v any) (UnknownFields, error) {
 	var unknown *cbor.UnknownFieldError
-	err := strict.Unmarshal(b, v)
+	err := strictMode.Unmarshal(b, v)
 	switch {
 	case err == nil:
 		return UnknownFields{}, nil
@@ -47,7 +47,7 @@
 	return UnknownFields{raw: append(cbor.RawMessage(nil), b...)}, nil
 }
 
-// Encode writes a value, with the fields that were not known when it was read.
+// Encode encodes a value together with the unknown fields that Decode returned.
 func Encode(v any, u UnknownFields) ([]byte, error) {
 	b, err := cbor.Marshal(v)
 	if err != nil || u.raw == nil {
@@ -56,83 +56,84 @@
 	return merge(reflect.TypeOf(v), u.raw, b)
 }
 
-// merge adds to an encoded value of a type what its earlier encoding has beyond the type's fields.
-func merge(t reflect.Type, old, now cbor.RawMessage) (cbor.RawMessage, error) {
+// merge adds to the updated encoding of a value the fields of its old encoding that its type t does not know.
+func merge(t reflect.Type, old, updated cbor.RawMessage) (cbor.RawMessage, error) {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
 	switch t.Kind() {
 	case reflect.Struct:
-		return mergeStruct(t, old, now)
+		return mergeStruct(t, old, updated)
 	case reflect.Map:
-		return mergeMap(t, old, now)
+		return mergeMap(t, old, updated)
 	default:
-		return now, nil
+		return updated, nil
 	}
 }
 
-// mergeStruct adds fields of a struct that its type does not know. Only structs that are maps by number can have such.
-func mergeStruct(t reflect.Type, old, now cbor.RawMessage) (cbor.RawMessage, error) {
-	known, ok := fields(t)
+// mergeStruct merges the encodings of a struct. Only structs that are encoded as maps with integer keys can have unknown
+// fields.
+func mergeStruct(t reflect.Type, old, updated cbor.RawMessage) (cbor.RawMessage, error) {
+	known, ok := fieldTypes(t)
 	if !ok {
-		return now, nil
+		return updated, nil
 	}
-	var was, is map[uint64]cbor.RawMessage
-	if err := unmarshalBoth(old, now, &was, &is); err != nil {
+	var oldFields, newFields map[uint64]cbor.RawMessage
+	if err := unmarshalBoth(old, updated, &oldFields, &newFields); err != nil {
 		return nil, err
 	}
-	for key, value := range was {
+	for key, value := range oldFields {
 		field, ok := known[key]
 		if !ok {
-			is[key] = value
+			newFields[key] = value
 			continue
 		}
-		if _, there := is[key]; !there {
+		if _, exists := newFields[key]; !exists {
 			continue
 		}
 		var err error
-		if is[key], err = merge(field, value, is[key]); err != nil {
+		if newFields[key], err = merge(field, value, newFields[key]); err != nil {
 			return nil, err
 		}
 	}
-	return cbor.Marshal(is)
+	return cbor.Marshal(newFields)
 }
 
-// mergeMap does the same for what stands under keys that are still there.
-func mergeMap(t reflect.Type, old, now cbor.RawMessage) (cbor.RawMessage, error) {
+// mergeMap merges the encodings of a map. It merges the values of keys that exist in both.
+func mergeMap(t reflect.Type, old, updated cbor.RawMessage) (cbor.RawMessage, error) {
 	if t.Key().Kind() != reflect.String {
-		return now, nil
+		return updated, nil
 	}
-	var was, is map[string]cbor.RawMessage
-	if err := unmarshalBoth(old, now, &was, &is); err != nil {
+	var oldEntries, newEntries map[string]cbor.RawMessage
+	if err := unmarshalBoth(old, updated, &oldEntries, &newEntries); err != nil {
 		return nil, err
 	}
-	for key, value := range is {
-		before, there := was[key]
-		if !there {
+	for key, value := range newEntries {
+		oldValue, exists := oldEntries[key]
+		if !exists {
 			continue
 		}
 		var err error
-		if is[key], err = merge(t.Elem(), before, value); err != nil {
+		if newEntries[key], err = merge(t.Elem(), oldValue, value); err != nil {
 			return nil, err
 		}
 	}
-	return cbor.Marshal(is)
+	return cbor.Marshal(newEntries)
 }
 
-func unmarshalBoth[K comparable](old, now cbor.RawMessage, was, is *map[K]cbor.RawMessage) error {
-	if err := cbor.Unmarshal(old, was); err != nil {
+func unmarshalBoth[K comparable](old, updated cbor.RawMessage, oldMap, newMap *map[K]cbor.RawMessage) error {
+	if err := cbor.Unmarshal(old, oldMap); err != nil {
 		return eris.Wrap(err, "reading the earlier value")
 	}
-	return eris.Wrap(cbor.Unmarshal(now, is), "reading the new value")
+	return eris.Wrap(cbor.Unmarshal(updated, newMap), "reading the new value")
 }
 
-// fields are the types of a struct's fields by their numbers; false if they have none.
-func fields(t reflect.Type) (map[uint64]reflect.Type, bool) {
+// fieldTypes returns the types of a struct's fields by integer key. It returns false if the struct has no integer keys.
+func fieldTypes(t reflect.Type) (map[uint64]reflect.Type, bool) {
 	out := make(map[uint64]reflect.Type, t.NumField())
 	for f := range t.Fields() {
-		name, rest, _ := strings.Cut(f.Tag.Get("cbor"), ",")
-		if !strings.Contains(rest, "keyasint") {
+		name, options, _ := strings.Cut(f.Tag.Get("cbor"), ",")
+		if !strings.Contains(options, "keyasint") {
 			continue
 		}
 		n, err := strconv.ParseUint(name, 10, 64)
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// What a later build writes, and what this one knows of it.
+// Types as a later build declares them (later...), and the same types as an earlier build declares them.
 type (
 	laterRow struct {
 		Granted int64    `cbor:"1,keyasint,omitempty"`
@@ -36,17 +36,17 @@
 	}
 )
 
-func encoded(v any) []byte {
+func mustEncode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	So(err, ShouldBeNil)
 	return b
 }
 
-// An older instance that reads a page, changes it and writes it back lost what a later one had put there: tokens that were lent would have
-// been free again.
-func TestWriteBack(t *testing.T) {
-	Convey("A build that writes a value back keeps what it does not know of it", t, func() {
-		raw := encoded(laterPage{Format: 3, Accounts: map[string]*laterAccount{
+// TestUnknownFieldsSurviveWriteBack guards against data loss when an older instance reads a page, changes it and writes it
+// back. Fields that a later build had written used to be lost: tokens that had been lent would have become free again.
+func TestUnknownFieldsSurviveWriteBack(t *testing.T) {
+	Convey("A build that writes a value back retains the fields that it does not know", t, func() {
+		raw := mustEncode(laterPage{Format: 3, Accounts: map[string]*laterAccount{
 			"north": {Debt: 5, Rows: map[string]laterRow{"a": {Granted: 10, Spent: 4, Lent: 6}, "b": {Granted: 1, Notes: []string{"x"}}, "c": {Lent: 2}}},
 			"south": {Debt: 7},
 		}})
@@ -54,7 +54,7 @@
 		u, err := Decode(raw, &p)
 		So(err, ShouldBeNil)
 		So(p.Accounts["north"].Rows["a"], ShouldResemble, row{Granted: 10, Spent: 4})
-		p.Accounts["north"].Rows["a"] = row{Granted: 12} // a known field that is zero now is not brought back
+		p.Accounts["north"].Rows["a"] = row{Granted: 12} // the known field Spent, now zero, is not restored
 		delete(p.Accounts["north"].Rows, "b")
 		delete(p.Accounts, "south")
 		p.Accounts["north"].Rows["d"] = row{Granted: 3}
@@ -67,26 +67,26 @@
 		}})
 	})
 
-	Convey("A value without fields that are not known is written as it is", t, func() {
+	Convey("A value without unknown fields is encoded unchanged", t, func() {
 		var p page
-		u, err := Decode(encoded(laterPage{Accounts: map[string]*laterAccount{"north": {}}}), &p)
+		u, err := Decode(mustEncode(laterPage{Accounts: map[string]*laterAccount{"north": {}}}), &p)
 		So(err, ShouldBeNil)
 		So(u, ShouldResemble, UnknownFields{})
 		out, err := Encode(&p, u)
 		So(err, ShouldBeNil)
-		So(out, ShouldResemble, encoded(&p))
+		So(out, ShouldResemble, mustEncode(&p))
 	})
 
-	Convey("What cannot be read is an error", t, func() {
-		for _, raw := range [][]byte{{0xff}, encoded("text"), encoded(map[int]string{1: "x"}), encoded(map[int]any{1: "x", 9: 1})} {
+	Convey("Decoding an invalid value fails", t, func() {
+		for _, raw := range [][]byte{{0xff}, mustEncode("text"), mustEncode(map[int]string{1: "x"}), mustEncode(map[int]any{1: "x", 9: 1})} {
 			_, err := Decode(raw, &page{})
 			So(err, ShouldNotBeNil)
 		}
 	})
 }
 
-// Whatever a later build has written, reading and writing it back changes nothing of it.
-func TestWriteBackOfAnything(t *testing.T) {
+// TestWriteBackKeepsArbitraryValues checks that reading and writing back any value of a later build does not change it.
+func TestWriteBackKeepsArbitraryValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.Int64Range(0, 3)
 		rows := rapid.MapOfN(rapid.StringN(1, 2, 2), rapid.Custom(func(t *rapid.T) laterRow {
@@ -114,10 +114,10 @@
 			t.Fatal(err)
 		}
 		mode, _ := cbor.CanonicalEncOptions().EncMode()
-		was, _ := mode.Marshal(written)
-		is, _ := mode.Marshal(back)
-		if string(was) != string(is) {
-			t.Fatalf("%x came back as %x", was, is)
+		want, _ := mode.Marshal(written)
+		got, _ := mode.Marshal(back)
+		if string(want) != string(got) {
+			t.Fatalf("%x came back as %x", want, got)
 		}
 	})
 }
--- a/internal/compat/formattest/formattest.go
+++ b/internal/compat/formattest/formattest.go
@@ -1,8 +1,10 @@
-// Package formattest holds the encodings of what leaves a process, or outlives it, against the bytes that earlier builds wrote.
+// Package formattest compares the encodings of messages and stored values with the bytes that earlier builds wrote.
 //
-// Beside a test lies testdata/formats/NAME.N.hex for each encoding that a value ever had: what builds from generation N on write (compat.Generation).
-// Files are added and never changed. A test fails when a value is encoded otherwise than its last file says, and when the value of any file does not
-// come back whole after it was read and written again: then a field of an earlier build is lost, or read as another.
+// For each encoding that a value ever had, there is a file testdata/formats/NAME.N.hex next to the test. It contains what
+// builds from generation N on write (compat.Generation). Files are added and never changed.
+//
+// A test fails if the encoding of a value differs from its last file. It also fails if decoding and encoding the contents
+// of any file does not reproduce them: then a field of an earlier build is lost, or decoded as another field.
 package formattest
 
 import (
@@ -21,20 +23,20 @@
 	"github.com/ledgemount/ledgemount/internal/compat"
 )
 
-var add = flag.Bool("formats.add", false, "add a file for each encoding that has changed")
+var addFiles = flag.Bool("formats.add", false, "add a file for each encoding that has changed")
 
 const (
-	dir      = "testdata/formats"
-	lineSize = 60 // bytes of a line of a file
+	dir          = "testdata/formats"
+	bytesPerLine = 60 // encoded bytes per line of a file
 )
 
-// Codec writes and reads values as the program does.
+// Codec encodes and decodes values in the same way as the program.
 type Codec[T any] struct {
 	Encode func(T) ([]byte, error)
 	Decode func([]byte) (T, error)
 }
 
-// CBOR is the codec of messages.
+// CBOR returns the codec of messages.
 func CBOR[T any]() Codec[T] {
 	return Codec[T]{
 		Encode: func(v T) ([]byte, error) { return cbor.Marshal(v) },
@@ -42,13 +44,13 @@
 	}
 }
 
-// Check holds the encodings of a message against its files.
+// Check compares the encodings of a message with its files.
 func Check[T any](t *testing.T, name string) {
 	t.Helper()
 	CheckWith(t, name, CBOR[T]())
 }
 
-// CheckWith holds the encodings of a value that has a codec of its own against its files.
+// CheckWith compares the encodings of a value with its files. The value is encoded and decoded by c.
 func CheckWith[T any](t *testing.T, name string, c Codec[T]) {
 	t.Helper()
 	faults, err := compare(name, c, compat.Generation)
@@ -60,18 +62,19 @@
 	}
 }
 
-// compare reports what is wrong with the encodings of a value, and adds a file where it is asked to.
+// compare returns the faults in the encodings of a value. If the encoding has changed and -formats.add is set, it adds a
+// file instead of reporting that.
 func compare[T any](name string, c Codec[T], generation int) (faults []string, err error) {
-	files, err := read(name, generation)
+	files, err := readFiles(name, generation)
 	if err != nil {
 		return nil, err
 	}
 	for _, f := range files {
-		if err := keeps(c, f.raw); err != nil {
+		if err := checkRoundTrip(c, f.raw); err != nil {
 			faults = append(faults, fmt.Sprintf("%s of generation %d: %v", name, f.generation, err))
 		}
 	}
-	now, err := c.Encode(SampleValue[T]())
+	current, err := c.Encode(SampleValue[T]())
 	if err != nil {
 		return nil, err
 	}
@@ -80,19 +83,19 @@
 		last = files[len(files)-1]
 	}
 	switch {
-	case bytes.Equal(last.raw, now):
+	case bytes.Equal(last.raw, current):
 		return faults, nil
 	case last.generation == generation:
 		return append(faults, name+" has changed since its file of this generation was written: see compat.Generation"), nil
-	case *add:
-		return faults, write(name, generation, now)
+	case *addFiles:
+		return faults, writeFile(name, generation, current)
 	}
 	return append(faults, fmt.Sprintf("%s is encoded otherwise than its file of generation %d says. Where builds of both kinds can live with that "+
 		"(docs/design/builds.md), add a file: go test . -run TestFormats -args -formats.add", name, last.generation)), nil
 }
 
-// keeps reports what is lost of a value that is read and written again.
-func keeps[T any](c Codec[T], raw []byte) error {
+// checkRoundTrip returns an error if decoding and encoding a value does not reproduce it.
+func checkRoundTrip[T any](c Codec[T], raw []byte) error {
 	v, err := c.Decode(raw)
 	if err != nil {
 		return fmt.Errorf("it cannot be read: %w", err)
@@ -107,14 +110,14 @@
 	return nil
 }
 
-// file is an encoding of a value, and the first generation of builds that wrote it.
+// file is an encoding of a value and the first generation of builds that wrote it.
 type file struct {
 	generation int
 	raw        []byte
 }
 
-// read finds the files of a name, in their order.
-func read(name string, generation int) (out []file, err error) {
+// readFiles reads the files of a name up to a generation, in order.
+func readFiles(name string, generation int) (out []file, err error) {
 	for n := 1; n <= generation; n++ {
 		text, err := os.ReadFile(path(name, n))
 		if os.IsNotExist(err) {
@@ -132,13 +135,13 @@
 	return out, nil
 }
 
-func write(name string, n int, raw []byte) error {
+func writeFile(name string, n int, raw []byte) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	var b strings.Builder
 	for len(raw) > 0 {
-		size := min(lineSize, len(raw))
+		size := min(bytesPerLine, len(raw))
 		b.WriteString(hex.EncodeToString(raw[:size]) + "\n")
 		raw = raw[size:]
 	}
@@ -147,7 +150,7 @@
 
 func path(name string, n int) string { return filepath.Join(dir, fmt.Sprintf("%s.%d.hex", name, n)) }
 
-// SampleValue is a value of which every field says something, always the same.
+// SampleValue returns a value whose fields are all set. It is the same at each call.
 func SampleValue[T any]() T {
 	var v T
 	f := filler{}
@@ -160,8 +163,8 @@
 	depth int
 }
 
-// deepest is how far a value may stand in others that is filled: some hold others of their own type.
-const deepest = 8
+// maxDepth is the nesting depth beyond which pointers, slices and maps stay empty, since some types contain themselves.
+const maxDepth = 8
 
 var rawType = reflect.TypeFor[cbor.RawMessage]()
 
@@ -169,7 +172,7 @@
 	f.n++
 	f.depth++
 	defer func() { f.depth-- }()
-	if f.depth > deepest && (v.Kind() == reflect.Pointer || v.Kind() == reflect.Slice || v.Kind() == reflect.Map) {
+	if f.depth > maxDepth && (v.Kind() == reflect.Pointer || v.Kind() == reflect.Slice || v.Kind() == reflect.Map) {
 		return
 	}
 	if v.Type() == rawType {
@@ -206,7 +209,7 @@
 	}
 }
 
-// fillMap makes one entry: the order of several would be random.
+// fillMap sets a map with one entry, because the order of several would be random.
 func (f *filler) fillMap(v reflect.Value) {
 	key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
 	f.fill(key)
--- a/internal/compat/formattest/formattest_test.go
+++ b/internal/compat/formattest/formattest_test.go
@@ -8,7 +8,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// One message as builds write it one after the other.
+// Versions of one message, as successive builds declare it.
 type (
 	first struct {
 		Granted int64            `cbor:"1,keyasint"`
@@ -46,57 +46,57 @@
 	}
 )
 
-func faultsOf[T any](c Codec[T], generation int) int {
+func countFaults[T any](c Codec[T], generation int) int {
 	faults, err := compare("message", c, generation)
 	So(err, ShouldBeNil)
 	return len(faults)
 }
 
 func TestCompare(t *testing.T) {
-	Convey("With the file that a build has written", t, func() {
+	Convey("Given the file that the first build has written", t, func() {
 		t.Chdir(t.TempDir())
-		*add = true
-		So(faultsOf(CBOR[first](), 1), ShouldEqual, 0)
-		*add = false
-		So(faultsOf(CBOR[first](), 1), ShouldEqual, 0)
-		So(faultsOf(CBOR[first](), 4), ShouldEqual, 0)
+		*addFiles = true
+		So(countFaults(CBOR[first](), 1), ShouldEqual, 0)
+		*addFiles = false
+		So(countFaults(CBOR[first](), 1), ShouldEqual, 0)
+		So(countFaults(CBOR[first](), 4), ShouldEqual, 0)
 
-		Convey("a field more is a change that wants a file, and no fault then; the first file stays", func() {
+		Convey("an added field is a fault until a file is added for it, which leaves the first file unchanged", func() {
 			before, err := os.ReadFile(path("message", 1))
 			So(err, ShouldBeNil)
-			So(faultsOf(CBOR[grown](), 1), ShouldEqual, 1) // of the same generation
-			So(faultsOf(CBOR[grown](), 3), ShouldEqual, 1)
-			*add = true
-			So(faultsOf(CBOR[grown](), 1), ShouldEqual, 1)
-			So(faultsOf(CBOR[grown](), 3), ShouldEqual, 0)
-			*add = false
-			So(faultsOf(CBOR[grown](), 3), ShouldEqual, 0)
+			So(countFaults(CBOR[grown](), 1), ShouldEqual, 1) // a file of this generation exists already
+			So(countFaults(CBOR[grown](), 3), ShouldEqual, 1)
+			*addFiles = true
+			So(countFaults(CBOR[grown](), 1), ShouldEqual, 1)
+			So(countFaults(CBOR[grown](), 3), ShouldEqual, 0)
+			*addFiles = false
+			So(countFaults(CBOR[grown](), 3), ShouldEqual, 0)
 			after, err := os.ReadFile(path("message", 1))
 			So(err, ShouldBeNil)
 			So(after, ShouldResemble, before)
 
-			Convey("and a build that goes back to the first loses the field", func() {
-				So(faultsOf(CBOR[first](), 3), ShouldEqual, 2)
+			Convey("and a build that returns to the first version loses the field", func() {
+				So(countFaults(CBOR[first](), 3), ShouldEqual, 2)
 			})
 		})
 
-		Convey("a field that is dropped, one that has another number, and one more of a list by position are faults, whatever file is added", func() {
-			*add = true
-			defer func() { *add = false }()
-			So(faultsOf(CBOR[dropped](), 2), ShouldEqual, 1)
-			So(faultsOf(CBOR[renumbered](), 2), ShouldBeGreaterThan, 0)
-			So(faultsOf(CBOR[longer](), 2), ShouldBeGreaterThan, 0)
+		Convey("a dropped field, a renumbered field and an added field of a struct encoded as an array are faults, even if files are added", func() {
+			*addFiles = true
+			defer func() { *addFiles = false }()
+			So(countFaults(CBOR[dropped](), 2), ShouldEqual, 1)
+			So(countFaults(CBOR[renumbered](), 2), ShouldBeGreaterThan, 0)
+			So(countFaults(CBOR[longer](), 2), ShouldBeGreaterThan, 0)
 		})
 
-		Convey("a codec that forgets something as it writes back is a fault", func() {
-			forgets := CBOR[first]()
-			forgets.Decode = func(b []byte) (first, error) {
+		Convey("a codec that loses a field is a fault", func() {
+			lossy := CBOR[first]()
+			lossy.Decode = func(b []byte) (first, error) {
 				var v first
 				err := cbor.Unmarshal(b, &v)
 				v.Rows = nil
 				return v, err
 			}
-			So(faultsOf(forgets, 1), ShouldEqual, 1)
+			So(countFaults(lossy, 1), ShouldEqual, 1)
 		})
 	})
 }
--- a/internal/kernel/every.go
+++ b/internal/kernel/every.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Every calls f at an interval until ctx ends. It is the body of services that only look at things now and then.
+// Every calls f once per interval until ctx ends. Services that only do periodic work call it in Run.
 func Every(ctx context.Context, d time.Duration, f func(context.Context)) {
 	t := time.NewTicker(d)
 	defer t.Stop()
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,4 +1,4 @@
-// Package kernel holds the named services of one instance and runs them as a group.
+// Package kernel registers the named services of an instance and runs them as a group.
 package kernel
 
 import (
@@ -9,15 +9,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// Service is what every part of an instance implements.
+// Service is a part of an instance that the kernel runs.
 type Service interface {
-	// Name is how other services find this one.
+	// Name returns the name under which other services look up this one.
 	Name() string
-	// Run works until ctx ends. It returns after everything it started has ended.
+	// Run runs the service until ctx ends. It returns after everything that it started has ended.
 	Run(ctx context.Context) error
 }
 
-// Kernel is a registry of services. Register before Run; look up at any time.
+// Kernel is a registry of services. Register must be called before Run; Lookup may be called at any time.
 type Kernel struct {
 	mu       sync.RWMutex
 	services map[string]Service
@@ -26,12 +26,12 @@
 	done     chan struct{}
 }
 
-// New makes an empty kernel.
+// New returns a Kernel without services.
 func New() *Kernel {
 	return &Kernel{services: make(map[string]Service)}
 }
 
-// Register adds services in the order in which they will start.
+// Register adds services in the order in which Run starts them.
 func (k *Kernel) Register(services ...Service) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// Lookup finds a service by name as the type T.
+// Lookup returns a service by name, as type T.
 func Lookup[T any](k *Kernel, name string) (T, error) {
 	var zero T
 	k.mu.RLock()
@@ -95,7 +95,7 @@
 	}, func(error) { cancel() })
 }
 
-// Close stops a running kernel and waits until every service has ended.
+// Close stops a running kernel and waits until all services have ended.
 func (k *Kernel) Close() error {
 	k.mu.RLock()
 	cancel, done := k.cancel, k.done
