--- a/internal/gateway/attach.go
+++ b/internal/gateway/attach.go
@@ -207,8 +207,8 @@
 	return j.readStream(ctx, url, place, s)
 }
 
-// afterFailedResume decides how a request goes on whose run could not be resumed. If it may run again, the former run is
-// stopped and the request served anew.
+// afterFailedResume decides how to continue a request whose run could not be resumed. If the request may run again, the
+// former run is stopped and the request served anew.
 func (g *Gateway) afterFailedResume(ctx context.Context, j *job, rec once.Record, resp budget.ReserveResp, err error) error {
 	if resp.Outcome != budget.Granted {
 		return verdict.New(verdict.Ran, verdict.CodeTruncated, responseUnavailable, verdict.WithCause(err))
--- a/internal/gateway/deferred.go
+++ b/internal/gateway/deferred.go
@@ -20,7 +20,7 @@
 	g.deferred = append(g.deferred, deferred{j: j, used: used})
 }
 
-// settleDeferred asks the homes of the deferred requests' keys again, and settles what they decide.
+// settleDeferred settles the deferred requests whose key's home answers now. The others stay deferred.
 func (g *Gateway) settleDeferred(ctx context.Context) {
 	g.mu.Lock()
 	pending := g.deferred
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -51,7 +51,7 @@
 	claimed           bool
 	claimRun          string // the run for which the claim was made
 	provisional       bool   // the key's home did not answer: another instance may have the request too
-	formerOwner       string // the incarnation from which an undispatched request was taken over
+	formerOwner       string // ID of the incarnation from which an undispatched request was taken over
 	mayHaveRun        bool   // an earlier attempt may have run, so the request cannot end as not run
 	tried             []string
 	attempts          int
@@ -333,8 +333,8 @@
 	j.transcript.end(err)
 }
 
-// tokensUsed returns the number of tokens to bill: the usage that the endpoint reports, or else the tokens that have been
-// received.
+// tokensUsed returns the number of tokens to bill: the usage that the endpoint reports, or else the number of tokens
+// received. A call of a plain service costs its reservation.
 func (j *job) tokensUsed(ctx context.Context, err error) int64 {
 	if err != nil && verdict.Of(err) == verdict.NotRun {
 		return 0
@@ -359,7 +359,8 @@
 	return j.transcript.tokens()
 }
 
-// updateKey reports the outcome of a keyed request to the key's home. If the request has not run, the claim is released.
+// updateKey reports the outcome of a keyed request to the key's home. If the request has not run, updateKey releases the
+// claim and drops the key's record.
 func (j *job) updateKey(ctx context.Context, err error, used int64) {
 	if !j.keyed() {
 		return
