--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -301,8 +301,8 @@
 	return !s.lastBeat.IsZero() && now.Sub(s.lastBeat) <= time.Duration(maxMissedBeats)*v.every
 }
 
-// Alive reports whether a heartbeat of a process, named as by mesh.Peer.Who, was received recently. Leaving processes
-// are alive.
+// Alive reports whether a heartbeat of a process, named as by mesh.Peer.IncarnationID, was received recently. Leaving
+// processes are alive.
 func (v *View) Alive(who string) bool {
 	id, inc := mesh.SplitIncarnationID(who)
 	if id == v.self.ID {
