--- a/internal/budget/journal.go
+++ b/internal/budget/journal.go
@@ -119,11 +119,11 @@
 // reservation. This instance itself is listed only while it must be: if it crashes, no process can report for it. The
 // caller holds the lock.
 func (h *Home) currentClients(zone []mesh.Peer, client string) map[string]bool {
-	self := h.members.Self().Who()
+	self := h.members.Self().IncarnationID()
 	listed := make(map[string]bool)
 	for _, p := range zone {
-		if p.Who() != self {
-			listed[p.Who()] = true
+		if p.IncarnationID() != self {
+			listed[p.IncarnationID()] = true
 		}
 	}
 	for _, a := range h.accounts {
--- a/internal/budget/reclaim.go
+++ b/internal/budget/reclaim.go
@@ -101,7 +101,7 @@
 	if j.Fenced != "" {
 		return true
 	}
-	if InstanceOf(j.Holder) == h.members.Self().Who() {
+	if InstanceOf(j.Holder) == h.members.Self().IncarnationID() {
 		return true // an earlier incarnation of this instance
 	}
 	return !h.members.Alive(InstanceOf(j.Holder)) && now.Sub(f.unchangedSince) >= h.times.DeadTimeout
--- a/internal/budget/row.go
+++ b/internal/budget/row.go
@@ -28,7 +28,7 @@
 	Closed   int64            `cbor:"3,keyasint"` // spent through holders whose grants have ended
 	Grants   map[string]Grant `cbor:"4,keyasint"` // by holder
 
-	unknown compat.Unknown // fields written by a newer build
+	unknown compat.UnknownFields // fields written by a newer build
 }
 
 // Grant is the total that one holder may spend, and the total that it had spent when it last wrote the row.
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -33,7 +33,7 @@
 	Settled map[string]int64 `cbor:"7,keyasint"` // total spent by budget, where the page does not contain it yet
 	Recent  []string         `cbor:"8,keyasint"` // charged requests that a client may still report
 
-	unknown compat.Unknown // fields written by a newer build
+	unknown compat.UnknownFields // fields written by a newer build
 }
 
 // Decode decodes a stored journal.
--- a/internal/once/keys.go
+++ b/internal/once/keys.go
@@ -192,7 +192,7 @@
 	var ids []string
 	for _, p := range k.members.Fleet() {
 		if p.Zone == self.Zone {
-			ids = append(ids, p.Who())
+			ids = append(ids, p.IncarnationID())
 		}
 	}
 	sort.Strings(ids)
@@ -268,7 +268,7 @@
 		return true, true
 	case resp.Record.unbilled():
 		current, err := k.TakeOverUnbilled(ctx, customer, resp.Record)
-		isOwner := err == nil && current.Owner.Who() == k.members.Self().Who()
+		isOwner := err == nil && current.Owner.IncarnationID() == k.members.Self().IncarnationID()
 		if isOwner {
 			_, err = k.Update(ctx, customer, rec)
 		}
@@ -293,13 +293,13 @@
 
 // TakeOver makes this instance the owner of a request whose owner is lost.
 func (k *Keys) TakeOver(ctx context.Context, customer string, rec Record) (Record, error) {
-	return k.sendTakeOver(ctx, customer, TakeOverReq{Request: rec.Request, From: rec.Owner.Who(), To: k.members.Self()})
+	return k.sendTakeOver(ctx, customer, TakeOverReq{Request: rec.Request, From: rec.Owner.IncarnationID(), To: k.members.Self()})
 }
 
 // TakeOverUnbilled makes this instance the owner of a request that it has served itself, unless the owner has
 // dispatched or billed it.
 func (k *Keys) TakeOverUnbilled(ctx context.Context, customer string, rec Record) (Record, error) {
-	return k.sendTakeOver(ctx, customer, TakeOverReq{Request: rec.Request, From: rec.Owner.Who(), To: k.members.Self(), Unbilled: true})
+	return k.sendTakeOver(ctx, customer, TakeOverReq{Request: rec.Request, From: rec.Owner.IncarnationID(), To: k.members.Self(), Unbilled: true})
 }
 
 func (k *Keys) sendTakeOver(ctx context.Context, customer string, req TakeOverReq) (Record, error) {
@@ -308,7 +308,7 @@
 	if err != nil {
 		return Record{}, err
 	}
-	if resp.Record.Owner.Who() == self.Who() {
+	if resp.Record.Owner.IncarnationID() == self.IncarnationID() {
 		k.trackOwned(resp.Record, customer, home)
 	}
 	return resp.Record, nil
--- a/internal/peers/directory.go
+++ b/internal/peers/directory.go
@@ -276,7 +276,7 @@
 		}
 		records[r.Peer.ID] = r
 	}
-	if before, ok := records[d.self.Peer.ID]; ok && before.Peer.Inc != d.self.Peer.Inc {
+	if before, ok := records[d.self.Peer.ID]; ok && before.Peer.Incarnation != d.self.Peer.Incarnation {
 		d.mu.Lock()
 		d.restarted = true
 		d.mu.Unlock()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -255,7 +255,7 @@
 
 		Convey("that is small and existed before, at once", func() {
 			So(last.writeRecord(ctx), ShouldBeNil)
-			last.self.Peer.Inc = "next"
+			last.self.Peer.Incarnation = "next"
 			So(last.readRecords(ctx), ShouldBeNil)
 			So(isDiscovered(last), ShouldBeTrue)
 		})
