--- a/cmd/check.go
+++ b/cmd/check.go
@@ -27,7 +27,7 @@
 func (c *checkCmd) Execute([]string) error {
 	kind, notes, err := check(c.Args.File)
 	for _, n := range notes {
-		if _, err := fmt.Fprintf(c.env.out, "%s: %s: %s\n", n.Field, n.Use, n.Detail); err != nil {
+		if _, err := fmt.Fprintf(c.env.out, "%s: %s: %s\n", n.Field, n.Status, n.Detail); err != nil {
 			return eris.Wrap(err, "writing what was found")
 		}
 	}
--- a/cmd/router.go
+++ b/cmd/router.go
@@ -99,7 +99,7 @@
 // logNotes reports the platform's fields that are missing or cannot be right.
 func logNotes(log zerolog.Logger, notes []platform.Note) {
 	for _, n := range notes {
-		if n.Use == platform.UseDefaulted {
+		if n.Status == platform.FieldDefaulted {
 			log.Warn().Str("event", "setting_defaulted").Str("field", n.Field).Str("detail", n.Detail).Msg("a setting is not usable")
 		}
 	}
