--- a/internal/escrow/remote/remote.go
+++ b/internal/escrow/remote/remote.go
@@ -57,7 +57,7 @@
 func (f *Fleet) Leads() bool { return f.dir.Leads() }
 
 // LeadersUnreachable implements escrow.Fleet.
-func (f *Fleet) LeadersUnreachable() bool { return f.dir.Stranded() }
+func (f *Fleet) LeadersUnreachable() bool { return f.dir.LeadersUnreachable() }
 
 // Relays implements escrow.Fleet.
 func (f *Fleet) Relays() bool { return f.dir.Leads() && len(f.dir.FleetLeaders()) > 0 }
@@ -101,7 +101,7 @@
 	}
 	large := f.dir.Large()
 	for _, p := range f.dir.Lenders(loan.Customer) {
-		loan.HeldOnly = !large || !f.dir.Near(p)
+		loan.HeldOnly = !large || !f.dir.SameZone(p)
 		_, err := peers.Call[escrow.Loan, mesh.Empty](ctx, f.dir, p, KindBorrow, loan)
 		switch {
 		case err == nil:
