--- a/cmd/losses.go
+++ b/cmd/losses.go
@@ -25,7 +25,7 @@
 // Execute implements flags.Commander: it tells where requests were lost or late, from the logs of several instances.
 func (c *lossesCmd) Execute([]string) error {
 	if c.Duties {
-		d := losses.NewDuties()
+		d := losses.NewStoreCalls()
 		if err := c.readAll(d); err != nil {
 			return err
 		}
--- a/internal/bench/bed.go
+++ b/internal/bench/bed.go
@@ -98,7 +98,7 @@
 			Zones: map[string]declare.Zone{"zone": {Region: "region"}},
 			Pools: map[string]declare.Pool{"bench": {Kind: declare.KindEngine, Model: benchModel}},
 			Endpoints: map[string]declare.Endpoint{
-				"engine": {Zone: "zone", URL: b.engineURL, Pool: "bench", State: declare.StateActive, Capacity: 50_000, Checks: true},
+				"engine": {Zone: "zone", URL: b.engineURL, Pool: "bench", State: declare.StateActive, Capacity: 50_000, ChecksFence: true},
 			},
 			Classes: map[string]declare.Class{
 				"c": {Priority: 1, DeadlineMS: 60_000, FirstTokenMS: 880, BetweenTokensMS: 36, Objective: 0.95},
--- a/internal/declare/declare.go
+++ b/internal/declare/declare.go
@@ -35,14 +35,14 @@
 
 // Endpoint is a model engine or a plain service.
 type Endpoint struct {
-	Zone     string        `json:"zone" validate:"required"`
-	URL      string        `json:"url" validate:"required,http_url"`
-	Pool     string        `json:"pool" validate:"required"`
-	Version  string        `json:"version,omitempty"` // model version that it should have loaded
-	Role     string        `json:"role,omitempty"`
-	State    EndpointState `json:"state" validate:"oneof=active draining"`
-	Capacity int           `json:"capacity" validate:"min=1,max=100000"` // requests in progress, over all instances of the zone
-	Checks   bool          `json:"checks"`                               // compares the fence of what it is sent
+	Zone        string        `json:"zone" validate:"required"`
+	URL         string        `json:"url" validate:"required,http_url"`
+	Pool        string        `json:"pool" validate:"required"`
+	Version     string        `json:"version,omitempty"` // model version that it should have loaded
+	Role        string        `json:"role,omitempty"`
+	State       EndpointState `json:"state" validate:"oneof=active draining"`
+	Capacity    int           `json:"capacity" validate:"min=1,max=100000"` // requests in progress, over all instances of the zone
+	ChecksFence bool          `json:"checks"`                               // compares the fence of what it is sent
 }
 
 // Pool is a set of endpoints that can serve the same requests.
@@ -124,8 +124,8 @@
 // keepApplied is how many change ids a document remembers.
 const keepApplied = 512
 
-// Has reports whether a change is in the document.
-func (d *Document) Has(change string) bool {
+// HasApplied reports whether a change is in the document.
+func (d *Document) HasApplied(change string) bool {
 	for _, id := range d.Applied {
 		if id == change {
 			return true
--- a/internal/declare/decode.go
+++ b/internal/declare/decode.go
@@ -85,5 +85,5 @@
 	return Faults{{Path: "(input)", Detail: err.Error()}}
 }
 
-// Tokens reports whether n is a usable number of tokens.
-func Tokens(n int64) bool { return n > 0 && n <= math.MaxInt64>>10 }
+// ValidTokens reports whether n is a usable number of tokens.
+func ValidTokens(n int64) bool { return n > 0 && n <= math.MaxInt64>>10 }
--- a/internal/declare/document.go
+++ b/internal/declare/document.go
@@ -32,8 +32,8 @@
 	return out.OrNil()
 }
 
-// WritableHere reports why this build must not write the next configuration: it would lose what a later one has declared.
-func (d *Document) WritableHere() error {
+// CheckWritable reports why this build must not write the next configuration: it would lose what a later one has declared.
+func (d *Document) CheckWritable() error {
 	if d.beyond == nil {
 		return nil
 	}
--- a/internal/declare/objects.go
+++ b/internal/declare/objects.go
@@ -101,11 +101,11 @@
 	return out, nil
 }
 
-// ErrMoved is returned by Apply when an object is no longer as the change expects it.
-type ErrMoved struct{ Path string }
+// ObjectChangedError is returned by Apply when an object is no longer as the change expects it.
+type ObjectChangedError struct{ Path string }
 
 // Error implements error.
-func (e *ErrMoved) Error() string { return e.Path + " has been changed by someone else" }
+func (e *ObjectChangedError) Error() string { return e.Path + " has been changed by someone else" }
 
 // Apply makes changes to declarations. Each object must be as the change expects it.
 func Apply(d Declarations, changes []Change) (Declarations, error) {
@@ -116,7 +116,7 @@
 	for _, c := range changes {
 		old, ok := objects[c.Path]
 		if ok != (c.Op != OpAdd) || (ok && !bytes.Equal(old, c.Before)) {
-			return d, &ErrMoved{Path: c.Path}
+			return d, &ObjectChangedError{Path: c.Path}
 		}
 		if c.Op == OpRemove {
 			delete(objects, c.Path)
@@ -156,8 +156,8 @@
 	return next, nil
 }
 
-// Under lists the paths that begin with a prefix, sorted.
-func Under(objects Objects, prefix string) []string {
+// PathsWithPrefix lists the paths that begin with a prefix, sorted.
+func PathsWithPrefix(objects Objects, prefix string) []string {
 	var out []string
 	for path := range objects {
 		if strings.HasPrefix(path, prefix) {
--- a/internal/demo/operator.go
+++ b/internal/demo/operator.go
@@ -91,7 +91,7 @@
 		var res intent.Result
 		sent := time.Now()
 		err := o.post(ctx, n, "/v1/plans/"+p.ID+"/confirm", struct{}{}, &res)
-		if err == nil && (res.State == intent.StateInForce || res.State == intent.StateUnchanged) {
+		if err == nil && (res.State == intent.StateAccepted || res.State == intent.StateUnchanged) {
 			o.note(ctx, sent, res.Version)
 			return &res, nil
 		}
@@ -155,7 +155,7 @@
 	}
 	for _, e := range f.engines {
 		d.Endpoints[e.name] = declare.Endpoint{
-			Zone: e.zone, URL: e.srv.URL(), Pool: poolEngines, Version: "v1", State: declare.StateActive, Capacity: 32, Checks: true,
+			Zone: e.zone, URL: e.srv.URL(), Pool: poolEngines, Version: "v1", State: declare.StateActive, Capacity: 32, ChecksFence: true,
 		}
 	}
 	for i := range customers {
--- a/internal/intent/changes.go
+++ b/internal/intent/changes.go
@@ -70,7 +70,7 @@
 		if m.Version == "" {
 			faults = append(faults, fault(path+"/version", "is missing"))
 		}
-		for _, name := range declare.Under(objects, "endpoints/") {
+		for _, name := range declare.PathsWithPrefix(objects, "endpoints/") {
 			edit(objects, name, func(e *declare.Endpoint) {
 				if e.Pool == m.Pool {
 					e.Version = m.Version
@@ -135,7 +135,7 @@
 			faults = append(faults, fault("budgets/"+name+"/customer", "there is no customer %q", b.Customer))
 		}
 		for id, n := range b.Deposits {
-			if !declare.Tokens(max(n, -n)) {
+			if !declare.ValidTokens(max(n, -n)) {
 				faults = append(faults, fault("budgets/"+name+"/deposits/"+id, "must be a number of tokens other than 0, below 2^53"))
 			}
 			out = append(out, Deposit{Budget: name, Customer: b.Customer, ID: id, Tokens: n})
--- a/internal/intent/confirm.go
+++ b/internal/intent/confirm.go
@@ -27,7 +27,7 @@
 	if p.Empty() {
 		return &Result{Plan: id, State: StateUnchanged, Version: s.feed.Document().Version}, nil
 	}
-	res := &Result{Plan: id, State: StateInForce}
+	res := &Result{Plan: id, State: StateAccepted}
 	if res.Version, err = s.accept(external.WithDuty(ctx, external.DutyConfig), p); err != nil {
 		if errors.Is(err, external.ErrAmbiguous) {
 			res.State = StateUnknown
@@ -41,7 +41,7 @@
 				return nil, verdict.New(verdict.NotRun, verdict.CodeConflict, err.Error(),
 					verdict.WithField("budgets/"+d.Budget+"/deposits/"+d.ID))
 			}
-			res.State = StatePartial
+			res.State = StateIncomplete
 			return res, nil
 		}
 	}
@@ -67,7 +67,7 @@
 			}
 			continue
 		}
-		if doc.Has(p.ID) {
+		if doc.HasApplied(p.ID) {
 			return doc.Version, nil
 		}
 		version, err := s.acceptOnce(ctx, doc, rev, p)
@@ -94,7 +94,7 @@
 }
 
 func (s *Service) acceptOnce(ctx context.Context, doc *declare.Document, rev int64, p *Plan) (int64, error) {
-	if err := doc.WritableHere(); err != nil {
+	if err := doc.CheckWritable(); err != nil {
 		return 0, err
 	}
 	next, err := doc.Next(p.ID, p.Changes)
@@ -113,7 +113,7 @@
 }
 
 func conflictOf(err error) error {
-	var moved *declare.ErrMoved
+	var moved *declare.ObjectChangedError
 	if errors.As(err, &moved) {
 		return verdict.New(verdict.NotRun, verdict.CodeConflict, err.Error()+"; make a new plan", verdict.WithField(moved.Path))
 	}
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -39,13 +39,13 @@
 
 // Plan reports what confirming it will do. Nothing has changed yet.
 type Plan struct {
-	ID       string           `json:"id"`
-	Note     string           `json:"note,omitempty"`
-	Base     int64            `json:"base_version"` // the version that it stands on
-	Changes  []declare.Change `json:"changes"`
-	Deposits []Deposit        `json:"deposits,omitempty"`
-	WaitsFor []Work           `json:"waits_for,omitempty"` // work in progress that a drain waits for
-	Unseen   []string         `json:"unseen,omitempty"`    // instances that did not answer while the plan was made
+	ID          string           `json:"id"`
+	Note        string           `json:"note,omitempty"`
+	BaseVersion int64            `json:"base_version"` // the version that it stands on
+	Changes     []declare.Change `json:"changes"`
+	Deposits    []Deposit        `json:"deposits,omitempty"`
+	WaitsFor    []Work           `json:"waits_for,omitempty"` // work in progress that a drain waits for
+	Unseen      []string         `json:"unseen,omitempty"`    // instances that did not answer while the plan was made
 }
 
 // Empty reports whether the plan changes nothing.
@@ -56,10 +56,10 @@
 
 // The states of a confirmed plan.
 const (
-	StateInForce   State = "accepted"   // the store has it
-	StateUnknown   State = "unknown"    // the store's answer was lost and it cannot be read back; confirm again
-	StatePartial   State = "incomplete" // the configuration is accepted, some deposits are not; confirm again
-	StateUnchanged State = "unchanged"  // the plan changed nothing
+	StateAccepted   State = "accepted"   // the store has it
+	StateUnknown    State = "unknown"    // the store's answer was lost and it cannot be read back; confirm again
+	StateIncomplete State = "incomplete" // the configuration is accepted, some deposits are not; confirm again
+	StateUnchanged  State = "unchanged"  // the plan changed nothing
 )
 
 // Result answers a confirmation.
--- a/internal/intent/intent_test.go
+++ b/internal/intent/intent_test.go
@@ -79,7 +79,7 @@
 			for range 2 {
 				r, err := s.Confirm(ctx, p.ID)
 				So(err, ShouldBeNil)
-				So(r.State, ShouldEqual, StateInForce)
+				So(r.State, ShouldEqual, StateAccepted)
 				So(r.Version, ShouldEqual, 1)
 			}
 		})
@@ -121,7 +121,7 @@
 			p := plan(in)
 			r, err := s.Confirm(ctx, p.ID)
 			So(err, ShouldBeNil)
-			So(r.State, ShouldEqual, StateInForce)
+			So(r.State, ShouldEqual, StateAccepted)
 			server.Set(kv.AnswerLost, false)
 			v, err := budget.Inspect(ctx, store, "b")
 			So(err, ShouldBeNil)
--- a/internal/intent/service.go
+++ b/internal/intent/service.go
@@ -162,7 +162,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Plan{ID: ulid.Make().String(), Note: in.Note, Base: doc.Version, Changes: changes, Deposits: deposits}
+	p := &Plan{ID: ulid.Make().String(), Note: in.Note, BaseVersion: doc.Version, Changes: changes, Deposits: deposits}
 	s.observe(ctx, p)
 	return p, nil
 }
--- a/internal/intent/text.go
+++ b/internal/intent/text.go
@@ -15,7 +15,7 @@
 // Text writes a plan for people: one line for each object, and for changed ones the fields that differ.
 func (p *Plan) Text(w io.Writer) error {
 	var b bytes.Buffer
-	fmt.Fprintf(&b, "plan %s on version %d\n", p.ID, p.Base)
+	fmt.Fprintf(&b, "plan %s on version %d\n", p.ID, p.BaseVersion)
 	for _, c := range p.Changes {
 		fmt.Fprintf(&b, "%s %s  %s\n", marks[c.Op], c.Path, c.Effect)
 		if c.Op == declare.OpChange {
@@ -77,7 +77,7 @@
 func (r *Result) Text(w io.Writer) error {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "plan %s: %s, version %d\n", r.Plan, r.State, r.Version)
-	if r.State == StateUnknown || r.State == StatePartial {
+	if r.State == StateUnknown || r.State == StateIncomplete {
 		fmt.Fprintf(&b, "confirm it again: that changes nothing twice\n")
 	}
 	for _, z := range r.Zones {
--- a/internal/losses/duties.go
+++ b/internal/losses/duties.go
@@ -12,23 +12,23 @@
 	"github.com/ledgemount/ledgemount/internal/router"
 )
 
-// Duties counts the calls to the store that logs tell of, by what they were for and by the role of the instance.
-type Duties struct {
+// StoreCalls counts the calls to the store that logs tell of, by what they were for and by the role of the instance.
+type StoreCalls struct {
 	calls     map[string]map[router.Role]int
 	instances map[router.Role]map[string]bool
 }
 
-// NewDuties makes counts of nothing.
-func NewDuties() *Duties {
-	return &Duties{calls: make(map[string]map[router.Role]int), instances: make(map[router.Role]map[string]bool)}
+// NewStoreCalls makes counts of nothing.
+func NewStoreCalls() *StoreCalls {
+	return &StoreCalls{calls: make(map[string]map[router.Role]int), instances: make(map[router.Role]map[string]bool)}
 }
 
 // Read counts the calls of one log.
-func (d *Duties) Read(log io.Reader) error {
+func (d *StoreCalls) Read(log io.Reader) error {
 	return router.EachStoreCalls(log, d.add)
 }
 
-func (d *Duties) add(l router.StoreCallsLine) {
+func (d *StoreCalls) add(l router.StoreCallsLine) {
 	if d.instances[l.Role] == nil {
 		d.instances[l.Role] = make(map[string]bool)
 	}
@@ -44,7 +44,7 @@
 var roles = []router.Role{router.RoleWriter, router.RoleLeader, router.RoleMember}
 
 // total is the number of calls of one kind.
-func (d *Duties) total(name string) int {
+func (d *StoreCalls) total(name string) int {
 	n := 0
 	for _, x := range d.calls[name] {
 		n += x
@@ -53,7 +53,7 @@
 }
 
 // Write writes one table: a row for each kind of call, most frequent first, a column for each role.
-func (d *Duties) Write(w io.Writer) error {
+func (d *StoreCalls) Write(w io.Writer) error {
 	names := make([]string, 0, len(d.calls))
 	for name := range d.calls {
 		names = append(names, name)
@@ -69,7 +69,7 @@
 }
 
 // row writes one line of the table. A tabwriter keeps its errors for Flush.
-func (*Duties) row(w io.Writer, name string, of func(router.Role) any, all any) {
+func (*StoreCalls) row(w io.Writer, name string, of func(router.Role) any, all any) {
 	_, _ = fmt.Fprintf(w, "%s\t", name)
 	for _, r := range roles {
 		_, _ = fmt.Fprintf(w, "%v\t", of(r))
--- a/internal/matrix/world_test.go
+++ b/internal/matrix/world_test.go
@@ -166,7 +166,7 @@
 		w.http.Handle("engine."+zone, e.Handler())
 		w.http.Handle("plain."+zone, p)
 		d.Endpoints["engine-"+zone] = declare.Endpoint{
-			Zone: zone, URL: "http://engine." + zone, Pool: "drafts", State: declare.StateActive, Capacity: 8, Checks: true,
+			Zone: zone, URL: "http://engine." + zone, Pool: "drafts", State: declare.StateActive, Capacity: 8, ChecksFence: true,
 		}
 		d.Endpoints["plain-"+zone] = declare.Endpoint{
 			Zone: zone, URL: "http://plain." + zone, Pool: "portal", State: declare.StateActive, Capacity: 8,
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -258,15 +258,15 @@
 }
 
 func (s *Server) burn(c echo.Context) error {
-	r, err := s.Burn(c.Request().Context())
+	r, err := s.BurnReport(c.Request().Context())
 	if err != nil {
 		return err
 	}
 	return c.JSON(http.StatusOK, r)
 }
 
-// Burn merges the series of the whole fleet.
-func (s *Server) Burn(ctx context.Context) (burn.Report, error) {
+// BurnReport merges the series of the whole fleet.
+func (s *Server) BurnReport(ctx context.Context) (burn.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, burnTimeout)
 	defer cancel()
 	var all [][]burn.Series
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -60,7 +60,7 @@
 	doc := o.feed.Document()
 	for name, e := range doc.Decl.Endpoints {
 		fence := doc.Fences[name]
-		if !e.Checks || o.takenFences[name] >= fence || !isOwner(o.members, name, e.Zone) {
+		if !e.ChecksFence || o.takenFences[name] >= fence || !isOwner(o.members, name, e.Zone) {
 			continue
 		}
 		if err := o.giveOrder(ctx, doc, e, fence); err != nil {
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -179,7 +179,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, ok := t.doc.Decl.Endpoints[id]
-	return e.URL, e.Checks, ok
+	return e.URL, e.ChecksFence, ok
 }
 
 // InFlight returns the number of this instance's requests in progress by endpoint.
