--- a/cmd/check.go
+++ b/cmd/check.go
@@ -23,7 +23,7 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// Execute implements flags.Commander: it says the path of every fault of a file.
+// Execute implements flags.Commander: it prints every fault of a file with the path of its field.
 func (c *checkCmd) Execute([]string) error {
 	kind, notes, err := check(c.Args.File)
 	for _, n := range notes {
@@ -38,7 +38,8 @@
 	return err
 }
 
-// check reports what kind of file it is and what is wrong with it; notes tell of the fields of the platform's settings.
+// check returns the kind of a file and its faults. For settings in the platform's format, notes describe
+// how each field is used.
 func check(path string) (kind string, notes []platform.Note, err error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -66,15 +67,15 @@
 	return "settings", nil, err
 }
 
-// looksLikeRouter tells a router's settings from an instance's by the store, which only a router has.
+// looksLikeRouter reports whether data holds a router's settings. Unlike the settings of an instance, they have a store field.
 func looksLikeRouter(data []byte) bool { return hasField(data, "store") }
 
-// looksLikeIntent tells an intent from settings by its fields.
+// looksLikeIntent reports whether data holds an intent: settings have none of these fields.
 func looksLikeIntent(data []byte) bool {
 	return hasField(data, "apply", "replace", "remove", "drain", "activate", "move", "budgets")
 }
 
-// hasField reports whether JSON is an object with one of some fields.
+// hasField reports whether data is a JSON object with at least one of the named fields.
 func hasField(data []byte, names ...string) bool {
 	var fields map[string]json.RawMessage
 	if json.NewDecoder(bytes.NewReader(data)).Decode(&fields) != nil {
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -20,7 +20,7 @@
 	} `positional-args:"true"`
 }
 
-// Execute implements flags.Commander: it tells one request's story from the logs of several instances.
+// Execute implements flags.Commander: it explains the course of one request from the logs of several instances.
 func (c *explainCmd) Execute([]string) error {
 	lines, err := c.read()
 	if err != nil {
@@ -35,7 +35,7 @@
 	return router.Explain(c.env.out, lines)
 }
 
-// read reads the files, or the standard input where none is named.
+// read reads the request's lines from the named files, or from standard input if none is named.
 func (c *explainCmd) read() ([]router.Line, error) {
 	if len(c.Args.Files) == 0 {
 		return router.ReadLines(os.Stdin, c.Args.Request)
--- a/cmd/explain_test.go
+++ b/cmd/explain_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestExplain(t *testing.T) {
-	Convey("explain tells a request's story from a log", t, func() {
+	Convey("explain describes the course of a request from a log", t, func() {
 		g := goldie.New(t, goldie.WithFixtureDir("testdata"))
 		for name, request := range map[string]string{
 			"explain-refused":  "fbbaab824e52037a",
@@ -25,7 +25,7 @@
 			g.Assert(t, name, out.Bytes())
 		}
 	})
-	Convey("explain says that no line tells of a request", t, func() {
+	Convey("explain reports an error if no line is about the request", t, func() {
 		var out, errOut bytes.Buffer
 		So(execute(context.Background(), []string{"explain", "nobody", "testdata/router.log"}, &out, &errOut), ShouldEqual, exitFailed)
 		So(errOut.String(), ShouldContainSubstring, "no line tells of request nobody")
--- a/cmd/keys.go
+++ b/cmd/keys.go
@@ -14,9 +14,9 @@
 type keysCmd struct {
 	env *env
 
-	Out       string   `long:"out" default:"." description:"directory for the files"`
-	Instances []string `long:"instance" description:"id of an instance to make a certificate for; may be given more than once"`
-	Hash      string   `long:"hash" description:"print the hash of a customer's or an operator's key, as declarations and settings hold it"`
+	Out       string   `long:"out" default:"." description:"directory for the key files"`
+	Instances []string `long:"instance" description:"id of an instance to create a certificate for; may be given more than once"`
+	Hash      string   `long:"hash" description:"print the hash of a customer's or an operator's key, as stored in declarations and settings"`
 }
 
 const (
@@ -24,7 +24,8 @@
 	fileMode = 0o600
 )
 
-// Execute implements flags.Commander: it makes a fleet's authority and certificates, or hashes a key.
+// Execute implements flags.Commander: it creates a fleet's certificate authority and its instances' certificates,
+// or hashes a key.
 func (c *keysCmd) Execute([]string) error {
 	if c.Hash != "" {
 		_, err := fmt.Fprintln(c.env.out, declare.HashKey(c.Hash))
--- a/cmd/losses.go
+++ b/cmd/losses.go
@@ -13,18 +13,18 @@
 type lossesCmd struct {
 	env *env
 
-	JSON   bool   `long:"json" description:"print the tables as JSON"`
-	Most   int    `long:"most" default:"8" description:"rows of a table"`
-	Duties bool   `long:"duties" description:"tell of calls to the store, by what they were for, instead"`
-	Plots  string `long:"plots" description:"directory into which a plot by second is drawn"`
-	Args   struct {
+	JSON       bool   `long:"json" description:"print the tables as JSON"`
+	MaxRows    int    `long:"most" default:"8" description:"maximum number of rows of a table"`
+	StoreCalls bool   `long:"duties" description:"report calls to the store by purpose instead"`
+	Plots      string `long:"plots" description:"directory for a plot by second"`
+	Args       struct {
 		Files []string `positional-arg-name:"LOG" description:"routers' logs; default: standard input"`
 	} `positional-args:"true"`
 }
 
-// Execute implements flags.Commander: it tells where requests were lost or late, from the logs of several instances.
+// Execute implements flags.Commander: it reports from the logs of several instances where requests failed or were late.
 func (c *lossesCmd) Execute([]string) error {
-	if c.Duties {
+	if c.StoreCalls {
 		d := losses.NewStoreCalls()
 		if err := c.readAll(d); err != nil {
 			return err
@@ -47,15 +47,15 @@
 	if c.JSON {
 		return eris.Wrap(json.NewEncoder(c.env.out).Encode(report), "writing the tables")
 	}
-	return report.Write(c.env.out, c.Most)
+	return report.Write(c.env.out, c.MaxRows)
 }
 
-// logReader counts what logs tell.
+// logReader accumulates counts over several logs.
 type logReader interface {
 	Read(log io.Reader) error
 }
 
-// readAll reads the logs that were named, or standard input.
+// readAll reads the named logs, or standard input if none is named.
 func (c *lossesCmd) readAll(r logReader) error {
 	if len(c.Args.Files) == 0 {
 		return r.Read(os.Stdin)
--- a/cmd/losses_test.go
+++ b/cmd/losses_test.go
@@ -16,7 +16,7 @@
 		code = execute(context.Background(), append([]string{"losses"}, args...), &out, &errOut)
 		return code, out, errOut
 	}
-	Convey("losses tells from a log where requests were lost or late", t, func() {
+	Convey("losses reports from a log where requests failed or were late", t, func() {
 		g := goldie.New(t, goldie.WithFixtureDir("testdata"))
 
 		Convey("as tables", func() {
@@ -37,14 +37,14 @@
 			So(string(svg), ShouldContainSubstring, "long pause")
 		})
 
-		Convey("as calls to the store, by what they were for and by role", func() {
+		Convey("as calls to the store, by purpose and by role", func() {
 			code, out, errOut := run("--duties", "testdata/duties.log")
 			So(errOut.String(), ShouldBeEmpty)
 			So(code, ShouldEqual, exitOK)
 			g.Assert(t, "duties", out.Bytes())
 		})
 	})
-	Convey("losses says that a log holds nothing, or is not there", t, func() {
+	Convey("losses reports an error if a log has no request, or does not exist", t, func() {
 		code, _, errOut := run(os.DevNull)
 		So(code, ShouldEqual, exitFailed)
 		So(errOut.String(), ShouldContainSubstring, "no line tells of a request that has ended")
--- a/cmd/operator.go
+++ b/cmd/operator.go
@@ -20,14 +20,14 @@
 
 const clientTimeout = 15 * time.Second
 
-// server are the options that say which instance to ask, and as whom.
-type server struct {
-	Address string `long:"address" env:"LEDGEMOUNT_ADDRESS" default:"http://127.0.0.1:8081" description:"operators' address of any instance"`
+// apiClient holds the options for calls to the operators' API of an instance.
+type apiClient struct {
+	Address string `long:"address" env:"LEDGEMOUNT_ADDRESS" default:"http://127.0.0.1:8081" description:"address of any instance's operators' API"`
 	Key     string `long:"key" env:"LEDGEMOUNT_KEY" description:"operator's key"`
 }
 
-// ask makes a call and returns the answer's body.
-func (s *server) ask(ctx context.Context, method, path string, body []byte) ([]byte, error) {
+// call sends a request and returns the response body. A status other than 200 is an error.
+func (s *apiClient) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(s.Address, "/")+path, bytes.NewReader(body))
@@ -45,12 +45,13 @@
 		return nil, eris.Wrap(err, "reading the answer")
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, problemOf(data, resp.Status)
+		return nil, problemError(data, resp.Status)
 	}
 	return data, nil
 }
 
-func problemOf(data []byte, status string) error {
+// problemError turns the response body of a failed call into an error for the operator.
+func problemError(data []byte, status string) error {
 	var p gateway.Problem
 	if json.Unmarshal(data, &p) != nil || p.Title == "" {
 		return eris.Errorf("the instance answered %s", status)
@@ -67,7 +68,7 @@
 
 type planCmd struct {
 	env *env
-	server
+	apiClient
 
 	JSON bool `long:"json" description:"print the plan as JSON"`
 	Args struct {
@@ -75,13 +76,13 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// Execute implements flags.Commander: it prints a plan; nothing changes.
+// Execute implements flags.Commander: it creates a plan and prints it; nothing else changes.
 func (c *planCmd) Execute([]string) error {
 	body, err := readIntent(c.Args.File)
 	if err != nil {
 		return err
 	}
-	data, err := c.ask(c.env.ctx, http.MethodPost, "/v1/intents", body)
+	data, err := c.call(c.env.ctx, http.MethodPost, "/v1/intents", body)
 	if err != nil {
 		return err
 	}
@@ -96,7 +97,7 @@
 	return p.Text(c.env.out)
 }
 
-// readIntent reads an intent, or makes one of a directory of declarations.
+// readIntent reads an intent, or builds one from a directory of declarations.
 func readIntent(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -119,7 +120,7 @@
 
 type confirmCmd struct {
 	env *env
-	server
+	apiClient
 
 	JSON bool `long:"json" description:"print the result as JSON"`
 	Args struct {
@@ -127,9 +128,9 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander: it confirms a plan and prints the result.
 func (c *confirmCmd) Execute([]string) error {
-	data, err := c.ask(c.env.ctx, http.MethodPost, "/v1/plans/"+c.Args.ID+"/confirm", []byte("{}"))
+	data, err := c.call(c.env.ctx, http.MethodPost, "/v1/plans/"+c.Args.ID+"/confirm", []byte("{}"))
 	if err != nil {
 		return err
 	}
@@ -146,22 +147,22 @@
 
 type showCmd struct {
 	env *env
-	server
+	apiClient
 
 	Args struct {
 		What string `positional-arg-name:"WHAT" description:"config, endpoints, instances, holds, accounts, store, burn, budgets/ID or plans/ID"`
 	} `positional-args:"true" required:"true"`
 }
 
-// shown are the things that can be shown.
-var shown = []string{"config", "endpoints", "instances", "holds", "accounts", "store", "burn"}
+// resources lists the resources that can be shown by name alone.
+var resources = []string{"config", "endpoints", "instances", "holds", "accounts", "store", "burn"}
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander: it prints a resource of the operators' API as JSON.
 func (c *showCmd) Execute([]string) error {
-	if !showable(c.Args.What) {
-		return eris.Errorf("there is no %q to show; try %s, budgets/ID or plans/ID", c.Args.What, strings.Join(shown, ", "))
+	if !isResource(c.Args.What) {
+		return eris.Errorf("there is no %q to show; try %s, budgets/ID or plans/ID", c.Args.What, strings.Join(resources, ", "))
 	}
-	data, err := c.ask(c.env.ctx, http.MethodGet, "/v1/"+c.Args.What, nil)
+	data, err := c.call(c.env.ctx, http.MethodGet, "/v1/"+c.Args.What, nil)
 	if err != nil {
 		return err
 	}
@@ -173,8 +174,9 @@
 	return err
 }
 
-func showable(what string) bool {
-	for _, s := range shown {
+// isResource reports whether what is a resource of the operators' API that can be shown.
+func isResource(what string) bool {
+	for _, s := range resources {
 		if what == s {
 			return true
 		}
--- a/cmd/report.go
+++ b/cmd/report.go
@@ -12,17 +12,17 @@
 
 type reportCmd struct {
 	env *env
-	server
+	apiClient
 
 	JSON     bool   `long:"json" description:"print the report as JSON"`
-	HTML     string `long:"html" description:"file to write the report to, as a page of its own"`
-	Snapshot string `long:"snapshot" description:"a report saved with --json, instead of asking an instance"`
+	HTML     string `long:"html" description:"file to write the report to, as a self-contained HTML page"`
+	Snapshot string `long:"snapshot" description:"report saved with --json, to read instead of querying an instance"`
 	Args     struct {
 		What string `positional-arg-name:"WHAT" description:"burn"`
 	} `positional-args:"true" required:"true"`
 }
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander: it prints the report of an instance or of a snapshot.
 func (c *reportCmd) Execute([]string) error {
 	if c.Args.What != "burn" {
 		return eris.Errorf("there is no report %q; try burn", c.Args.What)
@@ -47,12 +47,13 @@
 	return r.Text(c.env.out)
 }
 
+// data returns the report as JSON.
 func (c *reportCmd) data() ([]byte, error) {
 	if c.Snapshot != "" {
 		data, err := os.ReadFile(c.Snapshot)
 		return data, eris.Wrap(err, "reading the snapshot")
 	}
-	return c.ask(c.env.ctx, http.MethodGet, "/v1/burn", nil)
+	return c.call(c.env.ctx, http.MethodGet, "/v1/burn", nil)
 }
 
 func writeHTML(path string, r burn.Report) error {
--- a/cmd/root.go
+++ b/cmd/root.go
@@ -1,4 +1,4 @@
-// Package cmd has the commands.
+// Package cmd implements the commands of the ledgemount program.
 package cmd
 
 import (
@@ -22,14 +22,14 @@
 	exitUsage  = 2
 )
 
-// env is what every command is given.
+// env holds the context and the outputs that every command gets.
 type env struct {
 	ctx context.Context //nolint:containedctx // go-flags' Execute takes no context
 	out io.Writer
 	err io.Writer
 }
 
-// Execute runs the command line and returns the exit code. An interrupt or a termination signal ends the command's context.
+// Execute runs the command line and returns the exit code. SIGINT and SIGTERM cancel the command's context.
 func Execute(args []string, out, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -50,33 +50,34 @@
 	return report(err, out, errOut)
 }
 
-// command is one line of the list of commands.
+// command is one subcommand: its name, its description and its implementation.
 type command struct {
 	name  string
 	short string
 	run   flags.Commander
 }
 
-// commands lists every command.
+// commands returns all subcommands.
 func commands(e *env) []command {
 	return []command{
-		{"demo", "Run a small fleet in one process, break it, audit it", &demoCmd{env: e}},
+		{"demo", "Run a small fleet in one process, inject faults and audit the result", &demoCmd{env: e}},
 		{"serve", "Run one instance", &serveCmd{env: e}},
-		{"router", "Run one instance that stands alone on the users' platform", &routerCmd{env: e}},
-		{"explain", "Tell one request's story from the logs of routers", &explainCmd{env: e}},
-		{"losses", "Tell from the logs of routers where requests were lost or late", &lossesCmd{env: e}},
+		{"router", "Run one router instance on the users' platform", &routerCmd{env: e}},
+		{"explain", "Explain the course of one request from the logs of routers", &explainCmd{env: e}},
+		{"losses", "Report from the logs of routers where requests failed or were late", &lossesCmd{env: e}},
 		{"standin", "Run the stand-ins of the platform and the endpoints", &standinCmd{env: e}},
 		{"check", "Check settings or declarations", &checkCmd{env: e}},
-		{"keys", "Make the fleet's keys, or hash a key", &keysCmd{env: e}},
+		{"keys", "Create the fleet's certificates, or hash a key", &keysCmd{env: e}},
 		{"plan", "Plan an intent or a directory of declarations", &planCmd{env: e}},
 		{"confirm", "Confirm a plan", &confirmCmd{env: e}},
-		{"show", "Show what the fleet says of itself", &showCmd{env: e}},
-		{"bench", "Measure what it costs and how well it serves", &benchCmd{env: e}},
-		{"report", "Report service-level burn", &reportCmd{env: e}},
+		{"show", "Show the state of the fleet", &showCmd{env: e}},
+		{"bench", "Measure overhead and quality of service", &benchCmd{env: e}},
+		{"report", "Report the error budget burn of service levels", &reportCmd{env: e}},
 		{"version", "Print the version", &versionCmd{env: e}},
 	}
 }
 
+// report prints the error of a command and returns the exit code.
 func report(err error, out, errOut io.Writer) int {
 	var fe *flags.Error
 	switch {
--- a/cmd/router.go
+++ b/cmd/router.go
@@ -22,18 +22,18 @@
 type routerCmd struct {
 	env *env
 
-	Settings string             `long:"settings" description:"file with the router's settings (JSON); default: where the platform lays it"`
-	Without  []router.Mechanism `long:"without" description:"mechanism to switch off, to measure what it is worth; may be given several times"`
+	Settings string             `long:"settings" description:"file with the router's settings (JSON); default: the platform's location"`
+	Without  []router.Mechanism `long:"without" description:"mechanism to switch off, to measure its effect; may be given more than once"`
 }
 
 const (
-	logLines    = 4096 // lines that wait to be written before some are dropped
-	settingsAge = 2 * time.Second
+	logBufferLines       = 4096 // lines waiting to be written; beyond these, lines are dropped
+	settingsPollInterval = 2 * time.Second
 )
 
-// Execute implements flags.Commander: it runs one router until a signal, then stops it as planned.
+// Execute implements flags.Commander: it runs one router until a signal arrives, then performs a planned stop.
 func (c *routerCmd) Execute([]string) error {
-	file, err := c.file()
+	file, err := c.findSettings()
 	if err != nil {
 		return err
 	}
@@ -45,12 +45,12 @@
 	if err := router.Check(set); err != nil {
 		return err
 	}
-	log, closeLog := routerLog(set, os.Stdout, os.Stderr)
+	log, closeLog := newRouterLog(set, os.Stdout, os.Stderr)
 	defer closeLog()
 	logNotes(log, notes)
-	lines := log.With().Str("event", "library_message").Logger()
+	libraryLog := log.With().Str("event", "library_message").Logger()
 	stdlog.SetFlags(0)
-	stdlog.SetOutput(lines)
+	stdlog.SetOutput(libraryLog)
 	r, err := router.New(set, platform.New(set), log)
 	if err != nil {
 		return eris.Wrap(err, "starting the router")
@@ -59,7 +59,7 @@
 	go func() { ended <- r.Run(context.Background()) }()
 	reload, stop := context.WithCancel(context.Background())
 	defer stop()
-	go followSettings(reload, file, r, log)
+	go watchSettings(reload, file, r, log)
 	select {
 	case err := <-ended:
 		return err
@@ -71,13 +71,14 @@
 	return <-ended
 }
 
-// settingsFile is where the settings lie: in the product's own form, or as the platform lays them.
+// settingsFile is the path of a settings file and its format: the router's own, or the platform's.
 type settingsFile struct {
 	path     string
-	platform bool
+	platform bool // the file is in the platform's format
 }
 
-func (c *routerCmd) file() (settingsFile, error) {
+// findSettings returns the file that the command line names, or else the platform's.
+func (c *routerCmd) findSettings() (settingsFile, error) {
 	if c.Settings != "" {
 		return settingsFile{path: c.Settings}, nil
 	}
@@ -87,7 +88,7 @@
 	return settingsFile{}, eris.New("no settings file is named")
 }
 
-// read reads the file; notes tell of the platform's fields.
+// read reads the file. For a file in the platform's format, it also returns notes on the fields.
 func (f settingsFile) read() (*router.Settings, []platform.Note, error) {
 	if f.platform {
 		return platform.ReadSettings(f.path)
@@ -96,45 +97,46 @@
 	return set, nil, err
 }
 
-// logNotes reports the platform's fields that are missing or cannot be right.
+// logNotes logs the platform's fields that are missing or invalid and have been replaced by defaults.
 func logNotes(log zerolog.Logger, notes []platform.Note) {
 	for _, n := range notes {
 		if n.Use == platform.UseDefaulted {
-			log.Warn().Str("event", "setting_defaulted").Str("field", n.Field).Str("detail", n.Detail).Msg("a setting is not usable")
+			log.Warn().Str("event", "setting_defaulted").Str("field", n.Field).Str("detail", n.Detail).Msg("setting is missing or invalid; using the default")
 		}
 	}
 }
 
-// routerLog writes lines without ever blocking: what does not fit is dropped, and told in a line to dropped.
-func routerLog(set *router.Settings, w, dropped io.Writer) (zerolog.Logger, func()) {
-	out := diode.NewWriter(w, logLines, 0, func(missed int) {
+// newRouterLog returns a logger that never blocks. Lines that exceed the buffer are dropped; their number is written to
+// dropped as a line of its own. The returned function closes the logger.
+func newRouterLog(set *router.Settings, w, dropped io.Writer) (zerolog.Logger, func()) {
+	out := diode.NewWriter(w, logBufferLines, 0, func(missed int) {
 		_, _ = fmt.Fprintf(dropped, "{\"event\":\"log_lines_dropped\",\"lines\":%d}\n", missed)
 	})
 	return observe.Logger(out, set.Log.Level, set.Instance.ID, set.Instance.Zone), func() { _ = out.Close() }
 }
 
-// followSettings reads the settings again when a signal says so and when the file has changed.
-func followSettings(ctx context.Context, file settingsFile, r *router.Router, log zerolog.Logger) {
+// watchSettings reloads the settings on SIGHUP and when the file has changed.
+func watchSettings(ctx context.Context, file settingsFile, r *router.Router, log zerolog.Logger) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	t := time.NewTicker(settingsAge)
+	t := time.NewTicker(settingsPollInterval)
 	defer t.Stop()
-	seen := modified(file.path)
+	seen := modTime(file.path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-signals:
 		case <-t.C:
-			if modified(file.path).Equal(seen) {
+			if modTime(file.path).Equal(seen) {
 				continue
 			}
 		}
-		seen = modified(file.path)
+		seen = modTime(file.path)
 		set, notes, err := file.read()
 		if err != nil {
-			log.Error().Str("event", "settings_rejected").Err(err).Msg("the settings in force hold")
+			log.Error().Str("event", "settings_rejected").Err(err).Msg("settings rejected; the previous ones stay in force")
 			continue
 		}
 		logNotes(log, notes)
@@ -142,7 +144,7 @@
 	}
 }
 
-func modified(path string) time.Time {
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/cmd/router_test.go
+++ b/cmd/router_test.go
@@ -12,14 +12,14 @@
 	"github.com/ledgemount/ledgemount/platform"
 )
 
-// stalled is a reader that takes nothing until it is released.
-type stalled struct {
+// stalledWriter is a writer that blocks until release is closed.
+type stalledWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	got     bytes.Buffer
 }
 
-func (s *stalled) Write(p []byte) (int, error) {
+func (s *stalledWriter) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,23 +27,23 @@
 }
 
 func TestLogNeverBlocks(t *testing.T) {
-	Convey("Lines for a reader that has stalled cost the writer nothing, and those that are lost are counted", t, func() {
+	Convey("A stalled output does not block the logger, and the dropped lines are counted", t, func() {
 		set := router.Defaults()
-		w := &stalled{release: make(chan struct{})}
+		w := &stalledWriter{release: make(chan struct{})}
 		var dropped bytes.Buffer
-		log, closeLog := routerLog(&set, w, &dropped)
-		for range 5 * logLines {
+		log, closeLog := newRouterLog(&set, w, &dropped)
+		for range 5 * logBufferLines {
 			log.Info().Str("event", "request_ended").Msg("a request has ended")
 		}
 		close(w.release)
 		closeLog()
 		So(dropped.String(), ShouldContainSubstring, "log_lines_dropped")
-		So(strings.Count(w.got.String(), "\n"), ShouldBeLessThanOrEqualTo, 5*logLines)
+		So(strings.Count(w.got.String(), "\n"), ShouldBeLessThanOrEqualTo, 5*logBufferLines)
 	})
 }
 
 func TestRouterSettings(t *testing.T) {
-	Convey("A router without settings, or with faults in them, says so by field", t, func() {
+	Convey("A router without settings reports that, and one with invalid settings names the fields", t, func() {
 		t.Setenv(platform.SettingsVariable, "")
 		var out, errOut bytes.Buffer
 		So(execute(t.Context(), []string{"router"}, &out, &errOut), ShouldEqual, exitFailed)
--- a/cmd/serve.go
+++ b/cmd/serve.go
@@ -17,7 +17,7 @@
 	Settings string `long:"settings" required:"true" description:"file with the instance's settings (JSON)"`
 }
 
-// Execute implements flags.Commander: it runs one instance until a signal, then stops it as planned.
+// Execute implements flags.Commander: it runs one instance until a signal arrives, then performs a planned stop.
 func (c *serveCmd) Execute([]string) error {
 	set, err := settings.Read(c.Settings)
 	if err != nil {
--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -12,7 +12,7 @@
 	Settings string `long:"settings" required:"true" description:"file with the stand-ins' settings (JSON)"`
 }
 
-// Execute implements flags.Commander: it runs the stand-ins until a signal.
+// Execute implements flags.Commander: it runs the stand-ins until a signal arrives.
 func (c *standinCmd) Execute([]string) error {
 	s, err := bundle.Read(c.Settings)
 	if err != nil {
--- a/internal/declare/check.go
+++ b/internal/declare/check.go
@@ -10,25 +10,25 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// Fault is one thing wrong with an input, at a path such as endpoints/e1/pool.
+// Fault is one error in an input, at a path such as endpoints/e1/pool.
 type Fault struct {
 	Path   string `json:"path"`
 	Detail string `json:"detail"`
 }
 
-// Faults is an error that lists everything wrong with an input.
+// Faults is an error that lists all faults of an input.
 type Faults []Fault
 
 // Error implements error.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.Path + ": " + one.Detail
+	for i, fault := range f {
+		lines[i] = fault.Path + ": " + fault.Detail
 	}
 	return strings.Join(lines, "; ")
 }
 
-// OrNil sorts the faults and returns nil if there are none.
+// OrNil returns the faults sorted by path, or nil if there are none.
 func (f Faults) OrNil() error {
 	if len(f) == 0 {
 		return nil
@@ -37,10 +37,10 @@
 	return f
 }
 
-// Validator checks the validate tags of a value and names faults by JSON path.
+// Validator checks values against their validate tags. Faults have JSON paths.
 type Validator struct{ v *validator.Validate }
 
-// NewValidator makes a validator.
+// NewValidator returns a Validator.
 func NewValidator() *Validator {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
@@ -65,11 +65,12 @@
 	return out
 }
 
-// pathOf writes endpoints[e1].pool as endpoints/e1/pool.
+// pathOf converts a path such as endpoints[e1].pool to endpoints/e1/pool.
 func pathOf(ns string) string {
 	return strings.NewReplacer("[", "/", "]", "", ".", "/").Replace(ns)
 }
 
+// detailOf returns the text of a fault for a failed validate tag.
 func detailOf(fe validator.FieldError) string {
 	switch fe.Tag() {
 	case "required", "required_if":
@@ -92,14 +93,14 @@
 
 var validate = NewValidator()
 
-// Check returns everything wrong with declarations, as Faults, or nil.
+// Check returns all faults of declarations as Faults, or nil.
 func Check(d Declarations) error {
 	faults := validate.Check(d)
 	faults = append(faults, checkNames(d)...)
 	return faults.OrNil()
 }
 
-// checkNames finds names that nothing declares.
+// checkNames finds references to names that are not declared.
 func checkNames(d Declarations) Faults {
 	var out Faults
 	missing := func(path, what, name string) {
@@ -132,7 +133,7 @@
 	return append(out, checkUnique(d)...)
 }
 
-// checkUnique finds keys and models that two declarations claim.
+// checkUnique finds keys and models that more than one declaration uses.
 func checkUnique(d Declarations) Faults {
 	var out Faults
 	keys := make(map[string]string)
--- a/internal/declare/decode.go
+++ b/internal/declare/decode.go
@@ -12,8 +12,8 @@
 	"github.com/go-viper/mapstructure/v2"
 )
 
-// DecodeStrict reads JSON into out. Unknown fields, wrong types and values out of range are Faults with their paths;
-// out keeps its defaults where the input says nothing.
+// DecodeStrict decodes JSON into out. Unknown fields, wrong types and values out of range are returned as Faults.
+// Fields that are not in the input keep the values that they have in out.
 func DecodeStrict(data []byte, out any) error {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.UseNumber()
@@ -47,12 +47,13 @@
 	return nil
 }
 
-// unusedMark begins the decoder's message about fields that the target does not have.
-const unusedMark = "has invalid keys: "
+// unusedKeysPrefix is the prefix of the decoder's message about fields that the target does not have.
+const unusedKeysPrefix = "has invalid keys: "
 
-// unknownField is a Fault's detail.
+// unknownField is the detail of a Fault for a field that the target does not have.
 const unknownField = "is not a known field"
 
+// unknownFields returns a Fault for each unknown field of the object at path parent.
 func unknownFields(parent string, keys []string) Faults {
 	out := make(Faults, 0, len(keys))
 	for _, key := range keys {
@@ -65,7 +66,7 @@
 	return out
 }
 
-// typeFaults turns the decoder's errors into faults. root is what the decoder calls the whole input.
+// typeFaults converts the decoder's errors to faults. root is the decoder's name for the input as a whole.
 func typeFaults(err error, root string) Faults {
 	var joined interface{ Unwrap() []error }
 	if errors.As(err, &joined) {
@@ -77,7 +78,7 @@
 	}
 	var de *mapstructure.DecodeError
 	if errors.As(err, &de) {
-		if keys, ok := strings.CutPrefix(de.Unwrap().Error(), unusedMark); ok {
+		if keys, ok := strings.CutPrefix(de.Unwrap().Error(), unusedKeysPrefix); ok {
 			return unknownFields(strings.TrimPrefix(de.Name(), root), strings.Split(keys, ", "))
 		}
 		return Faults{{Path: pathOf(de.Name()), Detail: strings.TrimSpace(de.Unwrap().Error())}}
@@ -85,5 +86,5 @@
 	return Faults{{Path: "(input)", Detail: err.Error()}}
 }
 
-// ValidTokens reports whether n is a usable number of tokens.
+// ValidTokens reports whether n is a valid number of tokens: positive and below 2^53.
 func ValidTokens(n int64) bool { return n > 0 && n <= math.MaxInt64>>10 }
--- a/internal/declare/dir.go
+++ b/internal/declare/dir.go
@@ -9,13 +9,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// Directory is what a directory of declarations says: everything declared, and the budgets.
+// Directory holds the declarations and the budgets of a directory of files. It encodes as an intent that replaces the
+// configuration.
 type Directory struct {
 	Decl    Declarations      `json:"replace"`
 	Budgets map[string]Budget `json:"budgets"`
 }
 
-// file is one file of a directory: any of the sections.
+// file is one file of a directory. Each section is optional.
 type file struct {
 	Zones     map[string]Zone     `json:"zones"`
 	Endpoints map[string]Endpoint `json:"endpoints"`
@@ -34,8 +35,8 @@
 	}
 }
 
-// ReadDir reads every .json file below a directory. Files may be split as their authors like; a name that two files
-// declare is a fault. Faults are named by file and path.
+// ReadDir reads every .json file below a directory, except hidden ones. Declarations may be divided among files in any way,
+// but a name that two files declare is a fault. The paths of faults begin with the file.
 func ReadDir(dir fs.FS) (*Directory, error) {
 	var names []string
 	err := fs.WalkDir(dir, ".", func(name string, d fs.DirEntry, err error) error {
@@ -63,7 +64,7 @@
 	return out, Check(out.Decl)
 }
 
-// addFile adds one file's declarations to the whole and returns its faults.
+// addFile adds one file's declarations to all and its budgets to budgets, and returns its faults.
 func addFile(dir fs.FS, name string, all Objects, budgets map[string]Budget) Faults {
 	data, err := fs.ReadFile(dir, name)
 	if err != nil {
@@ -71,7 +72,7 @@
 	}
 	var f file
 	if err := DecodeStrict(data, &f); err != nil {
-		return under(name, err)
+		return prefixFaults(name, err)
 	}
 	objects, err := Split(f.declarations())
 	if err != nil {
@@ -93,7 +94,8 @@
 	return faults
 }
 
-func under(name string, err error) Faults {
+// prefixFaults returns the faults of err with the file's name before their paths.
+func prefixFaults(name string, err error) Faults {
 	var out Faults
 	faults, ok := err.(Faults) //nolint:errorlint // DecodeStrict returns it unwrapped
 	if !ok {
--- a/internal/declare/document.go
+++ b/internal/declare/document.go
@@ -9,18 +9,18 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// DecodeDocument reads the accepted configuration, as this build or another one has written it.
+// DecodeDocument decodes the accepted configuration. It may have been written by another build.
 func DecodeDocument(data []byte) (*Document, error) {
 	d := &Document{}
 	if err := json.Unmarshal(data, d); err != nil {
 		return nil, eris.Wrap(err, "decoding the configuration")
 	}
-	d.beyond = unknownOf(DecodeStrict(data, &Document{}))
+	d.unknown = unknownFieldFaults(DecodeStrict(data, &Document{}))
 	return d, nil
 }
 
-// unknownOf are those faults of an input that are fields which this build does not know.
-func unknownOf(err error) error {
+// unknownFieldFaults returns the faults of err that are about fields unknown to this build.
+func unknownFieldFaults(err error) error {
 	var all, out Faults
 	if errors.As(err, &all) {
 		for _, f := range all {
@@ -32,11 +32,12 @@
 	return out.OrNil()
 }
 
-// CheckWritable reports why this build must not write the next configuration: it would lose what a later one has declared.
+// CheckWritable returns an error if a later build has written fields that this one does not know: a configuration written
+// by this build would lose them.
 func (d *Document) CheckWritable() error {
-	if d.beyond == nil {
+	if d.unknown == nil {
 		return nil
 	}
 	return verdict.New(verdict.NotRun, verdict.CodeConflict,
-		"the configuration was written by a later build; confirm the plan at an instance of that one: "+d.beyond.Error())
+		"the configuration was written by a later build; confirm the plan at an instance of that one: "+d.unknown.Error())
 }
--- a/internal/declare/objects.go
+++ b/internal/declare/objects.go
@@ -9,10 +9,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// Objects are declarations taken apart: each declared thing by its path, such as endpoints/e1.
+// Objects holds the encoded objects of declarations by path, such as endpoints/e1.
 type Objects map[string]json.RawMessage
 
-// Op is what a change does to an object.
+// Op is the operation of a change.
 type Op string
 
 // The operations.
@@ -22,16 +22,16 @@
 	OpRemove Op = "remove"
 )
 
-// Change is one object's change.
+// Change is the change of one object.
 type Change struct {
 	Path   string          `json:"path"`
 	Op     Op              `json:"op"`
 	Before json.RawMessage `json:"before,omitempty"`
 	After  json.RawMessage `json:"after,omitempty"`
-	Effect string          `json:"effect,omitempty"` // what it does, for people
+	Effect string          `json:"effect,omitempty"` // description for operators
 }
 
-// Split takes declarations apart.
+// Split splits declarations into objects.
 func Split(d Declarations) (Objects, error) {
 	b, err := json.Marshal(d)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return out, nil
 }
 
-// Join puts declarations together again.
+// Join builds declarations from objects. It is the inverse of Split.
 func Join(objects Objects) (Declarations, error) {
 	sections := make(map[string]Objects)
 	for path, raw := range objects {
@@ -73,7 +73,7 @@
 	return d, eris.Wrap(dec.Decode(&d), "decoding joined declarations")
 }
 
-// Diff lists what turns before into after, by path.
+// Diff returns the changes that turn before into after, sorted by path.
 func Diff(before, after Declarations) ([]Change, error) {
 	b, err := Split(before)
 	if err != nil {
@@ -101,13 +101,14 @@
 	return out, nil
 }
 
-// ObjectChangedError is returned by Apply when an object is no longer as the change expects it.
+// ObjectChangedError reports that an object is no longer in the state that a change expects.
 type ObjectChangedError struct{ Path string }
 
 // Error implements error.
 func (e *ObjectChangedError) Error() string { return e.Path + " has been changed by someone else" }
 
-// Apply makes changes to declarations. Each object must be as the change expects it.
+// Apply applies changes to declarations. If an object is not in the state that its change expects, it returns an
+// ObjectChangedError.
 func Apply(d Declarations, changes []Change) (Declarations, error) {
 	objects, err := Split(d)
 	if err != nil {
@@ -127,7 +128,7 @@
 	return Join(objects)
 }
 
-// Next is the document that follows d by a change.
+// Next returns the document that follows d: its version is one higher, and it contains the changes of the plan with this id.
 func (d *Document) Next(id string, changes []Change) (*Document, error) {
 	decl, err := Apply(d.Decl, changes)
 	if err != nil {
@@ -142,8 +143,8 @@
 		Fences:  make(Fences, len(d.Fences)),
 		Decl:    decl,
 	}
-	if n := len(next.Applied); n > keepApplied {
-		next.Applied = next.Applied[n-keepApplied:]
+	if n := len(next.Applied); n > maxApplied {
+		next.Applied = next.Applied[n-maxApplied:]
 	}
 	for e, f := range d.Fences {
 		next.Fences[e] = f
@@ -156,7 +157,7 @@
 	return next, nil
 }
 
-// PathsWithPrefix lists the paths that begin with a prefix, sorted.
+// PathsWithPrefix returns the paths that begin with a prefix, sorted.
 func PathsWithPrefix(objects Objects, prefix string) []string {
 	var out []string
 	for path := range objects {
--- a/internal/intent/changes.go
+++ b/internal/intent/changes.go
@@ -8,7 +8,8 @@
 	"github.com/ledgemount/ledgemount/internal/declare"
 )
 
-// Target is the configuration that an intent wants, given the present one. Its errors are declare.Faults.
+// Target returns the configuration that results from applying an intent to the present one. Faults of the intent are
+// returned as declare.Faults.
 func Target(now declare.Declarations, in *Intent) (declare.Declarations, error) {
 	base := now
 	if in.Replace != nil {
@@ -28,7 +29,7 @@
 	var faults declare.Faults
 	for i, path := range in.Remove {
 		if _, ok := objects[path]; !ok {
-			faults = append(faults, fault(fmt.Sprintf("remove/%d", i), "there is no %q", path))
+			faults = append(faults, newFault(fmt.Sprintf("remove/%d", i), "there is no %q", path))
 		}
 		delete(objects, path)
 	}
@@ -45,33 +46,35 @@
 	return target, declare.Check(target)
 }
 
-func fault(path, format string, args ...any) declare.Fault {
+func newFault(path, format string, args ...any) declare.Fault {
 	return declare.Fault{Path: path, Detail: fmt.Sprintf(format, args...)}
 }
 
+// setStates sets the state of the named endpoints. field is the intent's field that names them.
 func setStates(objects declare.Objects, field string, names []string, state declare.EndpointState) declare.Faults {
 	var faults declare.Faults
 	for i, name := range names {
-		ok := edit(objects, "endpoints/"+name, func(e *declare.Endpoint) { e.State = state })
+		ok := editEndpoint(objects, "endpoints/"+name, func(e *declare.Endpoint) { e.State = state })
 		if !ok {
-			faults = append(faults, fault(fmt.Sprintf("%s/%d", field, i), "there is no endpoint %q", name))
+			faults = append(faults, newFault(fmt.Sprintf("%s/%d", field, i), "there is no endpoint %q", name))
 		}
 	}
 	return faults
 }
 
+// moveVersions sets the model version of all endpoints of the pools that are to move.
 func moveVersions(objects declare.Objects, moves []Move) declare.Faults {
 	var faults declare.Faults
 	for i, m := range moves {
 		path := fmt.Sprintf("move/%d", i)
 		if _, ok := objects["pools/"+m.Pool]; !ok {
-			faults = append(faults, fault(path+"/pool", "there is no pool %q", m.Pool))
+			faults = append(faults, newFault(path+"/pool", "there is no pool %q", m.Pool))
 		}
 		if m.Version == "" {
-			faults = append(faults, fault(path+"/version", "is missing"))
+			faults = append(faults, newFault(path+"/version", "is missing"))
 		}
 		for _, name := range declare.PathsWithPrefix(objects, "endpoints/") {
-			edit(objects, name, func(e *declare.Endpoint) {
+			editEndpoint(objects, name, func(e *declare.Endpoint) {
 				if e.Pool == m.Pool {
 					e.Version = m.Version
 				}
@@ -81,8 +84,8 @@
 	return faults
 }
 
-// edit changes an endpoint in place. It reports whether the endpoint exists.
-func edit(objects declare.Objects, path string, f func(*declare.Endpoint)) bool {
+// editEndpoint applies f to the endpoint at path. It returns false if there is no such endpoint.
+func editEndpoint(objects declare.Objects, path string, f func(*declare.Endpoint)) bool {
 	raw, ok := objects[path]
 	if !ok {
 		return false
@@ -100,7 +103,7 @@
 	return true
 }
 
-// Explain adds to each change what it does, for people.
+// Explain sets the Effect of each change, a description for operators.
 func Explain(changes []declare.Change) {
 	for i := range changes {
 		changes[i].Effect = effect(changes[i])
@@ -126,17 +129,17 @@
 	return "is replaced"
 }
 
-// Deposits lists the deposits of an intent, ordered by budget and id. Its errors are declare.Faults.
+// Deposits returns the deposits of an intent, sorted by budget and id. Faults of the intent are returned as declare.Faults.
 func Deposits(in *Intent, d declare.Declarations) ([]Deposit, error) {
 	var out []Deposit
 	var faults declare.Faults
 	for name, b := range in.Budgets {
 		if _, ok := d.Customers[b.Customer]; !ok {
-			faults = append(faults, fault("budgets/"+name+"/customer", "there is no customer %q", b.Customer))
+			faults = append(faults, newFault("budgets/"+name+"/customer", "there is no customer %q", b.Customer))
 		}
 		for id, n := range b.Deposits {
 			if !declare.ValidTokens(max(n, -n)) {
-				faults = append(faults, fault("budgets/"+name+"/deposits/"+id, "must be a number of tokens other than 0, below 2^53"))
+				faults = append(faults, newFault("budgets/"+name+"/deposits/"+id, "must be a number of tokens other than 0, below 2^53"))
 			}
 			out = append(out, Deposit{Budget: name, Customer: b.Customer, ID: id, Tokens: n})
 		}
--- a/internal/intent/confirm.go
+++ b/internal/intent/confirm.go
@@ -14,8 +14,8 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// Confirm makes a plan's changes. Confirming again changes nothing more. If another change has touched the same
-// objects since the plan was made, it is a conflict; changes of other objects go in beside it.
+// Confirm applies a plan. It is idempotent. If one of the plan's objects has been changed since the plan was made, Confirm
+// returns a conflict. Changes of other objects do not matter.
 func (s *Service) Confirm(ctx context.Context, id string) (*Result, error) {
 	p, err := s.Lookup(ctx, id)
 	if err != nil {
@@ -49,20 +49,21 @@
 	return res, nil
 }
 
-// accept puts the plan's changes into the document by compare-and-swap. The document names the plans it holds, so that
-// a write whose answer was lost is resolved by reading it back.
+// accept applies the plan's changes to the document by compare-and-swap, and returns the new version. The document lists
+// the ids of the plans that it contains. If the response to a write is lost, reading the document back shows whether the
+// write succeeded.
 func (s *Service) accept(ctx context.Context, p *Plan) (int64, error) {
 	if len(p.Changes) == 0 {
 		return s.feed.Document().Version, nil
 	}
 	ambiguous := false
-	for range casTries {
+	for range maxCASAttempts {
 		doc, rev, err := s.current(ctx)
 		if err != nil {
 			if !ambiguous {
 				return 0, err
 			}
-			if !pause(ctx) {
+			if !waitRetry(ctx) {
 				break
 			}
 			continue
@@ -83,7 +84,7 @@
 		default:
 			return 0, err
 		}
-		if !pause(ctx) {
+		if !waitRetry(ctx) {
 			break
 		}
 	}
@@ -93,13 +94,14 @@
 	return 0, verdict.New(verdict.NotRun, verdict.CodeConflict, "the configuration kept changing; confirm again")
 }
 
+// acceptOnce makes one attempt to write the document that follows doc, whose revision in the store is rev.
 func (s *Service) acceptOnce(ctx context.Context, doc *declare.Document, rev int64, p *Plan) (int64, error) {
 	if err := doc.CheckWritable(); err != nil {
 		return 0, err
 	}
 	next, err := doc.Next(p.ID, p.Changes)
 	if err != nil {
-		return 0, conflictOf(err)
+		return 0, conflictError(err)
 	}
 	data, err := json.Marshal(next)
 	if err != nil {
@@ -112,10 +114,11 @@
 	return next.Version, s.feed.Adopt(data, newRev)
 }
 
-func conflictOf(err error) error {
-	var moved *declare.ObjectChangedError
-	if errors.As(err, &moved) {
-		return verdict.New(verdict.NotRun, verdict.CodeConflict, err.Error()+"; make a new plan", verdict.WithField(moved.Path))
+// conflictError converts the errors of declare.Document.Next to a conflict.
+func conflictError(err error) error {
+	var changed *declare.ObjectChangedError
+	if errors.As(err, &changed) {
+		return verdict.New(verdict.NotRun, verdict.CodeConflict, err.Error()+"; make a new plan", verdict.WithField(changed.Path))
 	}
 	var faults declare.Faults
 	if errors.As(err, &faults) {
@@ -125,22 +128,23 @@
 	return err
 }
 
-// deposit adds a deposit to its budget's row. Its id makes a repeated one count once.
+// deposit adds a deposit to its budget's row. It is idempotent because the row stores the ids of its deposits.
 func (s *Service) deposit(ctx context.Context, d Deposit) error {
 	key := budget.PageKey(budget.PageOf(d.Budget))
 	var last error
-	for range casTries {
+	for range maxCASAttempts {
 		last = s.depositOnce(ctx, key, d)
 		if last == nil || errors.Is(last, budget.ErrCommitted) || errors.Is(last, budget.ErrInvalid) {
 			return last
 		}
-		if !pause(ctx) {
+		if !waitRetry(ctx) {
 			break
 		}
 	}
 	return eris.Wrapf(last, "depositing into budget %s", d.Budget)
 }
 
+// depositOnce makes one attempt to write a deposit to the page at key.
 func (s *Service) depositOnce(ctx context.Context, key string, d Deposit) error {
 	e, err := s.store.Get(ctx, key)
 	if err != nil {
--- a/internal/intent/intent_test.go
+++ b/internal/intent/intent_test.go
@@ -19,12 +19,12 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// held is a feed that only remembers.
-type held struct{ doc *declare.Document }
+// memoryFeed is a Feed that keeps the latest document in memory.
+type memoryFeed struct{ doc *declare.Document }
 
-func (h *held) Document() *declare.Document { return h.doc }
+func (h *memoryFeed) Document() *declare.Document { return h.doc }
 
-func (h *held) Adopt(data []byte, _ int64) error {
+func (h *memoryFeed) Adopt(data []byte, _ int64) error {
 	var doc declare.Document
 	if err := json.Unmarshal(data, &doc); err != nil {
 		return err
@@ -35,32 +35,33 @@
 	return nil
 }
 
-type alone struct{ self mesh.Peer }
+// singleMember is the membership view of a fleet of one instance.
+type singleMember struct{ self mesh.Peer }
 
-func (a alone) Self() mesh.Peer    { return a.self }
-func (a alone) Fleet() []mesh.Peer { return []mesh.Peer{a.self} }
+func (a singleMember) Self() mesh.Peer    { return a.self }
+func (a singleMember) Fleet() []mesh.Peer { return []mesh.Peer{a.self} }
 
 func newPlanner(t *testing.T) (*Service, *kv.Server, *etcdstore.Client) {
 	t.Helper()
 	server := kv.New(kv.WithLost(1))
 	t.Cleanup(server.Close)
-	wires := inproc.New()
-	wires.Handle("store", server.Handler())
-	var rt http.RoundTripper = wires
+	transport := inproc.New()
+	transport.Handle("store", server.Handler())
+	var rt http.RoundTripper = transport
 	store := etcdstore.New("http://store", etcdstore.WithTransport(rt))
 	self := mesh.Peer{ID: "a", Zone: "z", Addr: "a"}
 	router := mesh.NewRouter()
 	caller := meshtest.New().Join(self, router)
-	return New(store, &held{doc: &declare.Document{}}, alone{self}, caller, router, func() map[string]int { return nil }), server, store
+	return New(store, &memoryFeed{doc: &declare.Document{}}, singleMember{self}, caller, router, func() map[string]int { return nil }), server, store
 }
 
-func class(deadline int64) *Intent {
+func classIntent(deadline int64) *Intent {
 	return &Intent{Apply: declare.Declarations{Classes: map[string]declare.Class{
 		"c": {Priority: 1, DeadlineMS: deadline, FirstTokenMS: 1, BetweenTokensMS: 1, Objective: 0.9},
 	}}}
 }
 
-func zone(name string) *Intent {
+func zoneIntent(name string) *Intent {
 	return &Intent{Apply: declare.Declarations{Zones: map[string]declare.Zone{name: {Region: "r"}}}}
 }
 
@@ -73,8 +74,8 @@
 			So(err, ShouldBeNil)
 			return p
 		}
-		Convey("nothing changes before a confirmation, and a second one changes nothing more", func() {
-			p := plan(zone("a"))
+		Convey("a plan changes nothing before its confirmation, and a second confirmation has no effect", func() {
+			p := plan(zoneIntent("a"))
 			So(s.feed.Document().Version, ShouldEqual, 0)
 			for range 2 {
 				r, err := s.Confirm(ctx, p.ID)
@@ -83,8 +84,8 @@
 				So(r.Version, ShouldEqual, 1)
 			}
 		})
-		Convey("of two plans that race, disjoint ones both go in and conflicting ones are refused", func() {
-			first, other, conflicting := plan(class(10)), plan(zone("a")), plan(class(20))
+		Convey("concurrent plans are both applied if they are disjoint, and the later one is rejected if they conflict", func() {
+			first, other, conflicting := plan(classIntent(10)), plan(zoneIntent("a")), plan(classIntent(20))
 			_, err := s.Confirm(ctx, first.ID)
 			So(err, ShouldBeNil)
 			_, err = s.Confirm(ctx, other.ID)
@@ -96,11 +97,11 @@
 			So(e.Field(), ShouldEqual, "classes/c")
 			So(s.feed.Document().Decl.Classes["c"].DeadlineMS, ShouldEqual, 10)
 		})
-		Convey("a configuration that a later build has written is not written by this one, which would lose what it does not know", func() {
-			p := plan(zone("a"))
+		Convey("a configuration with fields from a later build is not overwritten, because this build would lose them", func() {
+			p := plan(zoneIntent("a"))
 			_, err := s.Confirm(ctx, p.ID)
 			So(err, ShouldBeNil)
-			next := plan(zone("b"))
+			next := plan(zoneIntent("b"))
 			e, err := s.store.Get(ctx, declare.Key)
 			So(err, ShouldBeNil)
 			later := bytes.Replace(e.Data, []byte(`"declarations":{`), []byte(`"declarations":{"quotas":{"q":{"tokens":5}},`), 1)
@@ -113,9 +114,9 @@
 			So(err, ShouldBeNil)
 			So(e.Data, ShouldResemble, later)
 		})
-		Convey("a change whose answers are all lost is reported as it is", func() {
+		Convey("a change is reported as accepted although all responses of the store are lost", func() {
 			server.Set(kv.AnswerLost, true)
-			in := zone("a")
+			in := zoneIntent("a")
 			in.Apply.Customers = map[string]declare.Customer{"c": {Budget: "b"}}
 			in.Budgets = map[string]declare.Budget{"b": {Customer: "c", Deposits: map[string]int64{"one": 100}}}
 			p := plan(in)
@@ -128,12 +129,12 @@
 			So(v.Deposited, ShouldEqual, 100)
 			So(plan(in).Empty(), ShouldBeTrue)
 		})
-		Convey("a store that is down is said to be, and nothing is planned", func() {
+		Convey("planning fails with CodeUnavailable while the store is down", func() {
 			server.Set(kv.Down, true)
-			_, err := s.Plan(ctx, zone("a"))
+			_, err := s.Plan(ctx, zoneIntent("a"))
 			So(verdict.From(err).Code(), ShouldEqual, verdict.CodeUnavailable)
 		})
-		Convey("bad intents name their fields", func() {
+		Convey("errors of invalid intents name the field", func() {
 			for field, in := range map[string]*Intent{
 				"drain/0":            {Drain: []string{"nobody"}},
 				"remove/0":           {Remove: []string{"pools/none"}},
@@ -147,7 +148,7 @@
 				So(verdict.From(err).Field(), ShouldEqual, field)
 			}
 		})
-		Convey("a budget is never shrunk below what is granted", func() {
+		Convey("a withdrawal of more than the budget holds is rejected", func() {
 			in := &Intent{
 				Apply:   declare.Declarations{Customers: map[string]declare.Customer{"c": {Budget: "b"}}},
 				Budgets: map[string]declare.Budget{"b": {Customer: "c", Deposits: map[string]int64{"one": 100}}},
--- a/internal/intent/service.go
+++ b/internal/intent/service.go
@@ -19,35 +19,35 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// ServiceName is the planner's name in the kernel.
+// ServiceName is the name of the Service in the kernel.
 const ServiceName = "intent"
 
-// KindStatus asks an instance what it has in force and in progress.
+// KindStatus requests the Status of an instance.
 const KindStatus mesh.Kind = "intent.status"
 
 const (
-	planPrefix    = "plan/"
-	planLife      = time.Hour
-	casTries      = 20
-	retryPause    = 10 * time.Millisecond
-	statusTimeout = 700 * time.Millisecond
-	statusLimit   = 64
+	planPrefix     = "plan/"
+	planTTL        = time.Hour
+	maxCASAttempts = 20
+	retryPause     = 10 * time.Millisecond
+	statusTimeout  = 700 * time.Millisecond
+	maxStatusCalls = 64
 )
 
-// Status is one instance's answer.
+// Status is the configuration version in force at an instance and its requests in progress by endpoint.
 type Status struct {
 	Peer     mesh.Peer      `cbor:"1,keyasint"`
 	Version  int64          `cbor:"2,keyasint"`
 	InFlight map[string]int `cbor:"3,keyasint"`
 }
 
-// Feed is what the planner uses of the configuration feed.
+// Feed is the part of the configuration feed that a Service uses.
 type Feed interface {
 	Document() *declare.Document
 	Adopt(data []byte, rev int64) error
 }
 
-// Members is what the planner uses of the membership view.
+// Members is the part of the membership view that a Service uses.
 type Members interface {
 	Self() mesh.Peer
 	Fleet() []mesh.Peer
@@ -64,7 +64,7 @@
 	log      zerolog.Logger
 }
 
-// Option changes a Service.
+// Option configures a Service.
 type Option func(*Service)
 
 // WithHook sets the hook that is called at each step.
@@ -73,7 +73,8 @@
 // WithLogger sets the logger.
 func WithLogger(log zerolog.Logger) Option { return func(s *Service) { s.log = log } }
 
-// New makes a planner and registers its message. inFlight reports this instance's work in progress by endpoint.
+// New returns a Service and registers its message handler. inFlight returns this instance's requests in progress by
+// endpoint.
 func New(store external.Store, feed Feed, m Members, c mesh.Caller, r *mesh.Router, inFlight func() map[string]int, opts ...Option) *Service {
 	s := &Service{store: store, feed: feed, members: m, caller: c, inFlight: inFlight, hook: step.None, log: zerolog.Nop()}
 	for _, opt := range opts {
@@ -88,7 +89,7 @@
 // Name implements kernel.Service.
 func (s *Service) Name() string { return ServiceName }
 
-// Run implements kernel.Service; the planner only answers.
+// Run implements kernel.Service. It only waits, because a Service has no background work.
 func (s *Service) Run(ctx context.Context) error {
 	<-ctx.Done()
 	return nil
@@ -98,13 +99,13 @@
 	return Status{Peer: s.members.Self(), Version: s.feed.Document().Version, InFlight: s.inFlight()}
 }
 
-// Statuses asks every instance of the fleet. Those that do not answer are returned as unseen.
+// Statuses requests the status of every instance of the fleet. Instances that do not respond in time are returned as unseen.
 func (s *Service) Statuses(ctx context.Context) (seen []Status, unseen []mesh.Peer) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	sem := make(chan struct{}, statusLimit)
+	sem := make(chan struct{}, maxStatusCalls)
 	for _, p := range s.members.Fleet() {
 		wg.Go(func() {
 			sem <- struct{}{}
@@ -123,7 +124,7 @@
 	return seen, unseen
 }
 
-// Plan answers what an intent would change. It stores the plan, so that any instance can confirm it.
+// Plan derives a plan from an intent and stores it, so that any instance can confirm it.
 func (s *Service) Plan(ctx context.Context, in *Intent) (*Plan, error) {
 	if err := s.hook(ctx, step.Plan); err != nil {
 		return nil, err
@@ -133,21 +134,21 @@
 	if err != nil {
 		return nil, err
 	}
-	p, err := s.derive(ctx, doc, in)
+	p, err := s.buildPlan(ctx, doc, in)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.keep(ctx, p); err != nil {
+	if err := s.savePlan(ctx, p); err != nil {
 		return nil, err
 	}
 	s.log.Info().Str("event", "plan_made").Str("plan", p.ID).Int("changes", len(p.Changes)).Msg("plan made")
 	return p, nil
 }
 
-func (s *Service) derive(ctx context.Context, doc *declare.Document, in *Intent) (*Plan, error) {
+func (s *Service) buildPlan(ctx context.Context, doc *declare.Document, in *Intent) (*Plan, error) {
 	target, err := Target(doc.Decl, in)
 	if err != nil {
-		return nil, faulty(err)
+		return nil, badRequest(err)
 	}
 	changes, err := declare.Diff(doc.Decl, target)
 	if err != nil {
@@ -156,18 +157,18 @@
 	Explain(changes)
 	wanted, err := Deposits(in, target)
 	if err != nil {
-		return nil, faulty(err)
+		return nil, badRequest(err)
 	}
-	deposits, err := s.missing(ctx, wanted)
+	deposits, err := s.missingDeposits(ctx, wanted)
 	if err != nil {
 		return nil, err
 	}
 	p := &Plan{ID: ulid.Make().String(), Note: in.Note, BaseVersion: doc.Version, Changes: changes, Deposits: deposits}
-	s.observe(ctx, p)
+	s.addFleetStatus(ctx, p)
 	return p, nil
 }
 
-func faulty(err error) error {
+func badRequest(err error) error {
 	var faults declare.Faults
 	if errors.As(err, &faults) && len(faults) > 0 {
 		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, faults.Error(), verdict.WithField(faults[0].Path))
@@ -175,8 +176,8 @@
 	return err
 }
 
-// missing drops the deposits that have been made already.
-func (s *Service) missing(ctx context.Context, wanted []Deposit) ([]Deposit, error) {
+// missingDeposits returns the deposits that have not been made yet.
+func (s *Service) missingDeposits(ctx context.Context, wanted []Deposit) ([]Deposit, error) {
 	pages := make(map[uint16]*budget.Page)
 	var out []Deposit
 	for _, d := range wanted {
@@ -206,8 +207,8 @@
 	return out, nil
 }
 
-// observe notes the work that drains wait for and who could not be asked.
-func (s *Service) observe(ctx context.Context, p *Plan) {
+// addFleetStatus adds to a plan the work in progress at its endpoints and the instances that did not respond.
+func (s *Service) addFleetStatus(ctx context.Context, p *Plan) {
 	seen, unseen := s.Statuses(ctx)
 	total := make(map[string]int)
 	for _, st := range seen {
@@ -225,6 +226,7 @@
 	}
 }
 
+// endpointOf returns the endpoint that a change alters or removes.
 func endpointOf(c declare.Change) (string, bool) {
 	const prefix = "endpoints/"
 	if c.Op == declare.OpAdd || len(c.Path) <= len(prefix) || c.Path[:len(prefix)] != prefix {
@@ -238,6 +240,7 @@
 		verdict.WithRetryAfter(2*time.Second), verdict.WithCause(err))
 }
 
+// current reads the document and its revision from the store. Before the first configuration, both are zero.
 func (s *Service) current(ctx context.Context) (*declare.Document, int64, error) {
 	e, err := s.store.Get(ctx, declare.Key)
 	if err != nil {
@@ -254,32 +257,33 @@
 	return doc, e.Revision, nil
 }
 
-// keep writes the plan under a lease; its key is new, so a write whose answer was lost can be repeated.
-func (s *Service) keep(ctx context.Context, p *Plan) error {
+// savePlan writes the plan under a lease. Its key is unique, so that a write can be repeated if its response is lost.
+func (s *Service) savePlan(ctx context.Context, p *Plan) error {
 	data, err := json.Marshal(p)
 	if err != nil {
 		return eris.Wrap(err, "encoding the plan")
 	}
-	lease, err := s.store.Lease(ctx, planLife)
+	lease, err := s.store.Lease(ctx, planTTL)
 	if err != nil {
 		return unavailable(err)
 	}
-	for range casTries {
+	for range maxCASAttempts {
 		_, err = s.store.Put(ctx, planPrefix+p.ID, data, 0, lease)
 		if err == nil || errors.Is(err, external.ErrConflict) {
 			return nil
 		}
 		if e, gerr := s.store.Get(ctx, planPrefix+p.ID); gerr == nil && e.Revision != 0 {
-			return nil // the answer was lost, the plan is there
+			return nil // the response was lost, but the write succeeded
 		}
-		if !pause(ctx) {
+		if !waitRetry(ctx) {
 			break
 		}
 	}
 	return unavailable(err)
 }
 
-func pause(ctx context.Context) bool {
+// waitRetry waits until the next attempt. It returns false if ctx ends first.
+func waitRetry(ctx context.Context) bool {
 	select {
 	case <-time.After(retryPause):
 		return true
@@ -288,7 +292,7 @@
 	}
 }
 
-// Lookup reads a plan. A plan that was never made, or has lapsed, is NotFound.
+// Lookup reads a plan. It returns verdict.CodeNotFound for a plan that does not exist or has expired.
 func (s *Service) Lookup(ctx context.Context, id string) (*Plan, error) {
 	if _, err := ulid.ParseStrict(id); err != nil {
 		return nil, verdict.New(verdict.NotRun, verdict.CodeNotFound, "no plan has this id", verdict.WithField("id"))
--- a/internal/intent/text.go
+++ b/internal/intent/text.go
@@ -10,14 +10,14 @@
 	"github.com/ledgemount/ledgemount/internal/declare"
 )
 
-var marks = map[declare.Op]string{declare.OpAdd: "+", declare.OpChange: "~", declare.OpRemove: "-"}
+var opMarks = map[declare.Op]string{declare.OpAdd: "+", declare.OpChange: "~", declare.OpRemove: "-"}
 
-// Text writes a plan for people: one line for each object, and for changed ones the fields that differ.
+// Text writes a plan in readable form: one line for each object, and the fields that differ for each changed object.
 func (p *Plan) Text(w io.Writer) error {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "plan %s on version %d\n", p.ID, p.BaseVersion)
 	for _, c := range p.Changes {
-		fmt.Fprintf(&b, "%s %s  %s\n", marks[c.Op], c.Path, c.Effect)
+		fmt.Fprintf(&b, "%s %s  %s\n", opMarks[c.Op], c.Path, c.Effect)
 		if c.Op == declare.OpChange {
 			writeFields(&b, c)
 		}
@@ -40,7 +40,7 @@
 	return err
 }
 
-// writeFields lists the fields of an object that a change alters.
+// writeFields writes the fields of an object that differ before and after a change.
 func writeFields(w io.Writer, c declare.Change) {
 	before, after := fieldsOf(c.Before), fieldsOf(c.After)
 	names := make([]string, 0, len(before)+len(after))
@@ -73,7 +73,7 @@
 	return string(raw)
 }
 
-// Text writes a result for people.
+// Text writes a result in readable form.
 func (r *Result) Text(w io.Writer) error {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "plan %s: %s, version %d\n", r.Plan, r.State, r.Version)
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -1,5 +1,5 @@
-// Package losses tells from routers' logs where requests were lost or late: by cause, route, customer, availability zone, second and
-// endpoint.
+// Package losses reports from routers' logs where requests failed or were late: by cause, route, availability zone,
+// prompt length, second, customer and endpoint.
 package losses
 
 import (
@@ -12,17 +12,17 @@
 	"github.com/ledgemount/ledgemount/internal/router"
 )
 
-// Cause is how a request ended: in time, late, or with a code.
+// Cause is the outcome of a request: served in time, served late, or an error code.
 type Cause string
 
-// The causes that are no codes.
+// Causes that are not error codes.
 const (
 	CauseServed    Cause = "served"
 	CauseLateFirst Cause = "late first event"
 	CauseLatePause Cause = "long pause"
 )
 
-// CauseOf judges a request that has ended.
+// CauseOf returns the cause of a request that has ended.
 func CauseOf(l router.Line) Cause {
 	switch {
 	case l.Code != "":
@@ -37,10 +37,10 @@
 	return CauseServed
 }
 
-// Count is how many requests ended in each way.
+// Count holds the number of requests by cause.
 type Count map[Cause]int
 
-// Total is the number of requests.
+// Total returns the number of requests.
 func (c Count) Total() int {
 	n := 0
 	for _, x := range c {
@@ -49,7 +49,7 @@
 	return n
 }
 
-// Share is the part of requests that ended in a way.
+// Share returns the fraction of the requests with a cause.
 func (c Count) Share(cause Cause) float64 {
 	if n := c.Total(); n > 0 {
 		return float64(c[cause]) / float64(n)
@@ -57,7 +57,7 @@
 	return 0
 }
 
-// Row is one route, customer, zone, second or endpoint.
+// Row is the count of one value of a dimension, such as one route or one endpoint.
 type Row struct {
 	Name  string `json:"name"`
 	Count Count  `json:"count"`
@@ -69,32 +69,32 @@
 	Rows []Row  `json:"rows"`
 }
 
-// Report is what a log tells.
+// Report holds the counts of all requests, in total and by dimension.
 type Report struct {
 	All    Count   `json:"all"`
 	Tables []Table `json:"tables"`
 }
 
-// dimension names a table and what of a line it counts by; an empty text leaves the line out.
+// dimension is a property of requests that a table counts by. Requests for which value returns "" are left out of the table.
 type dimension struct {
-	name   string
-	of     func(router.Line) string
-	inTurn bool // rows stand in the order of their names, not of their losses
+	name       string
+	value      func(router.Line) string
+	sortByName bool // rows are sorted by name, not by losses
 }
 
-const sizeStep = 4000 // tokens of the prompt in a row of the table by size
+const sizeStep = 4000 // prompt tokens per row of the table by prompt length
 
 var dimensions = []dimension{
-	{name: "route", of: func(l router.Line) string { return l.Route }},
-	{name: "zone", of: func(l router.Line) string { return l.Zone }},
-	{name: "prompt tokens", of: size, inTurn: true},
-	{name: "second", of: second, inTurn: true},
-	{name: "customer", of: func(l router.Line) string { return l.Customer }},
-	{name: "endpoint", of: endpoint},
+	{name: "route", value: func(l router.Line) string { return l.Route }},
+	{name: "zone", value: func(l router.Line) string { return l.Zone }},
+	{name: "prompt tokens", value: promptRange, sortByName: true},
+	{name: "second", value: arrivalSecond, sortByName: true},
+	{name: "customer", value: func(l router.Line) string { return l.Customer }},
+	{name: "endpoint", value: lastEndpoint},
 }
 
-// size is the range of the prompt's length.
-func size(l router.Line) string {
+// promptRange returns the range that the prompt's length is in.
+func promptRange(l router.Line) string {
 	if l.Prompt == 0 {
 		return ""
 	}
@@ -103,8 +103,8 @@
 	return itoa(from) + "k to " + itoa(from+sizeStep/k) + "k"
 }
 
-// second is when the request arrived.
-func second(l router.Line) string {
+// arrivalSecond returns the second in which the request arrived.
+func arrivalSecond(l router.Line) string {
 	ended, err := time.Parse(time.RFC3339, l.Time)
 	if err != nil {
 		return ""
@@ -112,21 +112,21 @@
 	return ended.Add(-time.Duration(l.TotalMs) * time.Millisecond).UTC().Format(time.TimeOnly)
 }
 
-// endpoint is the last one that had the request.
-func endpoint(l router.Line) string {
+// lastEndpoint returns the endpoint of the last attempt.
+func lastEndpoint(l router.Line) string {
 	if len(l.Endpoints) == 0 {
 		return ""
 	}
 	return l.Endpoints[len(l.Endpoints)-1].Endpoint
 }
 
-// Reader counts the lines of logs.
+// Reader counts the requests of logs.
 type Reader struct {
 	all    Count
 	counts []map[string]Count // by dimension, then name
 }
 
-// NewReader makes a reader that has seen nothing.
+// NewReader returns a Reader without counts.
 func NewReader() *Reader {
 	r := &Reader{all: make(Count)}
 	for range dimensions {
@@ -142,7 +142,7 @@
 	cause := CauseOf(l)
 	r.all[cause]++
 	for i, d := range dimensions {
-		name := d.of(l)
+		name := d.value(l)
 		if name == "" {
 			continue
 		}
@@ -153,7 +153,7 @@
 	}
 }
 
-// Report is what was read so far. Rows stand in the order of what they lost, or of their names where these are in turn.
+// Report returns the counts so far. Rows are sorted by losses, most first, or by name for dimensions with sortByName.
 func (r *Reader) Report() Report {
 	out := Report{All: r.all}
 	for i, d := range dimensions {
@@ -162,15 +162,15 @@
 			t.Rows = append(t.Rows, Row{Name: name, Count: c})
 		}
 		slices.SortFunc(t.Rows, func(a, b Row) int {
-			if d.inTurn {
+			if d.sortByName {
 				return cmp.Or(cmp.Compare(len(a.Name), len(b.Name)), cmp.Compare(a.Name, b.Name))
 			}
-			return cmp.Or(cmp.Compare(lost(b.Count), lost(a.Count)), cmp.Compare(a.Name, b.Name))
+			return cmp.Or(cmp.Compare(lateOrFailed(b.Count), lateOrFailed(a.Count)), cmp.Compare(a.Name, b.Name))
 		})
 		out.Tables = append(out.Tables, t)
 	}
 	return out
 }
 
-// lost is the number of requests that were not served in time.
-func lost(c Count) int { return c.Total() - c[CauseServed] }
+// lateOrFailed returns the number of requests that were not served in time.
+func lateOrFailed(c Count) int { return c.Total() - c[CauseServed] }
--- a/internal/losses/text.go
+++ b/internal/losses/text.go
@@ -20,7 +20,7 @@
 
 func itoa(n int64) string { return strconv.FormatInt(n, 10) }
 
-// causes are those of a count, most frequent first.
+// causes returns the causes of a count, most frequent first.
 func (c Count) causes() []Cause {
 	out := make([]Cause, 0, len(c))
 	for cause := range c {
@@ -30,13 +30,14 @@
 	return out
 }
 
-// Write writes the report as tables of shares in per cent, with at most so many rows each; tables whose rows are in turn are whole.
-func (r Report) Write(w io.Writer, most int) error {
+// Write writes the report as tables of shares in per cent. Tables sorted by losses have at most maxRows rows, those sorted
+// by name have all.
+func (r Report) Write(w io.Writer, maxRows int) error {
 	causes := r.All.causes()
 	for i, t := range r.Tables {
 		rows := t.Rows
-		if !dimensions[i].inTurn {
-			rows = rows[:min(len(rows), most)]
+		if !dimensions[i].sortByName {
+			rows = rows[:min(len(rows), maxRows)]
 		}
 		if err := writeTable(w, t.Name, rows, causes); err != nil {
 			return eris.Wrap(err, "writing a table")
@@ -77,7 +78,7 @@
 	dirMode    = 0o755
 )
 
-// Plot draws the shares by second as losses.svg into a directory.
+// Plot writes a plot of the shares by second to losses.svg in dir.
 func (r Report) Plot(dir string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return eris.Wrap(err, "making the directory")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads an instance's settings: JSON, strict, with defaults, and with errors that name the bad field.
+// Package settings reads the settings of an instance. They are strict JSON with defaults; errors name each invalid field.
 package settings
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/ledgemount/ledgemount/internal/declare"
 )
 
-// Settings are everything that one instance is told at its start.
+// Settings is the configuration that an instance reads at its start.
 type Settings struct {
 	Instance  Instance  `json:"instance"`
 	Callers   Callers   `json:"callers"`
@@ -24,33 +24,33 @@
 	Stop      Stop      `json:"stop"`
 }
 
-// Instance says which instance this is.
+// Instance identifies the instance.
 type Instance struct {
-	ID   string `json:"id" validate:"required"`   // as in the platform's list
+	ID   string `json:"id" validate:"required"`   // as in the platform's list of instances
 	Zone string `json:"zone" validate:"required"` // availability zone
 }
 
-// Callers is the callers' side.
+// Callers configures the API for callers.
 type Callers struct {
 	Listen       string `json:"listen" validate:"required,hostname_port"` // TCP host:port
 	MaxBodyBytes int64  `json:"max_body_bytes" validate:"min=1024,max=67108864"`
 	TLS          TLS    `json:"tls"`
 }
 
-// TLS names a certificate and its key; without them, plain HTTP is served.
+// TLS names the files of a certificate and its key. Without them, the server uses plain HTTP.
 type TLS struct {
 	CertFile string `json:"cert_file" validate:"required_with=KeyFile"`
 	KeyFile  string `json:"key_file" validate:"required_with=CertFile"`
 }
 
-// Operators is the operators' side: intents, status, metrics.
+// Operators configures the API for operators: intents, status and metrics.
 type Operators struct {
 	Listen string            `json:"listen" validate:"required,hostname_port"`      // TCP host:port
-	Keys   map[string]string `json:"keys" validate:"min=1,dive,len=64,hexadecimal"` // SHA-256 of each operator's key
+	Keys   map[string]string `json:"keys" validate:"min=1,dive,len=64,hexadecimal"` // SHA-256 of the key by operator
 	TLS    TLS               `json:"tls"`
 }
 
-// Mesh is the side towards other instances. Certificate and keys are PEM, in the settings or in files.
+// Mesh configures the connections to other instances. The certificates and the key are PEM, in the settings or in files.
 type Mesh struct {
 	Listen   string `json:"listen" validate:"required,hostname_port"` // UDP host:port
 	CA       string `json:"ca"`
@@ -61,7 +61,7 @@
 	KeyFile  string `json:"key_file" validate:"required_without=Key"`
 }
 
-// Platform says where the platform's services are.
+// Platform configures the access to the platform's services.
 type Platform struct {
 	StoreURL     string        `json:"store_url" validate:"required,http_url"`
 	InstancesURL string        `json:"instances_url" validate:"required,http_url"`
@@ -69,27 +69,27 @@
 	WeightLoads  float64       `json:"weight_loads_per_s" validate:"gt=0"`
 }
 
-// Budget has the intervals of the escrow.
+// Budget configures the intervals of the escrow.
 type Budget struct {
-	Flush   time.Duration `json:"flush" validate:"min=10ms,max=1m"`  // longest time that a charge waits for the store
-	Beat    time.Duration `json:"beat" validate:"min=100ms,max=1m"`  // longest time between two writes of a journal
-	Horizon time.Duration `json:"horizon" validate:"min=1s,max=24h"` // how long escrow should outlast an outage
-	Idle    time.Duration `json:"idle" validate:"min=1s,max=24h"`    // unused escrow goes back after this time
-	Dead    time.Duration `json:"dead" validate:"min=1s,max=10m"`    // a holder that is missing this long is taken over
-	Orphan  time.Duration `json:"orphan" validate:"min=6s,max=10m"`  // a missing instance's request is settled after this time
+	Flush   time.Duration `json:"flush" validate:"min=10ms,max=1m"`  // longest time until a charge is written to the store
+	Beat    time.Duration `json:"beat" validate:"min=100ms,max=1m"`  // longest time between two writes of a holder's journal
+	Horizon time.Duration `json:"horizon" validate:"min=1s,max=24h"` // how long an outage of the store the escrow should last
+	Idle    time.Duration `json:"idle" validate:"min=1s,max=24h"`    // unused escrow is returned after this time
+	Dead    time.Duration `json:"dead" validate:"min=1s,max=10m"`    // a holder that is missing this long is reclaimed
+	Orphan  time.Duration `json:"orphan" validate:"min=6s,max=10m"`  // a request of a missing instance is settled after this time
 }
 
-// Log reports what is logged.
+// Log configures logging.
 type Log struct {
 	Level string `json:"level" validate:"oneof=debug info warn error"`
 }
 
-// Stop limits a planned stop.
+// Stop configures the planned stop.
 type Stop struct {
-	Within time.Duration `json:"within" validate:"min=1s,max=1h"` // how long requests in progress are waited for
+	Within time.Duration `json:"within" validate:"min=1s,max=1h"` // how long to wait for requests in progress
 }
 
-// Defaults are the settings that a file need not give.
+// Defaults returns the default settings.
 func Defaults() Settings {
 	return Settings{
 		Callers:   Callers{Listen: "127.0.0.1:8080", MaxBodyBytes: 4 << 20},
@@ -107,13 +107,13 @@
 
 var validate = declare.NewValidator()
 
-// Decode reads settings. Its error lists every fault with the path of its field.
+// Decode decodes settings. Its error lists every fault with the path of its field.
 func Decode(data []byte) (*Settings, error) {
 	s := Defaults()
 	if err := declare.DecodeStrict(data, &s); err != nil {
 		var faults declare.Faults
 		if eris.As(err, &faults) {
-			return nil, append(faults, missingOnly(validate.Check(s), faults)...).OrNil()
+			return nil, append(faults, withoutReported(validate.Check(s), faults)...).OrNil()
 		}
 		return nil, err
 	}
@@ -125,21 +125,23 @@
 	return &s, nil
 }
 
-// missingOnly drops faults of fields that could not be decoded in the first place.
-func missingOnly(more, have declare.Faults) declare.Faults {
-	known := make(map[string]bool, len(have))
-	for _, f := range have {
-		known[f.Path] = true
+// withoutReported returns the faults of more whose paths are not among those of reported. A field that could not be decoded
+// is reported once, not as missing in addition.
+func withoutReported(more, reported declare.Faults) declare.Faults {
+	seen := make(map[string]bool, len(reported))
+	for _, f := range reported {
+		seen[f.Path] = true
 	}
 	var out declare.Faults
 	for _, f := range more {
-		if !known[f.Path] {
+		if !seen[f.Path] {
 			out = append(out, f)
 		}
 	}
 	return out
 }
 
+// checkPorts checks the listen addresses of the two APIs.
 func checkPorts(s *Settings) declare.Faults {
 	var out declare.Faults
 	if s.Callers.Listen == s.Operators.Listen {
@@ -162,19 +164,20 @@
 	return Decode(data)
 }
 
-// PEMs returns the mesh's authority, certificate and key.
+// PEMs returns the certificate authority, the certificate and the key of the mesh.
 func (m Mesh) PEMs() (ca, cert, key []byte, err error) {
-	if ca, err = pem(m.CA, m.CAFile); err != nil {
+	if ca, err = loadPEM(m.CA, m.CAFile); err != nil {
 		return nil, nil, nil, err
 	}
-	if cert, err = pem(m.Cert, m.CertFile); err != nil {
+	if cert, err = loadPEM(m.Cert, m.CertFile); err != nil {
 		return nil, nil, nil, err
 	}
-	key, err = pem(m.Key, m.KeyFile)
+	key, err = loadPEM(m.Key, m.KeyFile)
 	return ca, cert, key, err
 }
 
-func pem(text, file string) ([]byte, error) {
+// loadPEM returns text, or the content of the file if text is empty.
+func loadPEM(text, file string) ([]byte, error) {
 	if text != "" {
 		return []byte(text), nil
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,7 +14,7 @@
 	"github.com/ledgemount/ledgemount/internal/declare"
 )
 
-// TestBrokenSettings holds the faults of each broken file to its golden file; -update writes them.
+// TestBrokenSettings compares the faults of each invalid file with its golden file. The flag -update rewrites these.
 func TestBrokenSettings(t *testing.T) {
 	g := goldie.New(t, goldie.WithFixtureDir("testdata"))
 	files, err := filepath.Glob("testdata/*.json")
@@ -43,7 +43,7 @@
 }
 
 func TestExamples(t *testing.T) {
-	Convey("The example settings are without faults, and defaults fill what they leave out", t, func() {
+	Convey("The example settings have no faults, and fields that they leave out have defaults", t, func() {
 		data, err := os.ReadFile("../../examples/a-1.json")
 		So(err, ShouldBeNil)
 		s, err := Decode(data)
@@ -53,7 +53,7 @@
 	})
 }
 
-// TestReference holds docs/operators/settings.json, the reference of every setting with its default.
+// TestReference compares the defaults with docs/operators/settings-defaults.golden.json, the reference of all settings.
 func TestReference(t *testing.T) {
 	b, err := json.MarshalIndent(Defaults(), "", "  ")
 	if err != nil {
