--- a/cmd/check.go
+++ b/cmd/check.go
@@ -67,7 +67,7 @@
 	return "settings", nil, err
 }
 
-// looksLikeRouter reports whether data holds a router's settings. Unlike the settings of an instance, they have a store field.
+// looksLikeRouter reports whether data holds a router's settings: unlike those of an instance, they have a store field.
 func looksLikeRouter(data []byte) bool { return hasField(data, "store") }
 
 // looksLikeIntent reports whether data holds an intent: settings have none of these fields.
--- a/internal/buildinfo/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -1,4 +1,4 @@
-// Package buildinfo tells which build a program is.
+// Package buildinfo identifies the build of the program.
 package buildinfo
 
 import "runtime/debug"
@@ -6,11 +6,11 @@
 // Version is the release that this source belongs to.
 const Version = "0.1.0-dev"
 
-// shownRevision is the number of digits of a revision that are shown.
-const shownRevision = 12
+// revisionDigits is the number of digits of a shortened revision.
+const revisionDigits = 12
 
-// Revision is the revision of the source that the program was built from, with a + where that had been changed; "unknown" where the build
-// did not record it.
+// Revision returns the shortened revision of the source that the program was built from, with a + if the source had been
+// modified. It returns "unknown" if the build did not record the revision.
 func Revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -26,7 +26,7 @@
 	for _, s := range settings {
 		switch {
 		case s.Key == "vcs.revision":
-			rev = s.Value[:min(shownRevision, len(s.Value))]
+			rev = s.Value[:min(revisionDigits, len(s.Value))]
 		case s.Key == "vcs.modified" && s.Value == "true":
 			changed = "+"
 		}
--- a/internal/buildinfo/buildinfo_test.go
+++ b/internal/buildinfo/buildinfo_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestRevision(t *testing.T) {
-	Convey("A build is named by its source's revision", t, func() {
+	Convey("Revision identifies a build by the revision of its source", t, func() {
 		So(Revision(), ShouldNotBeEmpty)
 		So(revision(nil), ShouldEqual, "unknown")
 		vcs := []debug.BuildSetting{{Key: "vcs.revision", Value: "176af51d0c2f4b6a8e"}, {Key: "vcs.modified", Value: "false"}}
--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -1,4 +1,4 @@
-// Package burn measures how fast each class and customer uses up its service-level error budget.
+// Package burn measures how fast each class and customer consumes the error budget of its service level objective.
 package burn
 
 import (
@@ -13,33 +13,33 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// The histograms hold microseconds.
+// Bounds of the histograms, which hold microseconds, and of the series of counts.
 const (
-	lowest    = 1
-	highest   = 120_000_000
-	digits    = 2
-	bucketFor = time.Minute
-	buckets   = 6 * 60
+	minMicros         = 1
+	maxMicros         = 120_000_000
+	significantDigits = 2
+	bucketWidth       = time.Minute
+	maxBuckets        = 6 * 60
 )
 
-// Key is what is counted apart.
+// Key identifies a series: one class and customer.
 type Key struct {
 	Class    string `cbor:"1,keyasint" json:"class"`
 	Customer string `cbor:"2,keyasint" json:"customer"`
 }
 
-// Counts are the requests of one minute.
+// Counts holds the numbers of requests by outcome, such as those of one minute.
 type Counts struct {
 	Total        int64 `cbor:"1,keyasint" json:"total"`
-	Whole        int64 `cbor:"2,keyasint" json:"whole"`          // answered whole
-	LateFirst    int64 `cbor:"3,keyasint" json:"late_first"`     // first token over the class's objective
-	LateBetween  int64 `cbor:"4,keyasint" json:"late_between"`   // a gap over the class's objective
-	NotRun       int64 `cbor:"5,keyasint" json:"not_run"`        // refused, not run
-	MayHaveRun   int64 `cbor:"6,keyasint" json:"may_have_run"`   // ended with an unknown fate
-	Exhausted    int64 `cbor:"7,keyasint" json:"exhausted"`      // refused because the budget is used up
-	Unready      int64 `cbor:"8,keyasint" json:"budget_unready"` // refused although the budget may have tokens: false refusals
+	Whole        int64 `cbor:"2,keyasint" json:"whole"`          // answered completely
+	LateFirst    int64 `cbor:"3,keyasint" json:"late_first"`     // first token later than the class's objective
+	LateBetween  int64 `cbor:"4,keyasint" json:"late_between"`   // gap between tokens longer than the class's objective
+	NotRun       int64 `cbor:"5,keyasint" json:"not_run"`        // rejected, not run
+	MayHaveRun   int64 `cbor:"6,keyasint" json:"may_have_run"`   // ended with an unknown outcome
+	Exhausted    int64 `cbor:"7,keyasint" json:"exhausted"`      // rejected because the budget is exhausted
+	Unready      int64 `cbor:"8,keyasint" json:"budget_unready"` // rejected although the budget may have tokens: false refusals
 	Tokens       int64 `cbor:"9,keyasint" json:"tokens"`
-	Bad          int64 `cbor:"10,keyasint" json:"bad"` // against the objective
+	Bad          int64 `cbor:"10,keyasint" json:"bad"` // requests that count against the objective
 	CallersFault int64 `cbor:"11,keyasint" json:"callers_fault"`
 }
 
@@ -58,6 +58,7 @@
 	c.CallersFault += o.CallersFault
 }
 
+// series holds the counts and latencies of one Key.
 type series struct {
 	minutes map[int64]*Counts
 	first   *hdrhistogram.Histogram
@@ -73,12 +74,12 @@
 	series  map[Key]*series
 }
 
-// NewRecorder makes an empty recorder.
+// NewRecorder returns an empty Recorder.
 func NewRecorder(now func() time.Time) *Recorder {
 	return &Recorder{now: now, series: make(map[Key]*series)}
 }
 
-// SetDocument takes the classes' objectives.
+// SetDocument sets the objectives of the classes.
 func (r *Recorder) SetDocument(doc *declare.Document) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,40 +91,42 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	class := r.classes[o.Class]
-	s := r.at(Key{Class: o.Class, Customer: o.Customer})
-	c := r.minute(s)
+	s := r.seriesFor(Key{Class: o.Class, Customer: o.Customer})
+	c := r.currentCounts(s)
 	c.Add(countsOf(o, class))
 	if o.FirstToken > 0 {
-		_ = s.first.RecordValue(micros(o.FirstToken))
+		_ = s.first.RecordValue(clampedMicros(o.FirstToken))
 	}
 	if o.SlowestGap > 0 {
-		_ = s.gap.RecordValue(micros(o.SlowestGap))
+		_ = s.gap.RecordValue(clampedMicros(o.SlowestGap))
 	}
 }
 
-func micros(d time.Duration) int64 { return min(max(d.Microseconds(), lowest), highest) }
+// clampedMicros returns d in microseconds, limited to the bounds of the histograms.
+func clampedMicros(d time.Duration) int64 { return min(max(d.Microseconds(), minMicros), maxMicros) }
 
-func (r *Recorder) at(k Key) *series {
+func (r *Recorder) seriesFor(k Key) *series {
 	s, ok := r.series[k]
 	if !ok {
 		s = &series{
 			minutes: make(map[int64]*Counts),
-			first:   hdrhistogram.New(lowest, highest, digits),
-			gap:     hdrhistogram.New(lowest, highest, digits),
+			first:   hdrhistogram.New(minMicros, maxMicros, significantDigits),
+			gap:     hdrhistogram.New(minMicros, maxMicros, significantDigits),
 		}
 		r.series[k] = s
 	}
 	return s
 }
 
-func (r *Recorder) minute(s *series) *Counts {
-	m := r.now().Unix() / int64(bucketFor/time.Second)
+// currentCounts returns the counts of the current minute, and drops minutes that are older than maxBuckets.
+func (r *Recorder) currentCounts(s *series) *Counts {
+	m := r.now().Unix() / int64(bucketWidth/time.Second)
 	c, ok := s.minutes[m]
 	if !ok {
 		c = &Counts{}
 		s.minutes[m] = c
 		for old := range s.minutes {
-			if old <= m-buckets {
+			if old <= m-maxBuckets {
 				delete(s.minutes, old)
 			}
 		}
@@ -131,7 +134,7 @@
 	return c
 }
 
-// countsOf judges one outcome against its class.
+// countsOf returns the counts of one request, judged by the objectives of its class.
 func countsOf(o gateway.Outcome, class declare.Class) Counts {
 	c := Counts{Total: 1, Tokens: o.Tokens}
 	switch {
@@ -165,7 +168,7 @@
 	return c
 }
 
-// callersFault reports whether the caller, not the system, kept a request from being answered.
+// callersFault reports whether a request failed because of the caller and not because of the system.
 func callersFault(code verdict.Code) bool {
 	switch code {
 	case verdict.CodeBadRequest, verdict.CodeBudgetExhausted, verdict.CodeCancelled, verdict.CodeNotFound,
@@ -176,7 +179,7 @@
 	}
 }
 
-// Series is one class's and customer's counts as they travel between instances. Histograms travel encoded.
+// Series holds the counts and latencies of one Key as instances send them to each other. The histograms are encoded.
 type Series struct {
 	Key     Key              `cbor:"1,keyasint"`
 	Minutes map[int64]Counts `cbor:"2,keyasint"`
@@ -184,7 +187,7 @@
 	Gap     []byte           `cbor:"4,keyasint"`
 }
 
-// Snapshot copies everything, ordered by key.
+// Snapshot returns a copy of all series, sorted by key.
 func (r *Recorder) Snapshot() []Series {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -198,11 +201,11 @@
 		one.Gap, _ = s.gap.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 		out = append(out, one)
 	}
-	sort.Slice(out, func(i, j int) bool { return less(out[i].Key, out[j].Key) })
+	sort.Slice(out, func(i, j int) bool { return keyLess(out[i].Key, out[j].Key) })
 	return out
 }
 
-func less(a, b Key) bool {
+func keyLess(a, b Key) bool {
 	if a.Class != b.Class {
 		return a.Class < b.Class
 	}
--- a/internal/burn/html.go
+++ b/internal/burn/html.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	barMost  = 300.0 // pixels
-	barScale = 15.0  // pixels for each time that the error budget would be used up
+	maxBarWidth = 300.0 // pixels
+	barScale    = 15.0  // pixels per unit of burn rate
 )
 
-// bar is the length of a burn rate's bar, in pixels.
-func bar(rate float64) float64 { return min(barMost, rate*barScale) }
+// bar returns the length of the bar for a burn rate, in pixels.
+func bar(rate float64) float64 { return min(maxBarWidth, rate*barScale) }
 
 var page = template.Must(template.New("burn").Funcs(template.FuncMap{"bar": bar}).Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Service-level burn</title>
@@ -33,7 +33,7 @@
 {{end}}</table></body></html>
 `))
 
-// HTML writes the report as a page that needs nothing else.
+// HTML writes the report as a self-contained page.
 func (r Report) HTML(w io.Writer) error {
 	return eris.Wrap(page.Execute(w, r), "writing the burn page")
 }
--- a/internal/burn/report.go
+++ b/internal/burn/report.go
@@ -12,44 +12,46 @@
 	"github.com/ledgemount/ledgemount/internal/declare"
 )
 
-// Alert reports whether someone should look.
+// Alert is the urgency of a burn rate for operators.
 type Alert string
 
-// The alerts, by the customary pairs of windows: a fast burn in 5 minutes and 1 hour, a slow one in 30 minutes and 6 hours.
+// The alerts use the customary pairs of windows: 5 minutes and 1 hour for a fast burn, 30 minutes and 6 hours for a slow
+// one.
 const (
 	AlertNone Alert = "ok"
 	AlertSlow Alert = "ticket"
 	AlertFast Alert = "page"
 )
 
+// Burn rates at which the alerts are raised.
 const (
 	fastBurn = 14.4
 	slowBurn = 6.0
 )
 
-// Windows over which burn is measured.
+// windows are the windows over which the burn rate is measured.
 var windows = [...]time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, 6 * time.Hour}
 
-// Line is the report of one class and customer; an empty customer stands for all of the class.
+// Line is the report of one class and customer. An empty customer stands for all customers of the class.
 type Line struct {
 	Key
 	Objective    float64            `json:"objective"`
 	Counts       Counts             `json:"counts"`
-	Burn         map[string]float64 `json:"burn"` // by window: 1 uses the error budget up exactly
+	Burn         map[string]float64 `json:"burn"` // burn rate by window; 1 consumes exactly the error budget
 	Alert        Alert              `json:"alert"`
 	FirstTokenMS Quantiles          `json:"first_token_ms"`
 	SlowestGapMS Quantiles          `json:"slowest_gap_ms"`
 	FalseRefusal float64            `json:"false_refusal_share"`
 }
 
-// Quantiles of a time in milliseconds.
+// Quantiles are quantiles of a duration in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
 }
 
-// Report is the burn of a zone or of the fleet.
+// Report is the burn report of several instances, such as the fleet.
 type Report struct {
 	At        time.Time `json:"at"`
 	Instances int       `json:"instances"`
@@ -57,12 +59,13 @@
 	Lines     []Line    `json:"lines"`
 }
 
+// merged is the sum of the series of one Key.
 type merged struct {
 	minutes    map[int64]Counts
 	first, gap *hdrhistogram.Histogram
 }
 
-// Merge makes one report of several instances' series.
+// Merge merges the series of several instances into one report.
 func Merge(all [][]Series, classes map[string]declare.Class, now time.Time) (Report, error) {
 	sums := make(map[Key]*merged)
 	for _, list := range all {
@@ -79,7 +82,7 @@
 	for k, m := range sums {
 		r.Lines = append(r.Lines, lineOf(k, m, classes[k.Class], now))
 	}
-	sort.Slice(r.Lines, func(i, j int) bool { return less(r.Lines[i].Key, r.Lines[j].Key) })
+	sort.Slice(r.Lines, func(i, j int) bool { return keyLess(r.Lines[i].Key, r.Lines[j].Key) })
 	return r, nil
 }
 
@@ -88,8 +91,8 @@
 	if !ok {
 		m = &merged{
 			minutes: make(map[int64]Counts),
-			first:   hdrhistogram.New(lowest, highest, digits),
-			gap:     hdrhistogram.New(lowest, highest, digits),
+			first:   hdrhistogram.New(minMicros, maxMicros, significantDigits),
+			gap:     hdrhistogram.New(minMicros, maxMicros, significantDigits),
 		}
 		sums[k] = m
 	}
@@ -127,26 +130,26 @@
 	l.Alert = alertOf(l.Burn)
 	l.FirstTokenMS = quantiles(m.first)
 	l.SlowestGapMS = quantiles(m.gap)
-	if asked := l.Counts.Total - l.Counts.CallersFault; asked > 0 {
-		l.FalseRefusal = float64(l.Counts.Unready) / float64(asked)
+	if eligible := l.Counts.Total - l.Counts.CallersFault; eligible > 0 {
+		l.FalseRefusal = float64(l.Counts.Unready) / float64(eligible)
 	}
 	return l
 }
 
-// burnOver is the share of bad requests in a window, over the share that the objective allows.
+// burnOver returns the burn rate in a window: the share of bad requests divided by the share that the objective allows.
 func burnOver(minutes map[int64]Counts, objective float64, now time.Time, w time.Duration) float64 {
-	from := now.Add(-w).Unix() / int64(bucketFor/time.Second)
+	from := now.Add(-w).Unix() / int64(bucketWidth/time.Second)
 	var sum Counts
 	for m, c := range minutes {
 		if m >= from {
 			sum.Add(c)
 		}
 	}
-	asked := sum.Total - sum.CallersFault
-	if asked == 0 || objective >= 1 {
+	eligible := sum.Total - sum.CallersFault
+	if eligible == 0 || objective >= 1 {
 		return 0
 	}
-	return float64(sum.Bad) / float64(asked) / (1 - objective)
+	return float64(sum.Bad) / float64(eligible) / (1 - objective)
 }
 
 func alertOf(burn map[string]float64) Alert {
@@ -160,10 +163,10 @@
 	return AlertNone
 }
 
-const perMilli = 1000.0
+const microsPerMilli = 1000.0
 
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
-	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / perMilli }
+	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / microsPerMilli }
 	return Quantiles{P50: at(50), P95: at(95), P99: at(99)}
 }
 
--- a/internal/declare/declare.go
+++ b/internal/declare/declare.go
@@ -42,7 +42,7 @@
 	Version     string        `json:"version,omitempty"` // model version to load
 	Role        string        `json:"role,omitempty"`
 	State       EndpointState `json:"state" validate:"oneof=active draining"`
-	Capacity    int           `json:"capacity" validate:"min=1,max=100000"` // concurrent requests, over all instances of the zone
+	Capacity    int           `json:"capacity" validate:"min=1,max=100000"` // concurrent requests from all instances of the zone
 	ChecksFence bool          `json:"checks"`                               // the endpoint checks the fencing tokens of orders
 }
 
--- a/internal/declare/objects.go
+++ b/internal/declare/objects.go
@@ -128,7 +128,7 @@
 	return Join(objects)
 }
 
-// Next returns the document that follows d: its version is one higher, and it contains the changes of the plan with this id.
+// Next returns the document that follows d. Its version is one higher, and it contains the changes of the plan id.
 func (d *Document) Next(id string, changes []Change) (*Document, error) {
 	decl, err := Apply(d.Decl, changes)
 	if err != nil {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,4 +1,4 @@
-// Package instance wires the services of one instance.
+// Package instance builds and runs the services of one instance.
 package instance
 
 import (
@@ -34,7 +34,7 @@
 	"github.com/ledgemount/ledgemount/internal/targets"
 )
 
-// Instance is one process's worth of services.
+// Instance is the set of services that one process runs.
 type Instance struct {
 	set  *settings.Settings
 	log  zerolog.Logger
@@ -59,28 +59,28 @@
 	callers   *server
 	operators *server
 
-	killed context.Context //nolint:containedctx // ends everything at once
-	kill   context.CancelFunc
-	opts   options
+	killCtx context.Context //nolint:containedctx // canceled by Kill
+	kill    context.CancelFunc
+	opts    options
 }
 
 type options struct {
-	billed    budget.Billed
-	outcomes  func(gateway.Outcome)
-	meshTo    func(addr string) bool
-	meshFrom  mesh.Gate
-	transport http.RoundTripper
-	endpoints http.RoundTripper
-	times     func(*budget.Times)
-	beat      time.Duration
-	list      time.Duration
-	poll      time.Duration
-	policy    budget.SizePolicy
-	maxHold   time.Duration
-	keys      []once.KeysOption
+	billed       budget.Billed
+	outcomes     func(gateway.Outcome)
+	meshTo       func(addr string) bool
+	meshFrom     mesh.Gate
+	transport    http.RoundTripper
+	endpoints    http.RoundTripper
+	adjustTimes  func(*budget.Times)
+	heartbeat    time.Duration
+	listInterval time.Duration
+	configPoll   time.Duration
+	policy       budget.SizePolicy
+	maxHold      time.Duration
+	keys         []once.KeysOption
 }
 
-// Option changes an Instance.
+// Option configures an Instance.
 type Option func(*Instance)
 
 // WithHook sets the hook that is called at each step.
@@ -89,10 +89,10 @@
 // WithLogger sets the logger.
 func WithLogger(log zerolog.Logger) Option { return func(in *Instance) { in.log = log } }
 
-// WithBilled sets the receiver of durable charges.
+// WithBilled sets the function that is called for each charge that has become durable.
 func WithBilled(b budget.Billed) Option { return func(in *Instance) { in.opts.billed = b } }
 
-// WithGate cuts links to and from other instances.
+// WithGate sets filters that block connections to and from other instances.
 func WithGate(to func(addr string) bool, from mesh.Gate) Option {
 	return func(in *Instance) { in.opts.meshTo, in.opts.meshFrom = to, from }
 }
@@ -107,66 +107,71 @@
 	return func(in *Instance) { in.opts.endpoints = t }
 }
 
-// WithIntervals sets the membership's intervals and the configuration's backstop.
-func WithIntervals(beat, list, poll time.Duration) Option {
-	return func(in *Instance) { in.opts.beat, in.opts.list, in.opts.poll = beat, list, poll }
+// WithIntervals sets the intervals of heartbeats, of reading the platform's list of instances, and of polling the store for
+// the configuration in case updates are missed.
+func WithIntervals(heartbeat, listInterval, configPoll time.Duration) Option {
+	return func(in *Instance) {
+		in.opts.heartbeat, in.opts.listInterval, in.opts.configPoll = heartbeat, listInterval, configPoll
+	}
 }
 
-// WithSizePolicy replaces the policy that sizes grants.
+// WithSizePolicy sets the policy that determines the size of grants.
 func WithSizePolicy(p budget.SizePolicy) Option { return func(in *Instance) { in.opts.policy = p } }
 
-// WithBudgetTimes changes the escrow's intervals.
-func WithBudgetTimes(f func(*budget.Times)) Option { return func(in *Instance) { in.opts.times = f } }
+// WithBudgetTimes sets a function that changes the intervals of the holder.
+func WithBudgetTimes(f func(*budget.Times)) Option {
+	return func(in *Instance) { in.opts.adjustTimes = f }
+}
 
-// WithMaxHold changes how long a reservation may be used.
+// WithMaxHold sets how long a reservation may be used.
 func WithMaxHold(d time.Duration) Option { return func(in *Instance) { in.opts.maxHold = d } }
 
-// WithKeysOptions changes the registry of idempotency keys.
+// WithKeysOptions sets options of the registry of idempotency keys.
 func WithKeysOptions(opts ...once.KeysOption) Option {
 	return func(in *Instance) { in.opts.keys = opts }
 }
 
-// New builds an instance; it listens already, but runs only with Run.
+// New builds an instance. Its listeners are open when New returns, but it serves requests only after Run is called.
 func New(set *settings.Settings, opts ...Option) (*Instance, error) {
 	in := &Instance{set: set, log: zerolog.Nop(), hook: step.None, kernel: kernel.New(), router: mesh.NewRouter()}
 	in.opts = options{
-		billed:   func(ledger.Charge) {},
-		meshTo:   func(string) bool { return true },
-		meshFrom: func(mesh.Peer) bool { return true },
-		times:    func(*budget.Times) {},
-		beat:     500 * time.Millisecond,
-		list:     2 * time.Second,
-		poll:     30 * time.Second,
-		maxHold:  budget.DefaultMaxHold,
+		billed:       func(ledger.Charge) {},
+		meshTo:       func(string) bool { return true },
+		meshFrom:     func(mesh.Peer) bool { return true },
+		adjustTimes:  func(*budget.Times) {},
+		heartbeat:    500 * time.Millisecond,
+		listInterval: 2 * time.Second,
+		configPoll:   30 * time.Second,
+		maxHold:      budget.DefaultMaxHold,
 	}
 	for _, opt := range opts {
 		opt(in)
 	}
-	in.killed, in.kill = context.WithCancel(context.Background())
+	in.killCtx, in.kill = context.WithCancel(context.Background())
 	for _, build := range in.steps() {
 		if err := build(); err != nil {
-			in.closeEarly()
+			in.closePartial()
 			return nil, err
 		}
 	}
 	return in, in.kernel.Register(in.services()...)
 }
 
-// steps are the parts of an instance in the order in which they are built.
+// steps returns the functions that build the parts of an instance, in the order of their dependencies.
 func (in *Instance) steps() []func() error {
 	return []func() error{
 		in.buildPlatform,
 		in.buildMesh,
 		in.buildMembers,
 		in.buildBudget,
-		in.buildRouting,
+		in.buildKeys,
 		in.buildGateway,
 		in.buildOperators,
 		in.listen,
 	}
 }
 
-// services are the parts that run, in the order in which they start.
+// services returns the services of the instance in the order in which they start.
 func (in *Instance) services() []kernel.Service {
 	return []kernel.Service{
 		in.transport,
@@ -219,15 +224,15 @@
 func (in *Instance) buildMembers() error {
 	list := httplist.New(in.set.Platform.InstancesURL, in.opts.transport)
 	in.view = member.New(in.transport.Self(), list, in.transport, in.router,
-		member.WithIntervals(in.opts.beat, in.opts.list),
+		member.WithIntervals(in.opts.heartbeat, in.opts.listInterval),
 		member.WithConfigVersion(func() int64 { return in.feed.Version() }),
 		member.WithInFlight(func() map[string]int { return in.targets.InFlight() }),
 		member.WithLogger(in.log))
-	in.feed = rollout.NewFeed(in.store, in.view, in.transport, in.router, rollout.WithPoll(in.opts.poll), rollout.WithFeedLogger(in.log))
+	in.feed = rollout.NewFeed(in.store, in.view, in.transport, in.router, rollout.WithPoll(in.opts.configPoll), rollout.WithFeedLogger(in.log))
 	in.view.OnBeat(in.feed.HandleBeat)
-	heard, silenced := pool.LogNotices(in.log)
+	onNotice, onNoticeEnded := pool.LogNotices(in.log)
 	in.targets = targets.New(in.set.Instance.Zone, targets.WithZoneView(in.view.InFlight, func() int { return len(in.view.Zone()) }),
-		targets.OnNotice(heard), targets.OnNoticeEnded(silenced))
+		targets.OnNotice(onNotice), targets.OnNoticeEnded(onNoticeEnded))
 	in.feed.OnChange(in.targets.SetDocument)
 	in.cache = rollout.NewCache(in.feed, in.view, in.transport, in.router, in.driver, in.targets)
 	in.feed.OnChange(in.recorder.SetDocument)
@@ -239,7 +244,7 @@
 	b := in.set.Budget
 	times.Flush, times.Beat, times.Horizon = b.Flush, b.Beat, b.Horizon
 	times.Idle, times.Dead, times.Orphan = b.Idle, b.Dead, b.Orphan
-	in.opts.times(&times)
+	in.opts.adjustTimes(&times)
 	opts := []budget.HomeOption{
 		budget.WithTimes(times), budget.WithHook(in.hook), budget.WithLogger(in.log), budget.WithBilled(in.opts.billed),
 		budget.WithKeyCheck(func(ctx context.Context, customer, request string, place budget.Place, tokens int64) (bill, sure bool) {
@@ -257,6 +262,7 @@
 	return nil
 }
 
+// releasesOf returns the declared releases in the form that the holder uses.
 func releasesOf(doc *declare.Document) []budget.Release {
 	out := make([]budget.Release, 0, len(doc.Decl.Releases))
 	for _, r := range doc.Decl.Releases {
@@ -265,12 +271,12 @@
 	return out
 }
 
-func (in *Instance) buildRouting() error {
+func (in *Instance) buildKeys() error {
 	in.keys = once.NewKeys(in.view, in.transport, in.router, in.keyZones, append(in.opts.keys, once.WithKeysLogger(in.log))...)
 	return nil
 }
 
-// keyZones lists the zones in which a customer's keys live: those of its region if it has one, else all.
+// keyZones returns the zones that store a customer's idempotency keys: those of its region if it has one, otherwise all.
 func (in *Instance) keyZones(customer string) []string {
 	decl := &in.feed.Document().Decl
 	region := decl.Customers[customer].Region
@@ -290,11 +296,12 @@
 		Stopper: endpoint.NewStopper(in.driver, in.targets),
 	},
 		gateway.WithHook(in.hook), gateway.WithLogger(in.log), gateway.WithScope(in.metrics.Scope()),
-		gateway.WithOutcomes(in.outcome), gateway.WithMaxBody(in.set.Callers.MaxBodyBytes), gateway.WithKill(in.killed))
+		gateway.WithOutcomes(in.outcome), gateway.WithMaxBody(in.set.Callers.MaxBodyBytes), gateway.WithKill(in.killCtx))
 	in.feed.OnChange(in.gateway.SetDocument)
 	return nil
 }
 
+// outcome records the outcome of a request.
 func (in *Instance) outcome(o gateway.Outcome) {
 	in.recorder.Record(o)
 	if in.opts.outcomes != nil {
@@ -323,7 +330,8 @@
 	return err
 }
 
-func (in *Instance) closeEarly() {
+// closePartial closes what New has opened before it failed.
+func (in *Instance) closePartial() {
 	in.kill()
 	if in.transport != nil {
 		_ = in.transport.Close()
@@ -335,7 +343,7 @@
 	}
 }
 
-// Run runs the instance until ctx ends, without a planned stop: use Stop for that.
+// Run runs the instance until ctx ends. It performs no planned stop; see Stop.
 func (in *Instance) Run(ctx context.Context) error {
 	in.log.Info().Str("event", "instance_started").Str("callers", in.CallersAddr()).Str("operators", in.OperatorsAddr()).
 		Str("mesh", in.Peer().Addr).Msg("instance started")
@@ -345,35 +353,36 @@
 	return err
 }
 
-// CallersAddr is the address for callers.
+// CallersAddr returns the address of the API for callers.
 func (in *Instance) CallersAddr() string { return in.callers.addr() }
 
-// OperatorsAddr is the address for operators.
+// OperatorsAddr returns the address of the API for operators.
 func (in *Instance) OperatorsAddr() string { return in.operators.addr() }
 
-// Peer is this instance as its peers see it.
+// Peer returns the instance's identity among its peers.
 func (in *Instance) Peer() mesh.Peer { return in.transport.Self() }
 
-// Feed is the configuration in force.
+// Feed returns the feed of the configuration.
 func (in *Instance) Feed() *rollout.Feed { return in.feed }
 
-// Home is the holder.
+// Home returns the holder of this instance's escrow.
 func (in *Instance) Home() *budget.Home { return in.home }
 
-// View is the membership view.
+// View returns the membership view.
 func (in *Instance) View() *member.View { return in.view }
 
-// Client is the serving side of reservations.
+// Client returns the client that makes reservations for this instance's requests.
 func (in *Instance) Client() *budget.Client { return in.client }
 
-// Store is the metered store.
+// Store returns the store, which counts its calls.
 func (in *Instance) Store() *external.Meter { return in.store }
 
-// Kernel has the instance's services by name.
+// Kernel returns the kernel, which has the instance's services by name.
 func (in *Instance) Kernel() *kernel.Kernel { return in.kernel }
 
-// Stop is a planned stop: no new requests, those in progress end, charges are flushed, escrow goes back, then the
-// services end. ctx limits the wait. If the escrow cannot go back, the zone takes it over later.
+// Stop performs a planned stop: the instance accepts no new requests, finishes those in progress, flushes its charges,
+// returns its escrow, and then ends its services. ctx limits the wait. If the escrow cannot be returned, the zone reclaims
+// it later.
 func (in *Instance) Stop(ctx context.Context) error {
 	in.gateway.Leave()
 	in.view.Leave()
@@ -382,23 +391,23 @@
 		err = in.home.Stop(ctx)
 	}
 	if err == nil {
-		err = in.flushed(ctx)
+		err = in.waitFlushed(ctx)
 	}
 	if err != nil {
-		in.log.Warn().Str("event", "stop_unclean").Err(err).Msg("the zone will take over what is left")
+		in.log.Warn().Str("event", "stop_unclean").Err(err).Msg("planned stop incomplete; the zone will reclaim the remaining escrow")
 	}
 	in.callers.shutdown(ctx)
 	in.operators.shutdown(ctx)
 	return in.kernel.Close()
 }
 
-const flushedPoll = 20 * time.Millisecond
+const flushPollInterval = 20 * time.Millisecond
 
-// flushed waits until every charge of this serving instance is in the store.
-func (in *Instance) flushed(ctx context.Context) error {
+// waitFlushed waits until all charges for requests that this instance has served are in the store.
+func (in *Instance) waitFlushed(ctx context.Context) error {
 	for in.client.Open() > 0 {
 		select {
-		case <-time.After(flushedPoll):
+		case <-time.After(flushPollInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -406,7 +415,7 @@
 	return nil
 }
 
-// Kill ends the instance at once, as a crash would: nothing is flushed, connections break.
+// Kill ends the instance at once, as a crash would: it flushes nothing and breaks all connections.
 func (in *Instance) Kill() {
 	in.kill()
 	in.callers.kill()
--- a/internal/instance/server.go
+++ b/internal/instance/server.go
@@ -14,7 +14,7 @@
 
 const readHeaderTimeout = 5 * time.Second
 
-// server is an HTTP listener as a kernel service.
+// server is an HTTP server that runs as a kernel service.
 type server struct {
 	name string
 	tls  settings.TLS
@@ -22,6 +22,7 @@
 	srv  *http.Server
 }
 
+// newServer returns a server that listens on addr. It accepts connections once Run is called.
 func newServer(name, addr string, tls settings.TLS, h http.Handler) (*server, error) {
 	var lc net.ListenConfig
 	lis, err := lc.Listen(context.Background(), "tcp", addr)
@@ -43,7 +44,7 @@
 	select {
 	case <-ctx.Done():
 		s.kill()
-		<-ended //nolint:errcheck // it was killed
+		<-ended //nolint:errcheck // the server was killed
 		return nil
 	case err := <-ended:
 		if !errors.Is(err, http.ErrServerClosed) {
@@ -61,10 +62,10 @@
 	return s.srv.Serve(s.lis)
 }
 
-// shutdown ends the server once its requests have ended.
+// shutdown stops the server after its requests have ended, or when ctx ends.
 func (s *server) shutdown(ctx context.Context) { _ = s.srv.Shutdown(ctx) }
 
-// kill breaks every connection.
+// kill closes the listener and all connections at once.
 func (s *server) kill() {
 	_ = s.srv.Close()
 	_ = s.lis.Close()
--- a/internal/intent/service.go
+++ b/internal/intent/service.go
@@ -99,7 +99,7 @@
 	return Status{Peer: s.members.Self(), Version: s.feed.Document().Version, InFlight: s.inFlight()}
 }
 
-// Statuses requests the status of every instance of the fleet. Instances that do not respond in time are returned as unseen.
+// Statuses requests the status of every instance of the fleet. It returns instances that do not respond in time as unseen.
 func (s *Service) Statuses(ctx context.Context) (seen []Status, unseen []mesh.Peer) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -75,7 +75,7 @@
 	Tables []Table `json:"tables"`
 }
 
-// dimension is a property of requests that a table counts by. Requests for which value returns "" are left out of the table.
+// dimension is a property of requests that a table counts by. The table leaves out requests for which value returns "".
 type dimension struct {
 	name       string
 	value      func(router.Line) string
--- a/internal/operator/formats_test.go
+++ b/internal/operator/formats_test.go
@@ -6,7 +6,7 @@
 	"github.com/ledgemount/ledgemount/internal/compat/formattest"
 )
 
-// What instances of other builds read, or have written.
+// TestFormats checks the encoding of messages that other builds read or have written.
 func TestFormats(t *testing.T) {
 	formattest.Check[BurnSeries](t, "burn")
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,4 +1,4 @@
-// Package operator serves operators: intents, plans, confirmations and reads.
+// Package operator implements the API for operators: intents, plans, confirmations, status and reports.
 package operator
 
 import (
@@ -24,22 +24,22 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// KindBurn asks an instance for its service-level series.
+// KindBurn requests the burn series of an instance.
 const KindBurn mesh.Kind = "operator.burn"
 
 const (
-	maxIntent   = 1 << 20
+	maxIntent   = 1 << 20 // bytes
 	burnTimeout = time.Second
 )
 
-// BurnSeries is an instance's answer to KindBurn.
+// BurnSeries is the response to KindBurn.
 type BurnSeries struct {
 	Series []burn.Series `cbor:"1,keyasint"`
 }
 
-// Deps are the services that the operators' side needs.
+// Deps holds the services that a Server needs.
 type Deps struct {
-	Keys     map[string]string // by operator: the SHA-256 of the key
+	Keys     map[string]string // SHA-256 of each operator's key, by operator
 	Feed     intent.Feed
 	Members  *member.View
 	Caller   mesh.Caller
@@ -54,10 +54,10 @@
 	Now      func() time.Time
 }
 
-// Server is the operators' side of an instance.
+// Server serves the API for operators of one instance.
 type Server struct{ d Deps }
 
-// New makes the operators' side and registers its message.
+// New returns a Server and registers its message handler.
 func New(d Deps) *Server {
 	mesh.Handle(d.Router, KindBurn, func(context.Context, mesh.Peer, mesh.Empty) (BurnSeries, error) {
 		return BurnSeries{Series: d.Recorder.Snapshot()}, nil
@@ -65,7 +65,7 @@
 	return &Server{d: d}
 }
 
-// Handler serves operators.
+// Handler returns the HTTP handler of the API.
 func (s *Server) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
@@ -87,6 +87,8 @@
 	return e
 }
 
+// handleError writes an error as a problem document. An error of echo itself, such as for an unknown path,
+// becomes CodeNotFound.
 func handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
@@ -98,6 +100,7 @@
 	gateway.WriteProblem(c.Response(), err, "")
 }
 
+// authenticate passes on only requests that have the key of an operator.
 func (s *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		secret, ok := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
@@ -123,16 +126,17 @@
 	}
 	var in intent.Intent
 	if err := declare.DecodeStrict(body, &in); err != nil {
-		return faulty(err)
+		return badRequest(err)
 	}
 	p, err := s.d.Planner.Plan(c.Request().Context(), &in)
 	if err != nil {
-		return faulty(err)
+		return badRequest(err)
 	}
 	return c.JSON(http.StatusOK, p)
 }
 
-func faulty(err error) error {
+// badRequest converts Faults to a verdict of CodeBadRequest for the first field. Other errors stay.
+func badRequest(err error) error {
 	var faults declare.Faults
 	if errors.As(err, &faults) && len(faults) > 0 {
 		return verdict.New(verdict.NotRun, verdict.CodeBadRequest, faults.Error(), verdict.WithField(faults[0].Path))
@@ -153,12 +157,12 @@
 	if err != nil {
 		return err
 	}
-	res.Zones = s.reports(c.Request().Context())
+	res.Zones = s.statusReports(c.Request().Context())
 	return c.JSON(http.StatusOK, res)
 }
 
-// reports reports what every instance has in force.
-func (s *Server) reports(ctx context.Context) []intent.Report {
+// statusReports returns the configuration version in force at each instance.
+func (s *Server) statusReports(ctx context.Context) []intent.Report {
 	seen, unseen := s.d.Planner.Statuses(ctx)
 	out := make([]intent.Report, 0, len(seen)+len(unseen))
 	for _, st := range seen {
@@ -178,18 +182,18 @@
 
 func (s *Server) config(c echo.Context) error { return c.JSON(http.StatusOK, s.d.Feed.Document()) }
 
-// EndpointView is one endpoint as the fleet sees it.
+// EndpointView is the status of one endpoint across the fleet.
 type EndpointView struct {
 	ID       string                `json:"id"`
 	Zone     string                `json:"zone"`
 	State    declare.EndpointState `json:"state"`
 	Version  string                `json:"version,omitempty"`
 	Fence    int64                 `json:"fence"`
-	InFlight map[string]int        `json:"in_flight"`        // by zone of the serving instances
-	Unseen   []string              `json:"unseen,omitempty"` // instances that could not be asked
+	InFlight map[string]int        `json:"in_flight"`        // requests in progress, by zone of the serving instances
+	Unseen   []string              `json:"unseen,omitempty"` // instances that did not respond
 	Behind   []string              `json:"behind,omitempty"` // instances with an older configuration
-	Drained  bool                  `json:"drained"`          // draining, everyone asked has it in force, and nothing in progress
-	Here     *targets.Status       `json:"here,omitempty"`
+	Drained  bool                  `json:"drained"`          // all instances have the drain in force, no requests in progress
+	Here     *targets.Status       `json:"here,omitempty"`   // status at the instance that serves this API
 }
 
 func (s *Server) endpoints(c echo.Context) error {
@@ -265,7 +269,7 @@
 	return c.JSON(http.StatusOK, r)
 }
 
-// BurnReport merges the series of the whole fleet.
+// BurnReport merges the burn series of all instances into a report.
 func (s *Server) BurnReport(ctx context.Context) (burn.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, burnTimeout)
 	defer cancel()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -76,7 +76,7 @@
 	Horizon time.Duration `json:"horizon" validate:"min=1s,max=24h"` // how long an outage of the store the escrow should last
 	Idle    time.Duration `json:"idle" validate:"min=1s,max=24h"`    // unused escrow is returned after this time
 	Dead    time.Duration `json:"dead" validate:"min=1s,max=10m"`    // a holder that is missing this long is reclaimed
-	Orphan  time.Duration `json:"orphan" validate:"min=6s,max=10m"`  // a request of a missing instance is settled after this time
+	Orphan  time.Duration `json:"orphan" validate:"min=6s,max=10m"`  // requests of missing instances are settled after this time
 }
 
 // Log configures logging.
