--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -176,12 +176,12 @@
 	set.Mesh.CA, set.Mesh.Cert, set.Mesh.Key = string(f.ca.PEM()), string(cert), string(key)
 	set.Platform.StoreURL, set.Platform.InstancesURL = f.kvSrv.URL(), f.listSrv.URL()
 	set.Platform.StoreTimeout = storeTimeout
-	set.Budget.Flush, set.Budget.Beat = flushEvery, journalBeat
-	set.Budget.Dead, set.Budget.Orphan = deadAfter, orphanAfter
+	set.Budget.Flush, set.Budget.RefreshInterval = flushEvery, journalBeat
+	set.Budget.DeadTimeout, set.Budget.OrphanTimeout = deadAfter, orphanAfter
 
 	b := newBrake(f.peerAt)
 	in, err := instance.New(&set,
-		instance.WithHook(b.hook), instance.WithGate(b.to, b.from), instance.WithLogger(f.log.With().Str("instance", id).Logger()),
+		instance.WithHook(b.hook), instance.WithMeshFilters(b.to, b.from), instance.WithLogger(f.log.With().Str("instance", id).Logger()),
 		instance.WithPlatformTransport(&braked{b: b, platform: true, next: &http.Transport{MaxIdleConnsPerHost: 16}}),
 		instance.WithEndpointTransport(&braked{b: b, next: endpoint.NewTransport()}),
 		instance.WithIntervals(beatEvery, listEvery, pollEvery), instance.WithBilled(f.billed),
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -92,8 +92,8 @@
 // WithBilled sets the function that is called for each charge that has become durable.
 func WithBilled(b budget.Billed) Option { return func(in *Instance) { in.opts.billed = b } }
 
-// WithGate sets filters that block connections to and from other instances.
-func WithGate(to func(addr string) bool, from mesh.Gate) Option {
+// WithMeshFilters sets filters that block connections to and from other instances.
+func WithMeshFilters(to func(addr string) bool, from mesh.Gate) Option {
 	return func(in *Instance) { in.opts.meshTo, in.opts.meshFrom = to, from }
 }
 
@@ -242,8 +242,8 @@
 func (in *Instance) buildBudget() error {
 	times := budget.DefaultTimes()
 	b := in.set.Budget
-	times.Flush, times.Beat, times.Horizon = b.Flush, b.Beat, b.Horizon
-	times.Idle, times.Dead, times.Orphan = b.Idle, b.Dead, b.Orphan
+	times.Flush, times.Beat, times.Horizon = b.Flush, b.RefreshInterval, b.Horizon
+	times.Idle, times.Dead, times.Orphan = b.Idle, b.DeadTimeout, b.OrphanTimeout
 	in.opts.adjustTimes(&times)
 	opts := []budget.HomeOption{
 		budget.WithTimes(times), budget.WithHook(in.hook), budget.WithLogger(in.log), budget.WithBilled(in.opts.billed),
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -71,12 +71,12 @@
 
 // Budget configures the intervals of the escrow.
 type Budget struct {
-	Flush   time.Duration `json:"flush" validate:"min=10ms,max=1m"`  // longest time until a charge is written to the store
-	Beat    time.Duration `json:"beat" validate:"min=100ms,max=1m"`  // longest time between two writes of a holder's journal
-	Horizon time.Duration `json:"horizon" validate:"min=1s,max=24h"` // how long an outage of the store the escrow should last
-	Idle    time.Duration `json:"idle" validate:"min=1s,max=24h"`    // unused escrow is returned after this time
-	Dead    time.Duration `json:"dead" validate:"min=1s,max=10m"`    // a holder that is missing this long is reclaimed
-	Orphan  time.Duration `json:"orphan" validate:"min=6s,max=10m"`  // requests of missing instances are settled after this time
+	Flush           time.Duration `json:"flush" validate:"min=10ms,max=1m"`  // longest time until a charge is written to the store
+	RefreshInterval time.Duration `json:"beat" validate:"min=100ms,max=1m"`  // longest time between two writes of a holder's journal
+	Horizon         time.Duration `json:"horizon" validate:"min=1s,max=24h"` // how long an outage of the store the escrow should last
+	Idle            time.Duration `json:"idle" validate:"min=1s,max=24h"`    // unused escrow is returned after this time
+	DeadTimeout     time.Duration `json:"dead" validate:"min=1s,max=10m"`    // a holder that is missing this long is reclaimed
+	OrphanTimeout   time.Duration `json:"orphan" validate:"min=6s,max=10m"`  // requests of missing instances are settled after this time
 }
 
 // Log configures logging.
@@ -97,8 +97,8 @@
 		Mesh:      Mesh{Listen: "127.0.0.1:7070"},
 		Platform:  Platform{StoreTimeout: 2 * time.Second, WeightLoads: 1},
 		Budget: Budget{
-			Flush: time.Second, Beat: 5 * time.Second, Horizon: 10 * time.Minute, Idle: time.Hour,
-			Dead: 12 * time.Second, Orphan: 12 * time.Second,
+			Flush: time.Second, RefreshInterval: 5 * time.Second, Horizon: 10 * time.Minute, Idle: time.Hour,
+			DeadTimeout: 12 * time.Second, OrphanTimeout: 12 * time.Second,
 		},
 		Log:  Log{Level: "info"},
 		Stop: Stop{Within: time.Minute},
