--- a/internal/budget/client.go
+++ b/internal/budget/client.go
@@ -144,16 +144,16 @@
 func Homes(budget string, zone []mesh.Peer, self string) []mesh.Peer {
 	out := pageHomes(PageOf(budget), zone)
 	others := out[:0]
-	own := mesh.Peer{}
+	ownPeer := mesh.Peer{}
 	for _, p := range out {
 		if p.ID == self {
-			own = p
+			ownPeer = p
 			continue
 		}
 		others = append(others, p)
 	}
-	if own.ID != "" {
-		others = append(others, own)
+	if ownPeer.ID != "" {
+		others = append(others, ownPeer)
 	}
 	return others
 }
--- a/internal/budget/client_sync.go
+++ b/internal/budget/client_sync.go
@@ -82,8 +82,8 @@
 }
 
 // holdersToSync returns the holders to ask about a hold. Two instances may try to take over the same holder, and one
-// of them succeeds; while it is unconfirmed which one, both are asked. Once a settlement is delivered, its holder is
-// asked. The caller holds the client's lock.
+// of them succeeds; while it is unconfirmed which one, all candidates are asked. Once a settlement is delivered, the
+// hold's holder is asked. The caller holds the client's lock.
 func (h *Hold) holdersToSync() []holderAt {
 	switch {
 	case h.unconfirmed:
@@ -163,7 +163,7 @@
 			c.retryLater(at)
 			continue
 		}
-		c.forgetHolder(at)
+		c.dropHolder(at)
 	}
 }
 
@@ -193,7 +193,7 @@
 	}
 }
 
-func (c *Client) forgetHolder(at holderAt) {
+func (c *Client) dropHolder(at holderAt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for h := range c.holds {
--- a/internal/budget/inspect.go
+++ b/internal/budget/inspect.go
@@ -50,7 +50,7 @@
 // Inspect reads a budget, including charges that are so far only in its holders' journals.
 func Inspect(ctx context.Context, store external.Store, budget string) (*View, error) {
 	ctx = external.WithDuty(ctx, external.DutyAudit)
-	js, err := Journals(ctx, store)
+	journals, err := Journals(ctx, store)
 	if err != nil {
 		return nil, err
 	}
@@ -66,18 +66,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return ViewOf(budget, row, js), nil
+	return ViewOf(budget, row, journals), nil
 }
 
 // ViewOf builds a view from a row and the journals.
-func ViewOf(budget string, row *Row, js map[string]*ledger.Journal) *View {
+func ViewOf(budget string, row *Row, journals map[string]*ledger.Journal) *View {
 	v := &View{
 		Budget: budget, Customer: row.Customer, Deposits: row.Deposits, Deposited: row.Deposited(), Spent: row.Closed, Free: row.Free(),
 	}
 	for _, holder := range row.Holders() {
 		g := row.Grants[holder]
 		hv := HolderView{Holder: holder, Granted: g.Granted, Spent: g.Settled}
-		if j, ok := js[holder]; ok {
+		if j, ok := journals[holder]; ok {
 			hv.Spent = max(hv.Spent, j.Settled[budget])
 			hv.Fenced = j.Fenced != ""
 		}
@@ -100,12 +100,12 @@
 // FencedHolders lists the fenced holders whose escrow has not been released.
 func FencedHolders(ctx context.Context, store external.Store) ([]FencedHolderView, error) {
 	ctx = external.WithDuty(ctx, external.DutyAudit)
-	js, err := Journals(ctx, store)
+	journals, err := Journals(ctx, store)
 	if err != nil {
 		return nil, err
 	}
 	out := []FencedHolderView{}
-	for _, j := range js {
+	for _, j := range journals {
 		if j.Fenced == "" {
 			continue
 		}
--- a/internal/budget/property_test.go
+++ b/internal/budget/property_test.go
@@ -120,11 +120,11 @@
 	mem.stored = mem.settled
 	j.Settled["b"] = mem.settled
 	if rapid.Bool().Draw(t, "told") {
-		m.forgetStored(j)
+		m.dropStoredReports(j)
 	}
 }
 
-func (m *model) forgetStored(j *ledger.Journal) {
+func (m *model) dropStoredReports(j *ledger.Journal) {
 	rest := m.reports[:0]
 	for _, r := range m.reports {
 		if r.Open || !j.Charged(r.Request) {
--- a/internal/budget/reclaim_move.go
+++ b/internal/budget/reclaim_move.go
@@ -12,11 +12,11 @@
 
 // reportTotals sums up the reports on one row.
 type reportTotals struct {
-	settled      int64    // charges that are not in the journal
-	newCharges   []Report // the reports counted in settled
-	knownCharges []Report // charges that are in the journal
-	openTokens   int64
-	openReports  []Report
+	settled         int64    // charges that are not in the journal
+	newCharges      []Report // the reports counted in settled
+	recordedCharges []Report // charges that are in the journal
+	openTokens      int64
+	openReports     []Report
 }
 
 // totalReports sums up the reports that belong to a dead holder's grant on a row. A report belongs to the oldest
@@ -32,7 +32,7 @@
 			s.openTokens += r.Tokens
 			s.openReports = append(s.openReports, r)
 		case j.Charged(r.Request):
-			s.knownCharges = append(s.knownCharges, r)
+			s.recordedCharges = append(s.recordedCharges, r)
 		default:
 			s.settled += r.Tokens
 			s.newCharges = append(s.newCharges, r)
@@ -285,7 +285,7 @@
 				request: r.Request, customer: r.Customer, owner: r.Owner, place: r.Place, tokens: r.Tokens, keyed: r.Keyed, since: now,
 			})
 		}
-		for _, r := range append(m.totals.knownCharges, m.totals.newCharges...) {
+		for _, r := range append(m.totals.recordedCharges, m.totals.newCharges...) {
 			h.inheritedSettled[r.Request] = r.Owner
 			if r.Keyed {
 				a.done[r.Request] = doneMark{tokens: r.Tokens, place: r.Place, at: now}
--- a/internal/budget/sizing.go
+++ b/internal/budget/sizing.go
@@ -56,12 +56,12 @@
 		if d.Available > 0 || d.Rate > 0 {
 			return 0
 		}
-		left := max(n-d.Holders+1, 1)
-		part := d.Free / int64(left)
-		if part < d.Need {
+		remainingHolders := max(n-d.Holders+1, 1)
+		share := d.Free / int64(remainingHolders)
+		if share < d.Need {
 			return 0
 		}
-		return part
+		return share
 	}
 }
 
--- a/internal/budget/tick.go
+++ b/internal/budget/tick.go
@@ -182,14 +182,14 @@
 
 func (h *Home) closeGrants(ctx context.Context) error {
 	h.mu.Lock()
-	var todo []*account
+	var granted []*account
 	for _, a := range h.accounts {
 		if a.granted > 0 {
-			todo = append(todo, a)
+			granted = append(granted, a)
 		}
 	}
 	h.mu.Unlock()
-	for _, a := range todo {
+	for _, a := range granted {
 		if err := h.closeFinalGrant(ctx, a); err != nil {
 			return eris.Wrapf(err, "closing the grant on budget %s", a.budget)
 		}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -15,7 +15,7 @@
 // Key returns the store key of a holder's journal.
 func Key(zone, holder string) string { return Prefix + zone + "/" + holder }
 
-// Charge is the charge for one request. A request is charged once.
+// Charge is the bill for one request. A request is charged once.
 type Charge struct {
 	Request string `cbor:"1,keyasint" json:"request"`
 	Budget  string `cbor:"2,keyasint" json:"budget"`
--- a/internal/once/keys.go
+++ b/internal/once/keys.go
@@ -94,7 +94,7 @@
 	Fleet() []mesh.Peer
 }
 
-// ZonesFunc lists the declared zones in which a customer's keys may live.
+// ZonesFunc lists the declared zones in which the records of a customer's keys may be stored.
 type ZonesFunc func(customer string) []string
 
 type storedRecord struct {
