--- a/internal/budget/home_test.go
+++ b/internal/budget/home_test.go
@@ -21,7 +21,7 @@
 func (p pairView) Fleet() []mesh.Peer            { return p.Zone() }
 func (p pairView) Find(string) (mesh.Peer, bool) { return mesh.Peer{}, false }
 func (p pairView) Alive(string) bool             { return true }
-func (p pairView) Gone(string) bool              { return false }
+func (p pairView) Lost(string) bool              { return false }
 
 type noopStopper struct{}
 
--- a/internal/budget/orphan.go
+++ b/internal/budget/orphan.go
@@ -25,7 +25,7 @@
 // endpoint does not respond, or cannot guarantee that, the tokens stay reserved.
 func (h *Home) resolveOrphans(ctx context.Context) {
 	for _, o := range h.dueOrphans() {
-		if !h.members.Gone(o.owner) {
+		if !h.members.Lost(o.owner) {
 			continue
 		}
 		c, cancel := context.WithTimeout(external.WithDuty(ctx, external.DutyOther), stopTimeout)
--- a/internal/escrow/account.go
+++ b/internal/escrow/account.go
@@ -5,52 +5,54 @@
 	"time"
 )
 
-// issued is a row of this holder that is, or may be, in the store.
-type issued struct {
-	row   Row
-	clock time.Duration // the report's reading of the clock
-	rest  int64         // of the whole account: unspent by anyone, with this row
-	free  int64         // of the whole account: granted to nobody, with this row
-	// unproven is Account.Unproven, with this row
+// issuedRow is a row of this holder that is, or may be, in the store.
+type issuedRow struct {
+	row       Row
+	clock     time.Duration // reading of the steady clock in the report
+	remaining int64         // unspent part of the entire account, with this row
+	ungranted int64         // part of the entire account, granted to nobody, with this row
+	// unproven is Account.Unproven with this row.
 	unproven int64
 }
 
-func (i issued) ceiling(now time.Duration) int64 { return i.row.Ceiling(now - i.clock) }
+func (i issuedRow) ceiling(now time.Duration) int64 { return i.row.Ceiling(now - i.clock) }
 
-// account is what the holder knows of one customer.
+// account is the holder's state of one customer's account.
 type account struct {
-	spent   int64 // settled requests, from the holder's start
-	open    int64 // reservations
-	urgent  int64 // unspent tokens that the largest waiting request needs
-	waiting int64 // those that all requests need which wait for a draw
-	meter   meter
-	all     meter            // use by all holders, as reported
-	reports map[string]int64 // spent, by holder, when last seen
-	others  int64            // mean of what other holders want
-	dry     time.Time        // the last draw or loan that brought too little
-	dryFor  int64            // tokens that were asked for then
-	row     issued           // confirmed
-	unsure  []issued         // written with an unknown outcome, older than row or not
-	prepaid int64            // as last seen; Unlimited: no limit
-	rest    int64            // of the whole account when last seen: unspent by anyone
-	free    int64            // of the whole account when last seen: granted to nobody
-	// unproven is Account.Unproven when last seen
+	spent           int64 // by settled requests, since the holder's start
+	reserved        int64 // by open reservations
+	urgent          int64 // unspent tokens that the largest waiting request needs
+	waiting         int64 // unspent tokens that all requests waiting for a refresh need
+	meter           meter
+	fleetMeter      meter            // use by all holders, as reported
+	reportedSpent   map[string]int64 // by holder, as last read
+	othersDemand    int64            // mean demand of the other holders
+	exhaustedAt     time.Time        // when a refresh or loan last brought too little
+	exhaustedTokens int64            // tokens that were requested then
+	confirmed       issuedRow        // last row that the store is known to have
+	unconfirmed     []issuedRow      // written with unknown outcome, may be older than confirmed
+	prepaid         int64            // as last configured; Unlimited: no limit
+	remaining       int64            // unspent part of the entire account, as last read
+	ungranted       int64            // part of the entire account, granted to nobody, as last read
+	// unproven is Account.Unproven, as last read.
 	unproven int64
 
-	led        bool    // by the zone's leader:
-	target     int64   // what this holder's unspent part should be
-	leaderRate float64 // tokens a second that all holders use
-	zoneRate   float64 // tokens a second that the zone is asked for
+	// led is set once the zone's leader has returned a receipt, which sets the fields below.
+	led        bool
+	target     int64   // what this holder should have unspent
+	leaderRate float64 // tokens per second that all holders use
+	zoneRate   float64 // tokens per second requested in the zone
 }
 
-// used is what is spent or reserved.
-func (a *account) used() int64 { return a.spent + a.open }
+// used returns the tokens that are spent or reserved.
+func (a *account) used() int64 { return a.spent + a.reserved }
 
-// unspent is what nobody has spent of the whole account, as far as it is known here.
-func (a *account) unspent() int64 { return a.rest - max(0, a.used()-a.row.row.Spent) }
+// unspent returns the unspent part of the entire account, as far as this holder has observed it.
+func (a *account) unspent() int64 { return a.remaining - max(0, a.used()-a.confirmed.row.Spent) }
 
-// exhausted explains a refusal at a budget's end. Where instances were lost it reports how much of the budget nobody is known to have used.
-func (a *account) exhausted() string {
+// exhaustedDetail explains the rejection of a request because the budget is exhausted. If instances were lost, it
+// includes the tokens that count as spent but are not reported.
+func (a *account) exhaustedDetail() string {
 	const text = "what remains of the budget cannot hold the request"
 	if a.unproven == 0 {
 		return text
@@ -58,38 +60,38 @@
 	return fmt.Sprintf("%s; %d tokens of it count as spent by instances that were lost", text, a.unproven)
 }
 
-// headroom is what may still be reserved at a moment: every row that may be in force is kept to.
+// headroom returns the tokens that can be reserved now without exceeding any row that may be in force.
 func (a *account) headroom(now time.Duration) int64 {
-	limit := a.row.ceiling(now)
-	for _, u := range a.unsure {
+	limit := a.confirmed.ceiling(now)
+	for _, u := range a.unconfirmed {
 		limit = min(limit, u.ceiling(now))
 	}
 	return limit - a.used()
 }
 
-// confirm takes a row that the store has now; older ones can no longer come into force.
-func (a *account) confirm(i issued) {
-	a.row = i
-	a.unsure = a.unsure[:0]
+// confirm sets the row that the store has now. Older rows can no longer come into force.
+func (a *account) confirm(i issuedRow) {
+	a.confirmed = i
+	a.unconfirmed = a.unconfirmed[:0]
 }
 
-// observe takes what all holders report of the account.
+// observe updates the account with what all holders have reported, and returns the use since the previous reports.
 func (a *account) observe(acc *Account, self string) (used int64) {
 	reports := make(map[string]int64, len(acc.Rows))
-	a.others = 0
+	a.othersDemand = 0
 	for id, r := range acc.Rows {
 		reports[id] = r.Spent
-		if before, ok := a.reports[id]; ok {
-			used += max(0, r.Spent-before)
+		if previous, ok := a.reportedSpent[id]; ok {
+			used += max(0, r.Spent-previous)
 		}
 		if id != self {
-			a.others += r.Demand
+			a.othersDemand += r.Demand
 		}
 	}
 	if n := int64(len(acc.Rows)) - 1; n > 1 {
-		a.others /= n
+		a.othersDemand /= n
 	}
-	a.reports = reports
-	a.all.pending += float64(used)
+	a.reportedSpent = reports
+	a.fleetMeter.pending += float64(used)
 	return used
 }
--- a/internal/escrow/leave.go
+++ b/internal/escrow/leave.go
@@ -10,9 +10,9 @@
 	"github.com/ledgemount/ledgemount/internal/external"
 )
 
-// Leave gives back all that is unspent and takes the holder out of every page. It tries until ctx ends.
+// Leave returns everything unspent and removes the holder from every page. It retries until ctx ends.
 func (h *Holder) Leave(ctx context.Context) error {
-	ctx = external.WithLast(ctx)
+	ctx = external.WithFinalCall(ctx)
 	for _, p := range h.pages {
 		for {
 			err := h.leaveOnce(ctx, p)
@@ -20,7 +20,7 @@
 				break
 			}
 			if ctx.Err() != nil {
-				return eris.Wrapf(err, "giving back the escrow on %s", p.key)
+				return eris.Wrapf(err, "returning the grants on %s", p.key)
 			}
 			if !errors.Is(err, external.ErrConflict) {
 				time.Sleep(h.times.MinGap)
@@ -37,32 +37,32 @@
 	h.mu.Lock()
 	page, err := DecodePage(p.raw)
 	if err == nil {
-		page, _, err = p.basis(page)
+		page, _, err = p.writeBase(page)
 	}
 	if err != nil {
 		h.mu.Unlock()
 		return err
 	}
-	restates := h.restates(p)
+	restates := h.mustRestate(p)
 	if _, held := page.Holders[h.id]; !held && !restates {
 		h.mu.Unlock()
 		return nil
 	}
-	page.enter(h.epochs.Current(), h.wall(), p.joined)
+	page.enterEpoch(h.epochs.Current(), h.wall(), p.joined)
 	spent := make(map[string]int64, len(h.accounts))
 	for name, a := range h.accounts {
 		if h.pageOf(name) == p {
 			spent[name] = a.used()
-			a.unsure = append(a.unsure, issued{})
+			a.unconfirmed = append(a.unconfirmed, issuedRow{})
 		}
 	}
 	page.Leave(h.id, spent, restates)
 	raw, err := page.Encode()
-	p.unsure = p.revision
-	w := write{to: p, raw: raw, page: page, base: p.revision}
+	p.unconfirmedBase = p.revision
+	w := pageWrite{state: p, raw: raw, page: page, base: p.revision}
 	h.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	return h.write(ctx, []write{w})
+	return h.write(ctx, []pageWrite{w})
 }
--- a/internal/escrow/loss_test.go
+++ b/internal/escrow/loss_test.go
@@ -12,65 +12,68 @@
 	"github.com/ledgemount/ledgemount/internal/external/memkv"
 )
 
-// All instances of a fleet had lost power, twice on one day, both times while the store was away, and from twelve seconds after the
-// second return on no stream was served, only requests without a budget. Each holder was settled at all that it had been granted:
-// "age_ms":12536,"spent":1059448,"granted":4262987,"settled":4262987. The first loss took 10.6 of 19.8 million tokens that way, of which
-// requests had used 4.9; the second one 7.0, of which they had used 6.4; then 402 answered 295 of 349 streams, though a third of what was
-// paid had been used by nobody. Nothing limited what all holders together might have spent unseen: at the second loss it was 97% of
-// what was left.
+// TestServiceResumesAfterPowerLosses guards against an exhausted budget after power losses. All instances of a fleet
+// lost power twice on one day, both times while the store was unreachable. From twelve seconds after the second return
+// no stream was served, only requests without a budget. For each holder the entire grant was settled as spent, for
+// example "age_ms":12536,"spent":1059448,"granted":4262987,"settled":4262987.
+//
+// The first loss took 10.6 of 19.8 million tokens in this way, of which requests had used 4.9; the second took 7.0, of
+// which they had used 6.4. Then 295 of 349 streams were rejected with status 402, although a third of the prepaid
+// tokens was unused. Nothing limited what all holders together could have spent unreported: at the second loss it was
+// 97% of the rest.
 
 const (
-	lossHolders   = 6
-	lossCustomers = 4
-	lossStep      = 100 * time.Millisecond
-	lossPerStep   = 0.1 // requests of a customer at a holder
-	lossSmall     = 1_000
-	lossLarge     = 12_000
-	lossLargePart = 0.3
-	lossMean      = lossSmall + lossLargePart*(lossLarge-lossSmall) // tokens of a request
+	lossHolders    = 6
+	lossCustomers  = 4
+	lossStep       = 100 * time.Millisecond
+	lossPerStep    = 0.1 // requests of a customer at a holder
+	lossSmall      = 1_000
+	lossLarge      = 12_000
+	lossLargeShare = 0.3
+	lossMean       = lossSmall + lossLargeShare*(lossLarge-lossSmall) // mean tokens of a request
 )
 
-// lossFleet is a small fleet in virtual time, whose holders are asked for requests of uneven sizes and report each second.
+// lossFleet is a small fleet in virtual time. Its holders receive requests of varying sizes and report each second.
 type lossFleet struct {
-	store   *memkv.Store
-	elapsed time.Duration
-	gates   []*gate
-	boots   []int
-	holders []*Holder
-	random  *rand.Rand
-	lots    *rand.Rand
-	prepaid int64 // each customer's, in tokens
-	reserve func(h *Holder, customer string, tokens int64) *Reservation
-	spent   map[string]int64
-	served  int
-	refused int
+	store           *memkv.Store
+	elapsed         time.Duration
+	stores          []*nodeKV
+	boots           []int
+	holders         []*Holder
+	random          *rand.Rand
+	admissionRandom *rand.Rand
+	prepaid         int64 // of each customer, in tokens
+	reserve         func(h *Holder, customer string, tokens int64) *Reservation
+	spent           map[string]int64
+	served          int
+	refused         int
 }
 
-func newLossFleet(seed uint64) *lossFleet { return newLossFleetOf(seed, lossPrepaid, tryOnly) }
+func newLossFleet(seed uint64) *lossFleet { return newLossFleetOf(seed, lossPrepaid, reserveFromGrant) }
 
 func newLossFleetOf(seed uint64, prepaid int64, reserve func(*Holder, string, int64) *Reservation) *lossFleet {
 	f := &lossFleet{
-		store: memkv.New(), gates: make([]*gate, lossHolders), boots: make([]int, lossHolders), holders: make([]*Holder, lossHolders),
-		random: rand.New(rand.NewPCG(seed, 0)), lots: rand.New(rand.NewPCG(seed, 1)), prepaid: prepaid, reserve: reserve, spent: make(map[string]int64),
+		store: memkv.New(), stores: make([]*nodeKV, lossHolders), boots: make([]int, lossHolders), holders: make([]*Holder, lossHolders),
+		random: rand.New(rand.NewPCG(seed, 0)), admissionRandom: rand.New(rand.NewPCG(seed, 1)), prepaid: prepaid, reserve: reserve, spent: make(map[string]int64),
 	}
 	f.start()
 	return f
 }
 
-// tryOnly reserves of what a holder has, whatever is decided about a request before.
-func tryOnly(h *Holder, customer string, tokens int64) *Reservation {
-	r, _, _ := h.try(customer, tokens, 0, false)
+// reserveFromGrant reserves from what a holder has, without the checks of Reserve.
+func reserveFromGrant(h *Holder, customer string, tokens int64) *Reservation {
+	r, _, _ := h.tryReserve(customer, tokens, 0, false)
 	return r
 }
 
-// reserveAtOnce reserves as requests do, but waits for no draw.
-func reserveAtOnce(h *Holder, customer string, tokens int64) *Reservation {
+// reserveWithoutWaiting reserves like a request, but does not wait for a refresh.
+func reserveWithoutWaiting(h *Holder, customer string, tokens int64) *Reservation {
 	h.times.ReserveWait = 0
 	r, _ := h.Reserve(context.Background(), customer, tokens, 0)
 	return r
 }
 
-// lossClock is a machine's steady clock: it begins anew with each loss of power.
+// lossClock is a machine's steady clock, which restarts with each power loss.
 type lossClock struct {
 	fleet *lossFleet
 	boot  string
@@ -80,15 +83,15 @@
 func (c lossClock) Now() time.Duration { return c.fleet.elapsed - c.since }
 func (c lossClock) Boot() string       { return c.boot }
 
-// start begins all processes anew, on machines that have just got their power back and know nothing.
+// start starts all processes again, on machines without any state, as after a power loss.
 func (f *lossFleet) start() {
 	now := func() time.Time { return time.Unix(1_000_000, 0).Add(f.elapsed) }
 	for i := range f.holders {
 		f.boots[i]++
-		f.gates[i] = &gate{KV: f.store}
+		f.stores[i] = &nodeKV{KV: f.store}
 		node := fmt.Sprintf("node-%d", i)
 		id := fmt.Sprintf("%s/%d", node, f.boots[i])
-		f.holders[i] = New(f.gates[i], "loss/", 1, node, id, WithNow(now), WithWall(now), WithRandom(f.lots.Float64), WithClock(lossClock{fleet: f, boot: id, since: f.elapsed}))
+		f.holders[i] = New(f.stores[i], "loss/", 1, node, id, WithNow(now), WithWall(now), WithRandom(f.admissionRandom.Float64), WithClock(lossClock{fleet: f, boot: id, since: f.elapsed}))
 		list := make([]Prepaid, lossCustomers)
 		for c := range list {
 			list[c] = Prepaid{Customer: lossCustomer(c), Tokens: f.prepaid}
@@ -99,34 +102,34 @@
 
 func lossCustomer(c int) string { return fmt.Sprintf("customer-%d", c) }
 
-// play lets time pass up to a moment, with the store in reach or not.
-func (f *lossFleet) play(until time.Duration, cut bool) {
-	for _, g := range f.gates {
-		g.cut = cut
+// run advances time to a moment, with the store reachable or not.
+func (f *lossFleet) run(until time.Duration, unreachable bool) {
+	for _, g := range f.stores {
+		g.unreachable = unreachable
 	}
 	f.served, f.refused = 0, 0
 	for ; f.elapsed < until; f.elapsed += lossStep {
 		for _, h := range f.holders {
-			if !cut {
-				h.round(context.Background(), h.startBeat())
+			if !unreachable {
+				h.round(context.Background(), h.startRound())
 			}
 			for c := range lossCustomers {
 				if f.random.Float64() < lossPerStep {
-					f.ask(h, lossCustomer(c), cut)
+					f.request(h, lossCustomer(c), unreachable)
 				}
 			}
 		}
 	}
 }
 
-// ask makes one request of a holder, and another try after the draw that the first one asked for.
-func (f *lossFleet) ask(h *Holder, customer string, cut bool) {
+// request makes one request at a holder, and retries it after the refresh that the first attempt caused.
+func (f *lossFleet) request(h *Holder, customer string, unreachable bool) {
 	tokens := int64(lossSmall)
-	if f.random.Float64() < lossLargePart {
+	if f.random.Float64() < lossLargeShare {
 		tokens = lossLarge
 	}
 	r := f.reserve(h, customer, tokens)
-	if r == nil && !cut && h.worthDrawing(customer, tokens) {
+	if r == nil && !unreachable && h.refreshMayHelp(customer, tokens) {
 		h.round(context.Background(), false)
 		r = f.reserve(h, customer, tokens)
 	}
@@ -141,39 +144,39 @@
 }
 
 const (
-	lossBudget = 72 * time.Second // of mean use by all holders are paid
-	// lossPrepaid is each customer's figure, in tokens.
+	lossBudget = 72 * time.Second // the prepaid amounts cover the mean use by all holders for this long
+	// lossPrepaid is each customer's prepaid amount, in tokens.
 	lossPrepaid = int64(lossHolders * lossPerStep * lossMean * float64(lossBudget/lossStep))
 )
 
-func TestServiceComesBack(t *testing.T) {
-	Convey("After all holders have lost power twice with the store away, a quarter of the requests or more is served", t, func() {
+func TestServiceResumesAfterPowerLosses(t *testing.T) {
+	Convey("After all holders have lost power twice with the store unreachable, at least a quarter of the requests is served", t, func() {
 		for seed := range uint64(8) {
 			f := newLossFleet(seed)
-			f.play(8*time.Second, false)
-			f.play(18*time.Second, true)
+			f.run(8*time.Second, false)
+			f.run(18*time.Second, true)
 			f.elapsed += time.Second
 			f.start()
-			f.play(34*time.Second, false)
-			f.play(42500*time.Millisecond, true)
+			f.run(34*time.Second, false)
+			f.run(42500*time.Millisecond, true)
 			f.elapsed += 2500 * time.Millisecond
 			f.start()
-			f.play(57*time.Second, false)
-			f.play(61*time.Second, false)
+			f.run(57*time.Second, false)
+			f.run(61*time.Second, false)
 			var used int64
 			for _, n := range f.spent {
 				used += n
 				So(n, ShouldBeLessThanOrEqualTo, lossPrepaid)
 			}
-			t.Logf("seed %d: %d served, %d refused; %.2f used of what was paid", seed, f.served, f.refused, float64(used)/float64(lossCustomers*lossPrepaid))
+			t.Logf("seed %d: %d served, %d refused; %.2f of the prepaid tokens used", seed, f.served, f.refused, float64(used)/float64(lossCustomers*lossPrepaid))
 			So(4*f.served, ShouldBeGreaterThanOrEqualTo, f.served+f.refused)
 		}
 	})
 }
 
-func TestMostOut(t *testing.T) {
+func TestOutstandingGrantsAreLimited(t *testing.T) {
 	const north, prepaid = "north", 1_000_000
-	Convey("However much holders want, a part of the unspent rest stays ungranted once each has reported its use", t, func() {
+	Convey("Whatever the demand, a part of the unspent rest stays ungranted once each holder has reported its use", t, func() {
 		p, err := DecodePage(nil)
 		So(err, ShouldBeNil)
 		a := p.account(north)
@@ -182,11 +185,11 @@
 				a.Grant(fmt.Sprintf("node-%d", i), Need{Spent: spent, Demand: 400_000}, prepaid)
 			}
 		}
-		out := a.Committed() - a.Spent()
-		So(out, ShouldBeGreaterThan, 0)
-		So(float64(out), ShouldBeLessThanOrEqualTo, mostOut*float64(prepaid-a.Spent()))
+		outstanding := a.Committed() - a.Spent()
+		So(outstanding, ShouldBeGreaterThan, 0)
+		So(float64(outstanding), ShouldBeLessThanOrEqualTo, maxOutstanding*float64(prepaid-a.Spent()))
 
-		Convey("and goes to requests that wait", func() {
+		Convey("and is granted to waiting requests", func() {
 			row := a.Grant("node-0", Need{Spent: 60_000, Demand: 400_000, Urgent: 300_000}, prepaid)
 			So(row.Granted-row.Spent, ShouldEqual, 300_000)
 			So(a.Committed(), ShouldBeLessThanOrEqualTo, prepaid)
@@ -194,10 +197,10 @@
 	})
 }
 
-func TestStoppingHoldsItsMean(t *testing.T) {
-	Convey("A holder that is about to stop asks for its mean use and nothing beside: its callers come to others", t, func() {
+func TestStoppingHolderDemandsMeanUse(t *testing.T) {
+	Convey("A stopping holder requests its mean use and nothing more, since its callers move to others", t, func() {
 		const each, perSecond = 5_000, 4
-		h, a := askedHolder(RoleStandalone, each, perSecond)
+		h, a := loadedHolder(RoleStandalone, each, perSecond)
 		running := h.need("north", a, 3).Demand
 		h.ReduceDemand()
 		stopping := float64(h.need("north", a, 3).Demand)
@@ -207,43 +210,46 @@
 	})
 }
 
-// All instances had lost power with the store away, and again 16 s later, and from twelve seconds after the second return on 108 of 480
-// requests were served, nearly all of them without a budget. What was left of the budgets then had been used up in the first eight seconds
-// by whoever came first: "status":402,"detail":"what remains of the budget cannot hold the request; 3120006 tokens of it count as spent by
-// instances that were lost", 114 a second at 56 s, beside one stream served, while 118 a second were served at 29 s. A quarter of what
-// was paid had been used by nobody. Callers who came later had no chance at what was left, and the operator no time to pay in more.
-
-func TestServiceStaysBack(t *testing.T) {
-	Convey("Where a loss has taken a large part of budgets and they end, some of those that come later are served, too", t, func() {
-		servedLater(t, 50*time.Second)
+// TestServiceContinuesAfterPowerLosses guards against rejecting nearly all later requests after power losses. All
+// instances lost power with the store unreachable, and again 16 s later. From twelve seconds after the second return
+// 108 of 480 requests were served, nearly all of them without a budget. In the first eight seconds the rest of the
+// budgets had been used in the order in which requests came. Later ones were rejected with "status":402,"detail":"what
+// remains of the budget cannot hold the request; 3120006 tokens of it count as spent by instances that were lost": 114
+// per second at 56 s, while one stream was served. At 29 s, 118 per second had been served. A quarter of the prepaid
+// tokens was unused. Later callers got nothing of the rest, and the operator had no time to pay in more.
+
+func TestServiceContinuesAfterPowerLosses(t *testing.T) {
+	Convey("Where a loss has taken a large part of budgets and they run out, some of the later requests are served", t, func() {
+		checkServedLater(t, 50*time.Second)
 	})
 
-	Convey("also where they end sooner", t, func() { servedLater(t, 42*time.Second) })
+	Convey("also where they run out sooner", t, func() { checkServedLater(t, 42*time.Second) })
 }
 
-// servedLater plays the day with budgets of so much mean use by all holders, and wants a tenth of the last requests served.
-func servedLater(t *testing.T, paid time.Duration) {
+// checkServedLater repeats these losses with prepaid amounts for the given time of mean use by all holders, and
+// requires that more than a tenth of the last requests is served.
+func checkServedLater(t *testing.T, paid time.Duration) {
 	prepaid := int64(float64(lossPrepaid) * paid.Seconds() / lossBudget.Seconds())
-	var served, asked int
+	var served, total int
 	for seed := range uint64(8) {
-		f := newLossFleetOf(seed, prepaid, reserveAtOnce)
-		f.play(18*time.Second, false)
-		f.play(25*time.Second, true)
+		f := newLossFleetOf(seed, prepaid, reserveWithoutWaiting)
+		f.run(18*time.Second, false)
+		f.run(25*time.Second, true)
 		f.elapsed += time.Second
 		f.start()
-		f.play(36*time.Second, false)
-		f.play(41*time.Second, true)
+		f.run(36*time.Second, false)
+		f.run(41*time.Second, true)
 		f.elapsed += 1500 * time.Millisecond
 		f.start()
-		f.play(44*time.Second, true)
-		f.play(54500*time.Millisecond, false)
+		f.run(44*time.Second, true)
+		f.run(54500*time.Millisecond, false)
 		early := f.served
-		f.play(58500*time.Millisecond, false)
+		f.run(58500*time.Millisecond, false)
 		for _, n := range f.spent {
 			So(n, ShouldBeLessThanOrEqualTo, prepaid)
 		}
-		t.Logf("seed %d: %d served in the first ten seconds, %d of %d in four seconds later on", seed, early, f.served, f.served+f.refused)
-		served, asked = served+f.served, asked+f.served+f.refused
+		t.Logf("seed %d: %d served in the first ten seconds, %d of %d in four later seconds", seed, early, f.served, f.served+f.refused)
+		served, total = served+f.served, total+f.served+f.refused
 	}
-	So(float64(served), ShouldBeGreaterThan, 0.1*float64(asked))
+	So(float64(served), ShouldBeGreaterThan, 0.1*float64(total))
 }
--- a/internal/escrow/spread_test.go
+++ b/internal/escrow/spread_test.go
@@ -11,49 +11,49 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-func TestOdds(t *testing.T) {
-	Convey("A request reserves by lot", t, func() {
-		const prepaid, use = 1_000_000, 10_000.0 // tokens, tokens a second
-		enough := int64(use * spreadOver.Seconds())
-		a := &account{prepaid: prepaid, unproven: prepaid / 5, led: true, leaderRate: use}
+func TestReserveProbability(t *testing.T) {
+	Convey("A request reserves with a probability", t, func() {
+		const prepaid, rate = 1_000_000, 10_000.0 // tokens, tokens per second
+		enough := int64(rate * spreadHorizon.Seconds())
+		a := &account{prepaid: prepaid, unproven: prepaid / 5, led: true, leaderRate: rate}
 
-		Convey("where losses took a large part of the budget and little is left, more rarely as that falls", func() {
-			a.rest = enough / 2
-			So(a.odds(), ShouldEqual, 0.5)
-			a.rest = enough / 10
-			So(a.odds(), ShouldEqual, 0.1)
-			a.rest = 0
-			So(a.odds(), ShouldEqual, 0)
+		Convey("that falls with the rest where losses took a large part of the budget and little is left", func() {
+			a.remaining = enough / 2
+			So(a.reserveProbability(), ShouldEqual, 0.5)
+			a.remaining = enough / 10
+			So(a.reserveProbability(), ShouldEqual, 0.1)
+			a.remaining = 0
+			So(a.reserveProbability(), ShouldEqual, 0)
 		})
 
-		Convey("not while enough is left", func() {
-			a.rest = enough
-			So(a.odds(), ShouldEqual, 1)
+		Convey("that is 1 while enough is left", func() {
+			a.remaining = enough
+			So(a.reserveProbability(), ShouldEqual, 1)
 		})
 
-		Convey("not at a budget's end that no loss has brought about", func() {
-			a.rest, a.unproven = enough/2, int64(lostPart*prepaid)-1
-			So(a.odds(), ShouldEqual, 1)
+		Convey("that is 1 at the end of a budget without losses", func() {
+			a.remaining, a.unproven = enough/2, int64(lossThreshold*prepaid)-1
+			So(a.reserveProbability(), ShouldEqual, 1)
 		})
 
-		Convey("not while no use is known, nor without a limit", func() {
-			a.rest, a.leaderRate = enough/2, 0
-			So(a.odds(), ShouldEqual, 1)
-			a.leaderRate, a.prepaid = use, Unlimited
-			So(a.odds(), ShouldEqual, 1)
+		Convey("that is 1 while no use is known, or without a limit", func() {
+			a.remaining, a.leaderRate = enough/2, 0
+			So(a.reserveProbability(), ShouldEqual, 1)
+			a.leaderRate, a.prepaid = rate, Unlimited
+			So(a.reserveProbability(), ShouldEqual, 1)
 		})
 	})
 
-	Convey("One that draws a blank has not run and is told when to come back, unless the rest cannot hold it anyway", t, func() {
+	Convey("A request that is rejected at random has not run and gets a time to retry, unless the rest is too small for it anyway", t, func() {
 		const prepaid = 10_000
 		now := time.Unix(1000, 0)
-		lot := 0.9
-		h := New(memkv.New(), "p/", 1, "node", "node/1", WithNow(func() time.Time { return now }), WithWall(func() time.Time { return now }), WithRandom(func() float64 { return lot }))
+		randomValue := 0.9
+		h := New(memkv.New(), "p/", 1, "node", "node/1", WithNow(func() time.Time { return now }), WithWall(func() time.Time { return now }), WithRandom(func() float64 { return randomValue }))
 		h.SetPrepaid([]Prepaid{{Customer: "north", Tokens: prepaid}})
-		h.startBeat()
-		h.draw(context.Background(), h.pages[0])
+		h.startRound()
+		h.refresh(context.Background(), h.pages[0])
 		a := h.accounts["north"]
-		a.unproven, a.led, a.leaderRate = prepaid/2, true, 2*prepaid/spreadOver.Seconds()
+		a.unproven, a.led, a.leaderRate = prepaid/2, true, 2*prepaid/spreadHorizon.Seconds()
 
 		_, err := h.Reserve(context.Background(), "north", 100, 0)
 		So(verdict.Of(err), ShouldEqual, verdict.NotRun)
@@ -63,7 +63,7 @@
 		_, err = h.Reserve(context.Background(), "north", prepaid+1, 0)
 		So(verdict.From(err).Code(), ShouldEqual, verdict.CodeBudgetExhausted)
 
-		lot = 0.4
+		randomValue = 0.4
 		r, err := h.Reserve(context.Background(), "north", 100, 0)
 		So(err, ShouldBeNil)
 		r.Settle(100)
--- a/internal/pool/health.go
+++ b/internal/pool/health.go
@@ -6,84 +6,84 @@
 )
 
 const (
-	errorWeight = 0.12            // the part of one answer in an endpoint's share of failures
-	errorDecay  = 4 * time.Second // the time constant with which that share is forgotten
+	errorWeight = 0.12            // weight of one response in an endpoint's share of failures
+	errorDecay  = 4 * time.Second // time constant with which that share decays
 )
 
-// failing is the share of failures among an endpoint's last answers, older ones counting less.
-func (m *member) failing(now time.Time) float64 {
-	if m.errors == 0 {
+// errorShareNow is the share of failures among an endpoint's recent responses; older ones count less.
+func (m *member) errorShareNow(now time.Time) float64 {
+	if m.errorShare == 0 {
 		return 0
 	}
-	return m.errors * math.Exp(-now.Sub(m.errorsAt).Seconds()/errorDecay.Seconds())
+	return m.errorShare * math.Exp(-now.Sub(m.errorShareAt).Seconds()/errorDecay.Seconds())
 }
 
-// learn takes one more answer into the share: 1 for a failure, 0 for none.
-func (m *member) learn(now time.Time, failure float64) {
-	m.errors = m.failing(now)*(1-errorWeight) + failure*errorWeight
-	m.errorsAt = now
+// recordResult adds one response to the share of failures: 1 for a failure, 0 for a success.
+func (m *member) recordResult(now time.Time, failure float64) {
+	m.errorShare = m.errorShareNow(now)*(1-errorWeight) + failure*errorWeight
+	m.errorShareAt = now
 }
 
-// sound reports whether nothing speaks against an endpoint.
-func (l *Pool) sound(m *member, now time.Time) bool {
+// healthy reports whether an endpoint and the path to it show no sign of a fault, and the endpoint is not busy.
+func (l *Pool) healthy(m *member, now time.Time) bool {
 	switch {
-	case l.cutOff(m, now), before(now, m.pausedTil), before(now, m.busyTil):
+	case l.zoneSuspect(m, now), before(now, m.pausedUntil), before(now, m.busyUntil):
 		return false
-	case m.failing(now) > l.policy.ErrorShare, l.failsForAll(m, now):
+	case m.errorShareNow(now) > l.policy.ErrorShare, l.failsForAll(m, now):
 		return false
 	}
 	return !l.silent(m, now)
 }
 
-// before reports whether a moment lies ahead; the zero one, which most endpoints have, never does.
+// before reports whether now is before a time. It is always false for the zero time, which most endpoints have.
 func before(now, at time.Time) bool { return !at.IsZero() && now.Before(at) }
 
-// silent reports whether an endpoint owes an answer and has said nothing for too long.
+// silent reports whether an endpoint owes a response and has sent nothing for longer than the response timeout.
 func (l *Pool) silent(m *member, now time.Time) bool {
 	if m.open == 0 {
 		return false
 	}
-	since := m.asked
+	since := m.awaitingSince
 	if m.receivedAt.After(since) {
 		since = m.receivedAt
 	}
-	return now.Sub(since) > max(l.policy.MinResponseTimeout, m.patience)
+	return now.Sub(since) > max(l.policy.MinResponseTimeout, m.responseTimeout)
 }
 
-// Received notes that the endpoint has sent something.
+// Received records that the endpoint has sent data.
 func (s *Lease) Received() {
 	s.pool.mu.Lock()
 	s.member.receivedAt = s.pool.now()
-	s.pool.reached(s.member)
+	s.pool.markReached(s.member)
 	s.pool.mu.Unlock()
 }
 
-// Silent reports whether the endpoint says nothing to anybody here.
+// Silent reports whether the endpoint has sent nothing to this instance for longer than the response timeout.
 func (s *Lease) Silent() bool {
 	s.pool.mu.RLock()
 	defer s.pool.mu.RUnlock()
 	return s.pool.silent(s.member, s.pool.now())
 }
 
-// ProcessState is what is known of the process that was picked.
+// ProcessState is the last known state of the picked endpoint's process.
 type ProcessState int
 
-// The fates.
+// The states of a process.
 const (
-	ProcessRunning ProcessState = iota // nothing speaks for its end
-	ProcessLeaving                     // its planned end is known: it has said that it drains, or its record is gone
+	ProcessRunning ProcessState = iota // nothing indicates that it ends
+	ProcessLeaving                     // it is to end: it drains, has announced it, or has no record any more
 	ProcessEnded                       // another process has started under its ID
 )
 
-// ProcessState tells what is known of the process that was picked.
+// ProcessState returns the last known state of the picked endpoint's process.
 func (s *Lease) ProcessState() ProcessState {
 	s.pool.mu.RLock()
 	defer s.pool.mu.RUnlock()
-	now := s.pool.byID[s.member.ID]
+	current := s.pool.byID[s.member.ID]
 	switch {
-	case now == s.member && !s.member.Draining && !s.member.announced.leaves(s.pool.now()):
+	case current == s.member && !s.member.Draining && !s.member.announced.leaves(s.pool.now()):
 		return ProcessRunning
-	case now != nil && s.member.Outdated(now.Endpoint):
+	case current != nil && s.member.Outdated(current.Endpoint):
 		return ProcessEnded
 	}
 	return ProcessLeaving
@@ -92,29 +92,29 @@
 // End is how a request's use of an endpoint ended.
 type End int
 
-// The ends.
+// The ways in which a use ends.
 const (
-	EndGood        End = iota // a whole answer
-	EndFailed                 // an answer that reports that the endpoint failed
-	EndBroken                 // no answer, half an answer, or none that can be trusted
-	EndUnreachable            // no connection came about
-	EndBusy                   // the endpoint did not run it for lack of room
+	EndGood        End = iota // a complete response
+	EndFailed                 // a response that reports a failure of the endpoint
+	EndBroken                 // no response, a truncated one, or one that cannot be trusted
+	EndUnreachable            // no connection was established
+	EndBusy                   // the endpoint rejected it for lack of capacity
 	EndMoved                  // another endpoint has the address
-	EndNeutral                // nothing is learnt: the caller left, or the time was up
-	EndUnsent                 // nothing was sent: it was not wanted there any more
+	EndNeutral                // no conclusion about the endpoint: the caller left, or the deadline passed
+	EndUnsent                 // nothing was sent: the endpoint no longer accepted it
 )
 
-// Accepted notes that the endpoint runs the request.
+// Accepted records that the endpoint runs the request. This enlarges the endpoint's window, if it has one.
 func (s *Lease) Accepted() {
-	if s.back == nil {
+	if s.window == nil {
 		return
 	}
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
-	s.back.answered()
+	s.window.grow()
 }
 
-// Done ends the use and learns from how it ended.
+// Done ends the use and updates the endpoint's health by how it ended. Further calls do nothing.
 func (s *Lease) Done(end End) {
 	l := s.pool
 	now := l.now()
@@ -126,49 +126,49 @@
 	s.ended = true
 	m := s.member
 	if m.open--; m.open == 0 {
-		delete(l.leftovers, m)
+		delete(l.removedInUse, m)
 	}
 	switch end {
 	case EndGood:
-		m.learn(now, 0)
+		m.recordResult(now, 0)
 		m.pause, m.failures = 0, 0
 		m.ended.add(now, 1)
 	case EndFailed:
-		m.learn(now, 1)
+		m.recordResult(now, 1)
 		m.ended.add(now, 1)
 		m.failed.add(now, 1)
 	case EndBroken:
-		l.fails(m, now)
+		l.recordFailure(m, now)
 		m.ended.add(now, 1)
 		m.failed.add(now, 1)
 	case EndUnreachable:
-		s.unsent()
-		l.miss(m, now)
-		l.fails(m, now)
+		s.returnPermit()
+		l.markUnreachable(m, now)
+		l.recordFailure(m, now)
 	case EndBusy:
-		m.busyTil = now.Add(busyPause)
-		if l.policy.BusyDecrease > 0 && m.abstains(now) == NotExcluded {
-			m.comeback = m.comeback.after(now, m.open, l.policy.BusyDecrease)
+		m.busyUntil = now.Add(busyPause)
+		if l.policy.BusyDecrease > 0 && m.noticeExclusion(now) == NotExcluded {
+			m.window = m.window.shrunk(now, m.open, l.policy.BusyDecrease)
 		}
 	case EndMoved:
 		l.observe(m, Notice{Moved: true}, Answer{})
 	case EndUnsent:
-		s.unsent()
+		s.returnPermit()
 	case EndNeutral:
 	}
 }
 
-// busyPause is how long an endpoint that is full gets no work.
+// busyPause is how long a busy endpoint gets no new work.
 const busyPause = 100 * time.Millisecond
 
-// fails notes a failure, which pauses an endpoint if there were enough in a row.
-func (l *Pool) fails(m *member, now time.Time) {
+// recordFailure counts a failure, and pauses the endpoint after enough consecutive ones.
+func (l *Pool) recordFailure(m *member, now time.Time) {
 	if m.failures++; m.failures >= l.policy.PauseAfter {
 		l.pauseMember(m, now)
 	}
 }
 
-// pauseMember keeps new work from an endpoint, longer with each time in a row, unless too many of its service are paused.
+// pauseMember pauses an endpoint, each time in a row for longer, unless too many endpoints of its service are paused.
 func (l *Pool) pauseMember(m *member, now time.Time) {
 	if !l.mayPause(m) {
 		return
@@ -178,13 +178,14 @@
 	} else {
 		m.pause = min(2*m.pause, l.policy.MaxPause)
 	}
-	m.pausedTil = now.Add(m.pause)
+	m.pausedUntil = now.Add(m.pause)
 	if l.policy.ProbeAfterPause {
-		m.comeback = firstAgain()
+		m.window = probeWindow()
 	}
 }
 
-// mayPause reports whether one more endpoint of a service may be paused: what looks like a fault of most of them is one on the way there.
+// mayPause reports whether one more endpoint of a service may be paused. What looks like a fault of most of them is
+// rather one on the path there.
 func (l *Pool) mayPause(m *member) bool {
 	if l.policy.MaxPausedShare >= 1 {
 		return true
--- a/internal/pool/status.go
+++ b/internal/pool/status.go
@@ -1,16 +1,16 @@
 package pool
 
-// Status is how an endpoint stands with this instance.
+// Status is the state of an endpoint as seen by this instance.
 type Status struct {
 	ID         string
 	Open       int       // requests of this instance
-	Paused     bool      // after failures, until it has answered well again
-	Exclusion  Exclusion // why it gets no work whatever the request
+	Paused     bool      // after failures, until the next success
+	Exclusion  Exclusion // why it gets no work, regardless of the request
 	FirstToken float64
-	PerToken   float64 // seconds, as these lately were; 0: not known
+	PerToken   float64 // seconds, recent values of both; 0: unknown
 }
 
-// Statuses tells how all endpoints stand, those too that are gone and still have requests of this instance.
+// Statuses returns the state of all endpoints, including removed ones at which this instance still has open requests.
 func (l *Pool) Statuses() []Status {
 	now := l.now()
 	l.mu.Lock()
@@ -18,10 +18,10 @@
 	byID := make(map[string]*Status, len(l.byID))
 	for _, m := range l.byID {
 		byID[m.ID] = &Status{
-			ID: m.ID, Open: m.open, Paused: m.pause > 0, Exclusion: l.keeps(m, now), FirstToken: m.pace.first, PerToken: m.pace.token,
+			ID: m.ID, Open: m.open, Paused: m.pause > 0, Exclusion: l.exclusionOf(m, now), FirstToken: m.pace.first, PerToken: m.pace.token,
 		}
 	}
-	for m := range l.leftovers {
+	for m := range l.removedInUse {
 		if byID[m.ID] == nil {
 			byID[m.ID] = &Status{ID: m.ID}
 		}
@@ -34,24 +34,24 @@
 	return out
 }
 
-// Capacity is how many requests this instance may have open at endpoints to which a query may go.
+// Capacity is how many requests this instance may have open at the endpoints that may run a query.
 func (l *Pool) Capacity(q Query) int {
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
 	for _, m := range l.services[q.Service] {
-		if !l.mayRun(m, q) || l.keeps(m, now) != NotExcluded || !l.sound(m, now) {
+		if !l.allowed(m, q) || l.exclusionOf(m, now) != NotExcluded || !l.healthy(m, now) {
 			continue
 		}
-		room := l.part(m)
-		if c := l.connected(q.Service, now); c != nil {
-			room = min(room, c.part)
+		capacity := l.slotShare(m)
+		if c := l.connectionsOf(q.Service, now); c != nil {
+			capacity = min(capacity, c.share)
 		}
-		if !m.comeback.over(now) {
-			room = min(room, m.comeback.bound(now))
+		if !m.window.expired(now) {
+			capacity = min(capacity, m.window.limit(now))
 		}
-		n += room
+		n += capacity
 	}
 	return n
 }
