--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -171,12 +171,12 @@
 		So(<-done, ShouldEndWith, "data: [DONE]\n\n")
 	})
 	Convey("An instance that is killed and started again serves requests", t, func() {
-		whole := stream("http://127.0.0.1:8082", "killed")
+		before := stream("http://127.0.0.1:8082", "killed")
 		So(second.Process.Kill(), ShouldBeNil)
 		_ = second.Wait()
 		p.start("serve", "--settings", "examples/a-2.json")
 		waitFor(t, "the replacement", isUp("http://127.0.0.1:8082/readyz"))
-		So(whole, ShouldEndWith, "data: [DONE]\n\n")
+		So(before, ShouldEndWith, "data: [DONE]\n\n")
 		So(stream("http://127.0.0.1:8082", "after"), ShouldEndWith, "data: [DONE]\n\n")
 	})
 	Convey("Confirming a plan again changes nothing, and a plan that does not exist is rejected", t, func() {
--- a/internal/declare/declare.go
+++ b/internal/declare/declare.go
@@ -71,7 +71,7 @@
 	Class string `json:"class" validate:"required"`
 }
 
-// Customer is a payer of requests.
+// Customer is a party that pays for requests.
 type Customer struct {
 	Budget string            `json:"budget" validate:"required"` // used for requests that name none
 	Region string            `json:"region,omitempty"`
@@ -119,7 +119,7 @@
 	unknown error // fields from a later build that this one does not know; nil if there are none
 }
 
-// Fences holds the fence of the latest order to each endpoint: the document version that last changed the endpoint.
+// Fences holds the fencing token of the latest order to each endpoint: the document version that last changed the endpoint.
 type Fences map[string]int64
 
 // maxApplied is the number of plan ids that a document retains.
--- a/internal/declare/objects.go
+++ b/internal/declare/objects.go
@@ -128,7 +128,7 @@
 	return Join(objects)
 }
 
-// Next returns the document that follows d. Its version is one higher, and it contains the changes of the plan id.
+// Next returns the document that follows d. Its version is one higher, and it contains the changes of a plan and its id.
 func (d *Document) Next(id string, changes []Change) (*Document, error) {
 	decl, err := Apply(d.Decl, changes)
 	if err != nil {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -157,7 +157,7 @@
 	return in, in.kernel.Register(in.services()...)
 }
 
-// steps returns the functions that build the parts of an instance, in the order of their dependencies.
+// steps returns the functions that build the parts of an instance, in the order in which New calls them.
 func (in *Instance) steps() []func() error {
 	return []func() error{
 		in.buildPlatform,
--- a/internal/intent/changes.go
+++ b/internal/intent/changes.go
@@ -103,8 +103,8 @@
 	return true
 }
 
-// Explain sets the Effect of each change, a description for operators.
-func Explain(changes []declare.Change) {
+// SetEffects sets the Effect of each change, a description for operators.
+func SetEffects(changes []declare.Change) {
 	for i := range changes {
 		changes[i].Effect = effect(changes[i])
 	}
--- a/internal/intent/service.go
+++ b/internal/intent/service.go
@@ -154,7 +154,7 @@
 	if err != nil {
 		return nil, err
 	}
-	Explain(changes)
+	SetEffects(changes)
 	wanted, err := Deposits(in, target)
 	if err != nil {
 		return nil, badRequest(err)
--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -79,7 +79,7 @@
 type dimension struct {
 	name       string
 	value      func(router.Line) string
-	sortByName bool // rows are sorted by name, not by losses
+	sortByName bool // sort rows by name, not by losses
 }
 
 const sizeStep = 4000 // prompt tokens per row of the table by prompt length
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -55,14 +55,14 @@
 }
 
 // Server serves the API for operators of one instance.
-type Server struct{ d Deps }
+type Server struct{ deps Deps }
 
 // New returns a Server and registers its message handler.
-func New(d Deps) *Server {
-	mesh.Handle(d.Router, KindBurn, func(context.Context, mesh.Peer, mesh.Empty) (BurnSeries, error) {
-		return BurnSeries{Series: d.Recorder.Snapshot()}, nil
+func New(deps Deps) *Server {
+	mesh.Handle(deps.Router, KindBurn, func(context.Context, mesh.Peer, mesh.Empty) (BurnSeries, error) {
+		return BurnSeries{Series: deps.Recorder.Snapshot()}, nil
 	})
-	return &Server{d: d}
+	return &Server{deps: deps}
 }
 
 // Handler returns the HTTP handler of the API.
@@ -71,7 +71,7 @@
 	e.HideBanner = true
 	e.HTTPErrorHandler = handleError
 	e.GET("/healthz", func(c echo.Context) error { return c.NoContent(http.StatusOK) })
-	e.GET("/metrics", echo.WrapHandler(s.d.Metrics))
+	e.GET("/metrics", echo.WrapHandler(s.deps.Metrics))
 	v1 := e.Group("/v1", s.authenticate)
 	v1.POST("/intents", s.plan)
 	v1.GET("/plans/:id", s.lookup)
@@ -106,7 +106,7 @@
 		secret, ok := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
 		if ok {
 			hash := declare.HashKey(secret)
-			for _, known := range s.d.Keys {
+			for _, known := range s.deps.Keys {
 				if known == hash {
 					return next(c)
 				}
@@ -128,14 +128,14 @@
 	if err := declare.DecodeStrict(body, &in); err != nil {
 		return badRequest(err)
 	}
-	p, err := s.d.Planner.Plan(c.Request().Context(), &in)
+	p, err := s.deps.Planner.Plan(c.Request().Context(), &in)
 	if err != nil {
 		return badRequest(err)
 	}
 	return c.JSON(http.StatusOK, p)
 }
 
-// badRequest converts Faults to a verdict of CodeBadRequest for the first field. Other errors stay.
+// badRequest converts Faults to a verdict of CodeBadRequest for the first field. It returns other errors unchanged.
 func badRequest(err error) error {
 	var faults declare.Faults
 	if errors.As(err, &faults) && len(faults) > 0 {
@@ -145,7 +145,7 @@
 }
 
 func (s *Server) lookup(c echo.Context) error {
-	p, err := s.d.Planner.Lookup(c.Request().Context(), c.Param("id"))
+	p, err := s.deps.Planner.Lookup(c.Request().Context(), c.Param("id"))
 	if err != nil {
 		return err
 	}
@@ -153,7 +153,7 @@
 }
 
 func (s *Server) confirm(c echo.Context) error {
-	res, err := s.d.Planner.Confirm(c.Request().Context(), c.Param("id"))
+	res, err := s.deps.Planner.Confirm(c.Request().Context(), c.Param("id"))
 	if err != nil {
 		return err
 	}
@@ -163,7 +163,7 @@
 
 // statusReports returns the configuration version in force at each instance.
 func (s *Server) statusReports(ctx context.Context) []intent.Report {
-	seen, unseen := s.d.Planner.Statuses(ctx)
+	seen, unseen := s.deps.Planner.Statuses(ctx)
 	out := make([]intent.Report, 0, len(seen)+len(unseen))
 	for _, st := range seen {
 		out = append(out, intent.Report{Instance: st.Peer.ID, Zone: st.Peer.Zone, Version: st.Version, Answered: true})
@@ -180,7 +180,7 @@
 	return out
 }
 
-func (s *Server) config(c echo.Context) error { return c.JSON(http.StatusOK, s.d.Feed.Document()) }
+func (s *Server) config(c echo.Context) error { return c.JSON(http.StatusOK, s.deps.Feed.Document()) }
 
 // EndpointView is the status of one endpoint across the fleet.
 type EndpointView struct {
@@ -197,10 +197,10 @@
 }
 
 func (s *Server) endpoints(c echo.Context) error {
-	doc := s.d.Feed.Document()
-	seen, unseen := s.d.Planner.Statuses(c.Request().Context())
+	doc := s.deps.Feed.Document()
+	seen, unseen := s.deps.Planner.Statuses(c.Request().Context())
 	here := make(map[string]targets.Status)
-	for _, st := range s.d.Targets.Statuses() {
+	for _, st := range s.deps.Targets.Statuses() {
 		here[st.ID] = st
 	}
 	out := make([]EndpointView, 0, len(doc.Decl.Endpoints))
@@ -230,15 +230,15 @@
 }
 
 func (s *Server) instances(c echo.Context) error {
-	return c.JSON(http.StatusOK, s.d.Members.Statuses())
+	return c.JSON(http.StatusOK, s.deps.Members.Statuses())
 }
 
-func (s *Server) accounts(c echo.Context) error { return c.JSON(http.StatusOK, s.d.Home.Accounts()) }
+func (s *Server) accounts(c echo.Context) error { return c.JSON(http.StatusOK, s.deps.Home.Accounts()) }
 
-func (s *Server) store(c echo.Context) error { return c.JSON(http.StatusOK, s.d.Calls()) }
+func (s *Server) store(c echo.Context) error { return c.JSON(http.StatusOK, s.deps.Calls()) }
 
 func (s *Server) budget(c echo.Context) error {
-	v, err := budget.Inspect(c.Request().Context(), s.d.Store, c.Param("id"))
+	v, err := budget.Inspect(c.Request().Context(), s.deps.Store, c.Param("id"))
 	if errors.Is(err, budget.ErrUnknown) {
 		return verdict.New(verdict.NotRun, verdict.CodeNotFound, "there is no budget "+c.Param("id"))
 	}
@@ -249,7 +249,7 @@
 }
 
 func (s *Server) holds(c echo.Context) error {
-	v, err := budget.Holds(c.Request().Context(), s.d.Store)
+	v, err := budget.Holds(c.Request().Context(), s.deps.Store)
 	if err != nil {
 		return unavailable(err)
 	}
@@ -275,15 +275,15 @@
 	defer cancel()
 	var all [][]burn.Series
 	unseen := 0
-	for _, p := range s.d.Members.Fleet() {
-		b, err := mesh.Call[mesh.Empty, BurnSeries](ctx, s.d.Caller, p.Addr, KindBurn, mesh.Empty{})
+	for _, p := range s.deps.Members.Fleet() {
+		b, err := mesh.Call[mesh.Empty, BurnSeries](ctx, s.deps.Caller, p.Addr, KindBurn, mesh.Empty{})
 		if err != nil {
 			unseen++
 			continue
 		}
 		all = append(all, b.Series)
 	}
-	r, err := burn.Merge(all, s.d.Feed.Document().Decl.Classes, s.d.Now())
+	r, err := burn.Merge(all, s.deps.Feed.Document().Decl.Classes, s.deps.Now())
 	r.Unseen = unseen
 	return r, err
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -71,12 +71,12 @@
 
 // Budget configures the intervals of the escrow.
 type Budget struct {
-	Flush           time.Duration `json:"flush" validate:"min=10ms,max=1m"`  // longest time until a charge is written to the store
-	RefreshInterval time.Duration `json:"beat" validate:"min=100ms,max=1m"`  // longest time between two writes of a holder's journal
-	Horizon         time.Duration `json:"horizon" validate:"min=1s,max=24h"` // how long an outage of the store the escrow should last
+	Flush           time.Duration `json:"flush" validate:"min=10ms,max=1m"`  // longest time until a charge is in the store
+	RefreshInterval time.Duration `json:"beat" validate:"min=100ms,max=1m"`  // longest time between writes of the journal
+	Horizon         time.Duration `json:"horizon" validate:"min=1s,max=24h"` // store outage that the escrow should outlast
 	Idle            time.Duration `json:"idle" validate:"min=1s,max=24h"`    // unused escrow is returned after this time
 	DeadTimeout     time.Duration `json:"dead" validate:"min=1s,max=10m"`    // a holder that is missing this long is reclaimed
-	OrphanTimeout   time.Duration `json:"orphan" validate:"min=6s,max=10m"`  // requests of missing instances are settled after this time
+	OrphanTimeout   time.Duration `json:"orphan" validate:"min=6s,max=10m"`  // delay of settling a missing instance's requests
 }
 
 // Log configures logging.
