--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -74,7 +74,7 @@
 			var res demo.Result
 			So(json.Unmarshal([]byte(out), &res), ShouldBeNil)
 			So(res.Notes, ShouldBeEmpty)
-			So(res.Kept(), ShouldBeTrue)
+			So(res.GuaranteesHeld(), ShouldBeTrue)
 			So(code, ShouldEqual, exitOK)
 		})
 	}
--- a/cmd/root.go
+++ b/cmd/root.go
@@ -96,7 +96,7 @@
 		}
 		return exitFailed
 	}
-	if !errors.Is(err, demo.ErrBroken) {
+	if !errors.Is(err, demo.ErrGuaranteeViolated) {
 		_, _ = fmt.Fprintln(errOut, "ledgemount:", err)
 	}
 	return exitFailed
--- a/internal/bench/balance.go
+++ b/internal/bench/balance.go
@@ -10,28 +10,28 @@
 	"github.com/ledgemount/ledgemount/internal/pool"
 )
 
-// Work is the seeded work on which policies are compared.
-type Work struct {
-	Engines   int
-	Routers   int
-	Capacity  int     // requests that an engine serves together
-	Load      float64 // share of the engines' capacity that arrives
-	Requests  int
-	Prefixes  int // groups of requests that share a prompt prefix
-	CacheSize int // prefixes that an engine keeps
-	Lag       float64
-	EventLag  float64
-	EventGap  float64 // share of cache events that are lost
-	Slow      float64 // share of engines that are slower
-	SlowBy    float64
-	Seed      uint64
+// Workload is the seeded work on which policies are compared.
+type Workload struct {
+	Engines        int
+	Routers        int
+	Capacity       int     // requests that an engine serves together
+	Load           float64 // share of the engines' capacity that arrives
+	Requests       int
+	Prefixes       int // groups of requests that share a prompt prefix
+	CacheSize      int // prefixes that an engine keeps
+	ReportLag      float64
+	EventLag       float64
+	EventLossShare float64 // share of cache events that are lost
+	SlowShare      float64 // share of engines that are slower
+	SlowFactor     float64
+	Seed           uint64
 }
 
-// DefaultWork is a zone of today's larger kind at 85% load, with lagged reports and gappy cache events.
-func DefaultWork() Work {
-	return Work{
+// DefaultWorkload is a zone of today's larger kind at 85% load, with lagged reports and gappy cache events.
+func DefaultWorkload() Workload {
+	return Workload{
 		Engines: 52, Routers: 15, Capacity: 16, Load: 0.85, Requests: 60_000, Prefixes: 2_000, CacheSize: 60,
-		Lag: 1, EventLag: 2, EventGap: 0.2, Slow: 0.1, SlowBy: 2.5, Seed: 1,
+		ReportLag: 1, EventLag: 2, EventLossShare: 0.2, SlowShare: 0.1, SlowFactor: 2.5, Seed: 1,
 	}
 }
 
@@ -54,7 +54,7 @@
 }
 
 // BalanceTable compares every policy on the same work.
-func BalanceTable(w Work) []PolicyResult {
+func BalanceTable(w Workload) []PolicyResult {
 	policies := []pool.Chooser[pool.Candidate]{
 		pool.Random{}, pool.PowerOfTwo{}, pool.LeastExpected{}, pool.DefaultChooser(),
 	}
@@ -134,7 +134,7 @@
 }
 
 type sim struct {
-	w       Work
+	w       Workload
 	policy  pool.Chooser[pool.Candidate]
 	rng     *rand.Rand
 	choice  *rand.Rand
@@ -149,7 +149,7 @@
 	begun   int
 }
 
-func newSim(w Work, p pool.Chooser[pool.Candidate]) *sim {
+func newSim(w Workload, p pool.Chooser[pool.Candidate]) *sim {
 	s := &sim{
 		w: w, policy: p,
 		rng:    rand.New(rand.NewPCG(w.Seed, 1)), //nolint:gosec // a simulation
@@ -158,8 +158,8 @@
 	s.zipf = rand.NewZipf(s.rng, 1.1, 8, uint64(w.Prefixes-1))
 	for i := range w.Engines {
 		e := &simEngine{speed: 1, cache: list.New(), keys: make(map[int]*list.Element)}
-		if float64(i) < w.Slow*float64(w.Engines) {
-			e.speed = w.SlowBy
+		if float64(i) < w.SlowShare*float64(w.Engines) {
+			e.speed = w.SlowFactor
 		}
 		s.engines = append(s.engines, e)
 		s.ids = append(s.ids, string(rune('a'+i%26))+string(rune('0'+i/26)))
@@ -198,7 +198,7 @@
 		}
 		s.at(t, func(now float64) { s.arrive(r, now) })
 	}
-	for at := s.w.Lag; at < t; at += s.w.Lag {
+	for at := s.w.ReportLag; at < t; at += s.w.ReportLag {
 		s.at(at, func(float64) { s.share() })
 	}
 	for len(s.events) > 0 {
@@ -254,7 +254,7 @@
 		first *= 1 - cachedCut
 		s.hits++
 	}
-	if evicted >= 0 && s.rng.Float64() >= s.w.EventGap {
+	if evicted >= 0 && s.rng.Float64() >= s.w.EventLossShare {
 		s.at(now+s.w.EventLag, func(float64) { s.evict(i, evicted) })
 	}
 	token := perToken * e.speed * stretch(load)
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -34,7 +34,7 @@
 		{"routed", func(ctx context.Context, r *Result) (err error) { r.Routed, err = MeasureRouted(ctx); return err }},
 		{"control", func(ctx context.Context, r *Result) (err error) { r.Control, err = MeasureControl(ctx); return err }},
 		{"budget", func(ctx context.Context, r *Result) (err error) { r.Budget, err = MeasureBudget(ctx); return err }},
-		{"balance", func(_ context.Context, r *Result) error { r.Balance = BalanceTable(DefaultWork()); return nil }},
+		{"balance", func(_ context.Context, r *Result) error { r.Balance = BalanceTable(DefaultWorkload()); return nil }},
 		{"store", func(ctx context.Context, r *Result) (err error) { r.Store, err = MeasureStore(ctx); return err }},
 	}
 }
@@ -78,7 +78,7 @@
 		out = append(out, r.Budget.IdleMemory, r.Budget.BusyMemory)
 	}
 	if r.Store != nil {
-		out = append(out, r.Store.Writes, r.Store.Reads, r.Store.Bytes, r.Store.Away)
+		out = append(out, r.Store.Writes, r.Store.Reads, r.Store.Bytes, r.Store.WritesByRemoteShare)
 	}
 	return out
 }
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -17,7 +17,7 @@
 
 func TestDefaultPolicyIsTheBest(t *testing.T) {
 	Convey("On the seeded work, the default policy's first token beats power of two by a fifth and random by half, at p95", t, func() {
-		w := DefaultWork()
+		w := DefaultWorkload()
 		w.Requests = 20_000
 		results := BalanceTable(w)
 		again := BalanceTable(w)
--- a/internal/bench/budget.go
+++ b/internal/bench/budget.go
@@ -14,8 +14,8 @@
 	"github.com/ledgemount/ledgemount/internal/standin/memstore"
 )
 
-// LetterBudgets is the number of budgets in the users' letter.
-const LetterBudgets = 80_000
+// ReferenceBudgets is the number of budgets in the users' letter.
+const ReferenceBudgets = 80_000
 
 // BudgetResult is what a holder costs.
 type BudgetResult struct {
@@ -57,9 +57,9 @@
 
 // MeasureBudget measures reservations, settlements and memory of a holder.
 func MeasureBudget(ctx context.Context) (*BudgetResult, error) {
-	res := &BudgetResult{Budgets: LetterBudgets}
+	res := &BudgetResult{Budgets: ReferenceBudgets}
 	var idle, busy []Point
-	for _, n := range []int{10_000, 20_000, 40_000, LetterBudgets} {
+	for _, n := range []int{10_000, 20_000, 40_000, ReferenceBudgets} {
 		p, err := measureMemory(ctx, n, res)
 		if err != nil {
 			return nil, err
@@ -67,8 +67,8 @@
 		idle = append(idle, Point{float64(n), p.idle})
 		busy = append(busy, Point{float64(n), p.busy})
 	}
-	res.IdleMemory = fit("memory of a holder, idle accounts", "accounts", "bytes", LetterBudgets, idle)
-	res.BusyMemory = fit("memory of a holder, one open reservation each", "accounts", "bytes", LetterBudgets, busy)
+	res.IdleMemory = fit("memory of a holder, idle accounts", "accounts", "bytes", ReferenceBudgets, idle)
+	res.BusyMemory = fit("memory of a holder, one open reservation each", "accounts", "bytes", ReferenceBudgets, busy)
 	return res, nil
 }
 
@@ -95,7 +95,7 @@
 	}
 	busy := inUse() - storeBytes(store) - before
 	res.RowBytes = row
-	res.LargestPage, _ = store.Largest(budget.PagePrefix)
+	res.LargestPage, _ = store.ValueSizes(budget.PagePrefix)
 	err = measureReserve(ctx, h, n, res)
 	runtime.KeepAlive(h)
 	return memoryPoint{idle: idle, busy: busy}, err
@@ -127,7 +127,7 @@
 }
 
 func storeBytes(s *memstore.Store) float64 {
-	_, total := s.Largest("")
+	_, total := s.ValueSizes("")
 	return float64(total)
 }
 
--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -11,8 +11,8 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// LetterPerZone is the number of instances in one zone at the letter's size: 380 nodes in 25 zones.
-const LetterPerZone = 15
+// ReferenceInstancesPerZone is the number of instances in one zone at the letter's size: 380 nodes in 25 zones.
+const ReferenceInstancesPerZone = 15
 
 // ControlResult is what membership and configuration cost one instance.
 type ControlResult struct {
@@ -113,15 +113,15 @@
 		cpus, bytes, memory = append(cpus, Point{x, c}), append(bytes, Point{x, b}), append(memory, Point{x, m})
 	}
 	for _, far := range []int{0, 45, 180, 365} {
-		c, _, _, err := controlRun(LetterPerZone, far)
+		c, _, _, err := controlRun(ReferenceInstancesPerZone, far)
 		if err != nil {
 			return nil, err
 		}
 		fleet = append(fleet, Point{float64(far), c})
 	}
-	res.CPU = fit("control, processor", "instances in the zone", "share of a core", LetterPerZone, cpus)
-	res.Bytes = fit("control, sent", "instances in the zone", "bytes/s", LetterPerZone, bytes)
-	res.Memory = fit("control, memory", "instances in the zone", "bytes", LetterPerZone, memory)
+	res.CPU = fit("control, processor", "instances in the zone", "share of a core", ReferenceInstancesPerZone, cpus)
+	res.Bytes = fit("control, sent", "instances in the zone", "bytes/s", ReferenceInstancesPerZone, bytes)
+	res.Memory = fit("control, memory", "instances in the zone", "bytes", ReferenceInstancesPerZone, memory)
 	res.FleetCPU = fit("control, processor by fleet", "instances in other zones", "share of a core", 365, fleet)
 	res.CoreShare = res.CPU.AtSize
 	return res, nil
--- a/internal/bench/store.go
+++ b/internal/bench/store.go
@@ -18,22 +18,22 @@
 
 // The letter's size, for the store.
 const (
-	LetterRequests = 920.0 // a second
-	LetterZones    = 25
-	perZone        = 15 // instances
+	ReferenceRequestRate = 920.0 // a second
+	ReferenceZones       = 25
+	perZone              = 15 // instances
 )
 
 // StoreResult is what the store is asked for, by duty.
 type StoreResult struct {
-	Writes  Slope                            `json:"writes_per_s"`
-	Reads   Slope                            `json:"reads_per_s"`
-	Bytes   Slope                            `json:"bytes_written_per_s"`
-	ByDuty  map[external.Duty]external.Calls `json:"by_duty_at_size"` // in the measured time
-	Seconds int                              `json:"measured_s"`
-	Away    Slope                            `json:"writes_by_away_share"`
-	Refused int                              `json:"refused"`
-	Pages   int                              `json:"largest_page_bytes"`
-	Assumed string                           `json:"assumed"`
+	Writes              Slope                            `json:"writes_per_s"`
+	Reads               Slope                            `json:"reads_per_s"`
+	Bytes               Slope                            `json:"bytes_written_per_s"`
+	ByDuty              map[external.Duty]external.Calls `json:"by_duty_at_size"` // in the measured time
+	Seconds             int                              `json:"measured_s"`
+	WritesByRemoteShare Slope                            `json:"writes_by_away_share"`
+	Refused             int                              `json:"refused"`
+	LargestPage         int                              `json:"largest_page_bytes"`
+	Assumptions         string                           `json:"assumed"`
 }
 
 // The simulated traffic: budgets are popular by Zipf's law; the most popular are drawn on from every zone, the others
@@ -167,7 +167,7 @@
 }
 
 func runStore(ctx context.Context, rate int, away float64) (storeRun, error) {
-	s, err := newStoreSim(ctx, LetterZones, LetterBudgets, away)
+	s, err := newStoreSim(ctx, ReferenceZones, ReferenceBudgets, away)
 	if err != nil {
 		return storeRun{}, err
 	}
@@ -175,22 +175,22 @@
 	if err != nil {
 		return storeRun{}, err
 	}
-	most, _ := s.mem.Largest(budget.PagePrefix)
+	most, _ := s.mem.ValueSizes(budget.PagePrefix)
 	return storeRun{calls: calls, refused: s.miss, page: most}, nil
 }
 
 // MeasureStore counts the calls of the fleet's holders at several request rates.
 func MeasureStore(ctx context.Context) (*StoreResult, error) {
-	res := &StoreResult{Seconds: countSeconds, Assumed: assumption}
+	res := &StoreResult{Seconds: countSeconds, Assumptions: assumption}
 	var writes, reads, bytes []Point
-	rates := []float64{230, 460, 690, LetterRequests}
+	rates := []float64{230, 460, 690, ReferenceRequestRate}
 	runs := make([]storeRun, len(rates))
 	shares := []float64{0, 0.05, 0.1} // and awayShare, which the runs by rate have
 	away := make([]storeRun, len(shares))
 	var g errgroup.Group
 	for i, share := range shares {
 		g.Go(func() (err error) {
-			away[i], err = runStore(ctx, int(LetterRequests), share)
+			away[i], err = runStore(ctx, int(ReferenceRequestRate), share)
 			return err
 		})
 	}
@@ -208,16 +208,16 @@
 		writes = append(writes, Point{rates[i], float64(all.Writes) / countSeconds})
 		reads = append(reads, Point{rates[i], float64(all.Reads) / countSeconds})
 		bytes = append(bytes, Point{rates[i], float64(all.Bytes) / countSeconds})
-		res.ByDuty, res.Refused, res.Pages = run.calls, run.refused, run.page
+		res.ByDuty, res.Refused, res.LargestPage = run.calls, run.refused, run.page
 	}
 	foreign := []Point{{awayShare, writes[len(writes)-1].Y}}
 	for i, run := range away {
 		foreign = append(foreign, Point{shares[i], float64(sum(run.calls).Writes) / countSeconds})
 	}
-	res.Away = fit("store writes by the share of requests from a foreign zone", "share", "writes/s", awayShare, foreign)
-	res.Writes = fit("store writes", "requests/s", "writes/s", LetterRequests, writes)
-	res.Reads = fit("store reads", "requests/s", "reads/s", LetterRequests, reads)
-	res.Bytes = fit("bytes read and written", "requests/s", "bytes/s", LetterRequests, bytes)
+	res.WritesByRemoteShare = fit("store writes by the share of requests from a foreign zone", "share", "writes/s", awayShare, foreign)
+	res.Writes = fit("store writes", "requests/s", "writes/s", ReferenceRequestRate, writes)
+	res.Reads = fit("store reads", "requests/s", "reads/s", ReferenceRequestRate, reads)
+	res.Bytes = fit("bytes read and written", "requests/s", "bytes/s", ReferenceRequestRate, bytes)
 	return res, nil
 }
 
@@ -229,7 +229,7 @@
 		zone int
 	}
 	byPage := make(map[group][]int)
-	for rank := range LetterBudgets {
+	for rank := range ReferenceBudgets {
 		g := group{budget.PageOf(budgetID(rank)), rank % len(s.zones)}
 		byPage[g] = append(byPage[g], rank)
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -63,14 +63,14 @@
 	Notes      []string                         `json:"notes,omitempty"`
 }
 
-// Kept reports whether every promise was kept.
-func (r *Result) Kept() bool {
+// GuaranteesHeld reports whether every promise was kept.
+func (r *Result) GuaranteesHeld() bool {
 	return r.Overspend == 0 && r.DoubleBilled == 0 && r.Unbilled == 0 && r.Lost == 0 && r.Crossed == 0 && r.RanTwice == 0 &&
 		r.NotRunButRan == 0 && r.ConfigReverts == 0 && r.LateNewWork == 0 && r.CutByStop == 0 && r.Answered > 0
 }
 
-// ErrBroken means that a promise was broken.
-var ErrBroken = errors.New("a promise was broken")
+// ErrGuaranteeViolated means that a promise was broken.
+var ErrGuaranteeViolated = errors.New("a promise was broken")
 
 const (
 	changeEvery  = 400 * time.Millisecond
@@ -107,8 +107,8 @@
 	if err := write(cfg, res); err != nil {
 		return err
 	}
-	if !res.Kept() {
-		return ErrBroken
+	if !res.GuaranteesHeld() {
+		return ErrGuaranteeViolated
 	}
 	return nil
 }
@@ -311,7 +311,7 @@
 
 func (r *Result) text(w io.Writer) error {
 	verdictLine := "every promise was kept"
-	if !r.Kept() {
+	if !r.GuaranteesHeld() {
 		verdictLine = "A PROMISE WAS BROKEN"
 	}
 	_, err := fmt.Fprintf(w, `%d requests: %d answered whole, %d not run, %d may have run, %d refused for their budget
--- a/internal/intent/intent_test.go
+++ b/internal/intent/intent_test.go
@@ -42,7 +42,7 @@
 
 func newPlanner(t *testing.T) (*Service, *kv.Server, *etcdstore.Client) {
 	t.Helper()
-	server := kv.New(kv.WithLost(1))
+	server := kv.New(kv.WithLostEvery(1))
 	t.Cleanup(server.Close)
 	wires := inproc.New()
 	wires.Handle("store", server.Handler())
--- a/internal/matrix/caller_test.go
+++ b/internal/matrix/caller_test.go
@@ -122,7 +122,7 @@
 }
 
 func readPayment(r io.Reader) answer {
-	var out plain.Answer
+	var out plain.Response
 	if err := json.NewDecoder(r).Decode(&out); err != nil {
 		return answer{verdict: verdict.MayHaveRun, retry: true}
 	}
--- a/internal/matrix/chatedge_test.go
+++ b/internal/matrix/chatedge_test.go
@@ -56,7 +56,7 @@
 			n, a, b := w.nodes[0], w.engines["zone-a"], w.engines["zone-b"]
 
 			Convey("an endpoint that says in an answer that it leaves gets nothing new", func() {
-				a.Say(engine.Words{Leaving: true})
+				a.SetNotices(engine.Notices{Leaving: true})
 				for i := range 5 {
 					got, _ := w.draft(n, fmt.Sprint("draft ", i))
 					So(got.whole, ShouldBeTrue)
@@ -67,17 +67,17 @@
 
 			Convey("an endpoint that asks for rest gets nothing until it is over", func() {
 				a.Set(engine.Refuse, true)
-				a.Say(engine.Words{Rest: "3"})
+				a.SetNotices(engine.Notices{RetryAfter: "3"})
 				for i := range 5 {
 					got, _ := w.draft(n, fmt.Sprint("draft ", i))
 					So(got.whole, ShouldBeTrue)
 				}
-				So(a.Turned(), ShouldEqual, 1)
+				So(a.Rejected(), ShouldEqual, 1)
 				So(ran(b), ShouldEqual, 5)
 
 				Convey("and where all do, a request is refused at once, as not run, until the first rests no more", func() {
 					b.Set(engine.Refuse, true)
-					b.Say(engine.Words{Rest: "2"})
+					b.SetNotices(engine.Notices{RetryAfter: "2"})
 					w.draft(n, "the one that is turned away")
 					begun := time.Now()
 					got, after := w.draft(n, "one more")
@@ -86,7 +86,7 @@
 					So(got.code, ShouldEqual, verdict.CodeNoEndpoint)
 					So(after, ShouldBeGreaterThan, time.Second)
 					So(after, ShouldBeLessThanOrEqualTo, 4*time.Second)
-					So(a.Turned()+b.Turned(), ShouldEqual, 2)
+					So(a.Rejected()+b.Rejected(), ShouldEqual, 2)
 				})
 			})
 		})
--- a/internal/matrix/world_test.go
+++ b/internal/matrix/world_test.go
@@ -73,7 +73,7 @@
 // newWorldWith makes a world after opt has changed its wiring.
 func newWorldWith(t *testing.T, opt func(*world)) *world {
 	w := &world{
-		t: t, clock: clock.New(), net: meshtest.New(), http: inproc.New(), kv: kv.New(kv.WithLost(1)),
+		t: t, clock: clock.New(), net: meshtest.New(), http: inproc.New(), kv: kv.New(kv.WithLostEvery(1)),
 		engines: make(map[string]*engine.Engine), plains: make(map[string]*plain.Service),
 		key:       "the-key",
 		strike:    func(*node, step.Step) {},
--- a/internal/standin/bundle/bundle.go
+++ b/internal/standin/bundle/bundle.go
@@ -24,13 +24,13 @@
 	Store     string            `json:"store" validate:"required,hostname_port"`   // TCP host:port of the key-value service
 	List      string            `json:"list" validate:"required,hostname_port"`    // of the instance list
 	Faults    string            `json:"faults" validate:"omitempty,hostname_port"` // of the fault switches: POST /NAME/FAULT/on or /off
-	Instances []Listed          `json:"instances" validate:"dive"`                 // what the list says
+	Instances []ListedInstance  `json:"instances" validate:"dive"`                 // what the list says
 	Engines   map[string]Engine `json:"engines" validate:"dive"`
 	Plain     map[string]Plain  `json:"plain" validate:"dive"`
 }
 
-// Listed is one line of the instance list.
-type Listed struct {
+// ListedInstance is one line of the instance list.
+type ListedInstance struct {
 	ID   string `json:"id" validate:"required"`
 	Zone string `json:"zone" validate:"required"`
 	Mesh string `json:"mesh" validate:"required,hostname_port"`
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -40,10 +40,10 @@
 	bytesPerToken = 4
 )
 
-// Words are what an engine reports of itself in its answers.
-type Words struct {
-	Leaving bool   // in all answers: it takes no new work, and will end
-	Rest    string // in answers that turn a request away: for how long it wants no more; empty: it does not say
+// Notices are what an engine reports of itself in its answers.
+type Notices struct {
+	Leaving    bool   // in all answers: it takes no new work, and will end
+	RetryAfter string // in answers that turn a request away: for how long it wants no more; empty: it does not say
 }
 
 // Run is one line of the engine's log.
@@ -69,7 +69,7 @@
 	keep       bool
 
 	mu      sync.Mutex
-	words   Words
+	words   Notices
 	turned  int // requests that it has turned away
 	fence   int64
 	loaded  string
@@ -136,15 +136,15 @@
 	return out
 }
 
-// Say sets what the engine reports of itself in its answers from now on.
-func (e *Engine) Say(w Words) {
+// SetNotices sets what the engine reports of itself in its answers from now on.
+func (e *Engine) SetNotices(w Notices) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.words = w
 }
 
-// Turned is the number of requests that the engine has turned away.
-func (e *Engine) Turned() int {
+// Rejected is the number of requests that the engine has turned away.
+func (e *Engine) Rejected() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.turned
@@ -160,8 +160,8 @@
 	if turned {
 		e.turned++
 	}
-	if turned && e.words.Rest != "" {
-		h.Set("Retry-After", e.words.Rest)
+	if turned && e.words.RetryAfter != "" {
+		h.Set("Retry-After", e.words.RetryAfter)
 	}
 }
 
--- a/internal/standin/kv/kv.go
+++ b/internal/standin/kv/kv.go
@@ -68,8 +68,8 @@
 // Option changes a Server.
 type Option func(*Server)
 
-// WithLost makes the AnswerLost fault strike every n-th write.
-func WithLost(n int64) Option { return func(s *Server) { s.lostEvery = n } }
+// WithLostEvery makes the AnswerLost fault strike every n-th write.
+func WithLostEvery(n int64) Option { return func(s *Server) { s.lostEvery = n } }
 
 // New makes an empty service.
 func New(opts ...Option) *Server {
--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -106,8 +106,8 @@
 	return ch, nil
 }
 
-// Largest returns the largest value under a prefix, and the sum of all, in bytes.
-func (s *Store) Largest(prefix string) (most, total int) {
+// ValueSizes returns the largest value under a prefix, and the sum of all, in bytes.
+func (s *Store) ValueSizes(prefix string) (most, total int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, e := range s.records {
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -27,8 +27,8 @@
 
 const maxBody = 1 << 20
 
-// Answer is what the service says to every call.
-type Answer struct {
+// Response is what the service says to every call.
+type Response struct {
 	RequestID string `json:"request_id"`
 	Path      string `json:"path"`
 	Echo      string `json:"echo"`
@@ -91,5 +91,5 @@
 	}
 	w.Header().Set(chat.HeaderRequestID, named)
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(Answer{RequestID: named, Path: r.URL.Path, Echo: string(body)})
+	_ = json.NewEncoder(w).Encode(Response{RequestID: named, Path: r.URL.Path, Echo: string(body)})
 }
