--- a/internal/bench/balance.go
+++ b/internal/bench/balance.go
@@ -37,10 +37,10 @@
 
 // Times of an ordinary engine, in seconds.
 const (
-	prefill   = 0.25
-	cachedCut = 0.7 // share of the prefill that a cached prefix saves
-	perToken  = 0.02
-	meanTok   = 120.0
+	prefill      = 0.25
+	cachedSaving = 0.7 // share of the prefill that a cached prefix saves
+	perToken     = 0.02
+	meanTokens   = 120.0
 )
 
 // PolicyResult is how one policy did. Times are in milliseconds.
@@ -60,7 +60,7 @@
 	}
 	out := make([]PolicyResult, 0, len(policies))
 	for _, p := range policies {
-		out = append(out, newSim(w, p).run())
+		out = append(out, newSimulation(w, p).run())
 	}
 	return out
 }
@@ -74,8 +74,8 @@
 	served  int
 }
 
-// holds reports whether a prefix is cached, and makes it the newest. evicted is the prefix that had to go, or -1.
-func (e *simEngine) holds(prefix, size int) (hit bool, evicted int) {
+// lookUp reports whether a prefix is cached, and makes it the newest. evicted is the prefix that had to go, or -1.
+func (e *simEngine) lookUp(prefix, size int) (hit bool, evicted int) {
 	if el, ok := e.keys[prefix]; ok {
 		e.cache.MoveToFront(el)
 		return true, -1
@@ -100,15 +100,15 @@
 
 // simRouter is what one instance knows: its own requests exactly, the others' as of its last report, caches by guess.
 type simRouter struct {
-	own   []int
-	known []int // the other routers' requests by engine, as last reported
-	first []float64
-	table *pool.PrefixTable
+	own      []int
+	reported []int // the other routers' requests by engine, as last reported
+	first    []float64
+	table    *pool.PrefixTable
 }
 
 type event struct {
-	at   float64
-	what func(now float64)
+	at  float64
+	fn func(now float64)
 }
 
 type events []event
@@ -133,7 +133,7 @@
 	return e
 }
 
-type sim struct {
+type simulation struct {
 	w       Workload
 	policy  pool.Chooser[pool.Candidate]
 	rng     *rand.Rand
@@ -146,11 +146,11 @@
 	between []float64
 	hits    int
 	ids     []string
-	begun   int
+	started int
 }
 
-func newSim(w Workload, p pool.Chooser[pool.Candidate]) *sim {
-	s := &sim{
+func newSimulation(w Workload, p pool.Chooser[pool.Candidate]) *simulation {
+	s := &simulation{
 		w: w, policy: p,
 		rng:    rand.New(rand.NewPCG(w.Seed, 1)), //nolint:gosec // a simulation
 		choice: rand.New(rand.NewPCG(w.Seed, 2)), //nolint:gosec // a simulation
@@ -166,50 +166,50 @@
 	}
 	for range w.Routers {
 		s.routers = append(s.routers, &simRouter{
-			own: make([]int, w.Engines), known: make([]int, w.Engines), first: make([]float64, w.Engines),
+			own: make([]int, w.Engines), reported: make([]int, w.Engines), first: make([]float64, w.Engines),
 			table: pool.NewPrefixTable(1 << 16),
 		})
 	}
 	return s
 }
 
-func (s *sim) at(t float64, f func(now float64)) { heap.Push(&s.events, event{at: t, what: f}) }
+func (s *simulation) at(t float64, f func(now float64)) { heap.Push(&s.events, event{at: t, fn: f}) }
 
 // rate is how many requests a second make the wanted load.
-func (s *sim) rate() float64 {
+func (s *simulation) rate() float64 {
 	var capacity float64
 	for _, e := range s.engines {
-		service := e.speed * (prefill*1.3 + meanTok*perToken*stretch(s.w.Load))
+		service := e.speed * (prefill*1.3 + meanTokens*perToken*slowdown(s.w.Load))
 		capacity += float64(s.w.Capacity) / service
 	}
 	return s.w.Load * capacity
 }
 
-// stretch is how much longer a token takes on a loaded engine.
-func stretch(load float64) float64 { return 1 + 0.6*load*load }
+// slowdown is how much longer a token takes on a loaded engine.
+func slowdown(load float64) float64 { return 1 + 0.6*load*load }
 
-func (s *sim) run() PolicyResult {
+func (s *simulation) run() PolicyResult {
 	gap := 1 / s.rate()
 	t := 0.0
 	for i := range s.w.Requests {
 		t += s.rng.ExpFloat64() * gap
 		r := simRequest{
-			arrived: t, prefix: int(s.zipf.Uint64()), tokens: 1 + s.rng.ExpFloat64()*meanTok, router: i % s.w.Routers, //nolint:gosec // small
+			arrived: t, prefix: int(s.zipf.Uint64()), tokens: 1 + s.rng.ExpFloat64()*meanTokens, router: i % s.w.Routers, //nolint:gosec // small
 		}
 		s.at(t, func(now float64) { s.arrive(r, now) })
 	}
 	for at := s.w.ReportLag; at < t; at += s.w.ReportLag {
-		s.at(at, func(float64) { s.share() })
+		s.at(at, func(float64) { s.exchangeReports() })
 	}
 	for len(s.events) > 0 {
 		e, _ := heap.Pop(&s.events).(event)
-		e.what(e.at)
+		e.fn(e.at)
 	}
 	return s.result()
 }
 
-// share brings the routers' reports to each other.
-func (s *sim) share() {
+// exchangeReports brings the routers' reports to each other.
+func (s *simulation) exchangeReports() {
 	for _, r := range s.routers {
 		for e := range s.engines {
 			n := 0
@@ -218,18 +218,18 @@
 					n += o.own[e]
 				}
 			}
-			r.known[e] = n
+			r.reported[e] = n
 		}
 	}
 }
 
-func (s *sim) arrive(req simRequest, now float64) {
+func (s *simulation) arrive(req simRequest, now float64) {
 	r := s.routers[req.router]
 	blocks := []uint64{uint64(req.prefix)} //nolint:gosec // small
 	cs := make([]pool.Candidate, len(s.engines))
 	for i := range s.engines {
 		cs[i] = pool.Candidate{
-			ID: s.ids[i], Own: r.own[i], Zone: r.known[i], Limit: s.w.Capacity, FirstToken: r.first[i], Cached: r.table.Share(s.ids[i], blocks),
+			ID: s.ids[i], Own: r.own[i], Zone: r.reported[i], Limit: s.w.Capacity, FirstToken: r.first[i], Cached: r.table.Share(s.ids[i], blocks),
 		}
 	}
 	i := s.policy.Pick(cs, s.choice)
@@ -241,34 +241,34 @@
 		e.queue = append(e.queue, req)
 		return
 	}
-	s.begin(i, req, now)
+	s.start(i, req, now)
 }
 
-func (s *sim) begin(i int, req simRequest, now float64) {
+func (s *simulation) start(i int, req simRequest, now float64) {
 	e := s.engines[i]
 	e.running++
 	load := float64(e.running) / float64(s.w.Capacity)
-	hit, evicted := e.holds(req.prefix, s.w.CacheSize)
-	first := prefill * e.speed * stretch(load)
+	hit, evicted := e.lookUp(req.prefix, s.w.CacheSize)
+	first := prefill * e.speed * slowdown(load)
 	if hit {
-		first *= 1 - cachedCut
+		first *= 1 - cachedSaving
 		s.hits++
 	}
 	if evicted >= 0 && s.rng.Float64() >= s.w.EventLossShare {
 		s.at(now+s.w.EventLag, func(float64) { s.evict(i, evicted) })
 	}
-	token := perToken * e.speed * stretch(load)
-	s.begun++
-	if s.begun > s.w.Requests/10 { // the beginning, when nothing is known, does not count
+	token := perToken * e.speed * slowdown(load)
+	s.started++
+	if s.started > s.w.Requests/10 { // the beginning, when nothing is known, does not count
 		s.first = append(s.first, now+first-req.arrived)
 		s.between = append(s.between, token)
 	}
-	s.at(now+first, func(float64) { s.learn(req.router, i, now+first-req.arrived, load) })
+	s.at(now+first, func(float64) { s.updateEstimate(req.router, i, now+first-req.arrived, load) })
 	s.at(now+first+req.tokens*token, func(end float64) { s.end(i, req, end) })
 }
 
-// learn is the router's estimate of an engine's time to the first token without load.
-func (s *sim) learn(router, engine int, first, load float64) {
+// updateEstimate is the router's estimate of an engine's time to the first token without load.
+func (s *simulation) updateEstimate(router, engine int, first, load float64) {
 	r := s.routers[router]
 	sample := first / (1 + load)
 	if r.first[engine] == 0 {
@@ -278,35 +278,35 @@
 	r.first[engine] += 0.2 * (sample - r.first[engine])
 }
 
-func (s *sim) evict(engine, prefix int) {
+func (s *simulation) evict(engine, prefix int) {
 	for _, r := range s.routers {
 		r.table.Remove(s.ids[engine], uint64(prefix)) //nolint:gosec // small
 	}
 }
 
-func (s *sim) end(i int, req simRequest, now float64) {
+func (s *simulation) end(i int, req simRequest, now float64) {
 	e := s.engines[i]
 	e.running--
 	s.routers[req.router].own[i]--
 	if len(e.queue) > 0 {
 		next := e.queue[0]
 		e.queue = e.queue[1:]
-		s.begin(i, next, now)
+		s.start(i, next, now)
 	}
 }
 
-func (s *sim) result() PolicyResult {
+func (s *simulation) result() PolicyResult {
 	sort.Float64s(s.first)
 	sort.Float64s(s.between)
-	most, sum := 0, 0
+	busiest, total := 0, 0
 	for _, e := range s.engines {
-		most = max(most, e.served)
-		sum += e.served
+		busiest = max(busiest, e.served)
+		total += e.served
 	}
 	return PolicyResult{
 		Policy: s.policy.Name(), FirstP50: 1000 * quantile(s.first, 0.5), FirstP95: 1000 * quantile(s.first, 0.95),
 		BetweenP95: 1000 * quantile(s.between, 0.95), CacheHits: float64(s.hits) / float64(s.w.Requests),
-		Imbalance: float64(most) * float64(len(s.engines)) / float64(max(sum, 1)),
+		Imbalance: float64(busiest) * float64(len(s.engines)) / float64(max(total, 1)),
 	}
 }
 
--- a/internal/bench/budget.go
+++ b/internal/bench/budget.go
@@ -72,37 +72,37 @@
 	return res, nil
 }
 
-type memoryPoint struct{ idle, busy float64 }
+type memoryUse struct{ idle, busy float64 }
 
 // measureMemory draws every budget once and opens a reservation on each. The last size gives the times too.
-func measureMemory(ctx context.Context, n int, res *BudgetResult) (memoryPoint, error) {
+func measureMemory(ctx context.Context, n int, res *BudgetResult) (memoryUse, error) {
 	h, store, row, err := newHolder(ctx, n)
 	if err != nil {
-		return memoryPoint{}, err
+		return memoryUse{}, err
 	}
-	before := inUse() - storeBytes(store)
+	before := memoryInUse() - storeBytes(store)
 	start := time.Now()
-	if err := touchEach(ctx, h, n); err != nil {
-		return memoryPoint{}, err
+	if err := requestEach(ctx, h, n); err != nil {
+		return memoryUse{}, err
 	}
 	res.StartMS = float64(time.Since(start).Milliseconds())
 	h.Tick(ctx)
-	idle := inUse() - storeBytes(store) - before
+	idle := memoryInUse() - storeBytes(store) - before
 	for i := range n {
 		if err := reserve(ctx, h, fmt.Sprintf("busy-%d", i), i); err != nil {
-			return memoryPoint{}, err
+			return memoryUse{}, err
 		}
 	}
-	busy := inUse() - storeBytes(store) - before
+	busy := memoryInUse() - storeBytes(store) - before
 	res.RowBytes = row
 	res.LargestPage, _ = store.ValueSizes(budget.PagePrefix)
 	err = measureReserve(ctx, h, n, res)
 	runtime.KeepAlive(h)
-	return memoryPoint{idle: idle, busy: busy}, err
+	return memoryUse{idle: idle, busy: busy}, err
 }
 
-// touchEach makes one request on every budget, those of a page together, so that few writes serve them.
-func touchEach(ctx context.Context, h *budget.Home, n int) error {
+// requestEach makes one request on every budget, those of a page together, so that few writes serve them.
+func requestEach(ctx context.Context, h *budget.Home, n int) error {
 	byPage := make(map[uint16][]int)
 	for i := range n {
 		p := budget.PageOf(budgetID(i))
--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -30,17 +30,17 @@
 func (l fixedList) Instances(context.Context) ([]external.Instance, error) { return l, nil }
 
 const (
-	controlTime = 1500 * time.Millisecond
-	endpoints   = 52 // of one zone at the letter's size
+	controlTime      = 1500 * time.Millisecond
+	endpointsPerZone = 52 // of one zone at the letter's size
 )
 
-// controlRun is a zone of n instances that beat, and far instances that are only listed.
-func controlRun(n, far int) (cpuShare, bytesPerS, memory float64, err error) {
+// measureZone is a zone of n instances that beat, and far instances that are only listed.
+func measureZone(n, remote int) (cpuShare, bytesPerS, memory float64, err error) {
 	ca, err := mesh.NewAuthority()
 	if err != nil {
 		return 0, 0, 0, err
 	}
-	before := inUse()
+	before := memoryInUse()
 	var ts []*mesh.Transport
 	var routers []*mesh.Router
 	var l fixedList
@@ -63,7 +63,7 @@
 		ts, routers = append(ts, t), append(routers, r)
 		l = append(l, external.Instance{ID: id, Zone: "z", Addr: t.Self().Addr, State: external.StateLive})
 	}
-	for i := range far {
+	for i := range remote {
 		l = append(l, external.Instance{ID: fmt.Sprintf("far-%03d", i), Zone: fmt.Sprintf("y%02d", i%24), Addr: "127.0.0.1:9", State: external.StateLive})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -75,24 +75,24 @@
 		wg.Go(func() { _ = v.Run(ctx) })
 	}
 	time.Sleep(time.Second) // let the links stand
-	startCPU, startBytes, start := cpu(), sent(ts), time.Now()
+	startCPU, startBytes, start := cpuTime(), totalBytesSent(ts), time.Now()
 	time.Sleep(controlTime)
 	took := time.Since(start).Seconds()
-	cpuShare = (cpu() - startCPU).Seconds() / took / float64(n)
-	bytesPerS = float64(sent(ts)-startBytes) / took / float64(n)
-	return cpuShare, bytesPerS, (inUse() - before) / float64(n), nil
+	cpuShare = (cpuTime() - startCPU).Seconds() / took / float64(n)
+	bytesPerS = float64(totalBytesSent(ts)-startBytes) / took / float64(n)
+	return cpuShare, bytesPerS, (memoryInUse() - before) / float64(n), nil
 }
 
 // busyEndpoints is a heartbeat's report when every endpoint of the zone is in use.
 func busyEndpoints() map[string]int {
-	out := make(map[string]int, endpoints)
-	for i := range endpoints {
+	out := make(map[string]int, endpointsPerZone)
+	for i := range endpointsPerZone {
 		out[fmt.Sprintf("engine-%02d", i)] = 3
 	}
 	return out
 }
 
-func sent(ts []*mesh.Transport) int64 {
+func totalBytesSent(ts []*mesh.Transport) int64 {
 	var n int64
 	for _, t := range ts {
 		n += t.BytesSent()
@@ -105,19 +105,19 @@
 	res := &ControlResult{}
 	var cpus, bytes, memory, fleet []Point
 	for _, n := range []int{5, 10, 15, 20} {
-		c, b, m, err := controlRun(n, 0)
+		c, b, m, err := measureZone(n, 0)
 		if err != nil {
 			return nil, err
 		}
 		x := float64(n)
 		cpus, bytes, memory = append(cpus, Point{x, c}), append(bytes, Point{x, b}), append(memory, Point{x, m})
 	}
-	for _, far := range []int{0, 45, 180, 365} {
-		c, _, _, err := controlRun(ReferenceInstancesPerZone, far)
+	for _, remote := range []int{0, 45, 180, 365} {
+		c, _, _, err := measureZone(ReferenceInstancesPerZone, remote)
 		if err != nil {
 			return nil, err
 		}
-		fleet = append(fleet, Point{float64(far), c})
+		fleet = append(fleet, Point{float64(remote), c})
 	}
 	res.CPU = fit("control, processor", "instances in the zone", "share of a core", ReferenceInstancesPerZone, cpus)
 	res.Bytes = fit("control, sent", "instances in the zone", "bytes/s", ReferenceInstancesPerZone, bytes)
--- a/internal/bench/routed.go
+++ b/internal/bench/routed.go
@@ -35,10 +35,10 @@
 }
 
 const (
-	firstRounds = 250
-	flood       = 48
-	floodTokens = 1500
-	callerKey   = "bench-caller"
+	firstTokenRounds  = 250
+	concurrentStreams = 48
+	throughputTokens  = 1500
+	callerKey         = "bench-caller"
 )
 
 // caller asks an endpoint or an instance for streams.
@@ -106,13 +106,13 @@
 
 // MeasureRouted compares direct and routed streams in one run, taken in turns.
 func MeasureRouted(ctx context.Context) (*RoutedResult, error) {
-	b, err := startBed()
+	b, err := startTestbed()
 	if err != nil {
 		return nil, err
 	}
 	defer b.close()
 	res := &RoutedResult{}
-	for _, measure := range []func(context.Context, *bed, *RoutedResult) error{measureFirst, measureFlood, measureStreams} {
+	for _, measure := range []func(context.Context, *testbed, *RoutedResult) error{measureFirstToken, measureThroughput, measureStreamMemory} {
 		if err := measure(ctx, b, res); err != nil {
 			return nil, err
 		}
@@ -122,12 +122,14 @@
 
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
 
-func ms(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+func quantileMillis(h *hdrhistogram.Histogram, q float64) float64 {
+	return float64(h.ValueAtQuantile(q)) / 1000
+}
 
-func measureFirst(ctx context.Context, b *bed, res *RoutedResult) error {
+func measureFirstToken(ctx context.Context, b *testbed, res *RoutedResult) error {
 	direct, routed := newCaller(b.engineURL), newCaller(b.callersURL)
 	fd, fr, gd, gr := histogram(), histogram(), histogram(), histogram()
-	for i := range firstRounds {
+	for i := range firstTokenRounds {
 		for _, side := range []struct {
 			c      *caller
 			fh, gh *hdrhistogram.Histogram
@@ -136,7 +138,7 @@
 			if err != nil {
 				return eris.Wrap(err, "measuring the first token")
 			}
-			if i < firstRounds/10 {
+			if i < firstTokenRounds/10 {
 				continue // connections and code warm up
 			}
 			_ = side.fh.RecordValue(t.first.Microseconds())
@@ -145,23 +147,23 @@
 			}
 		}
 	}
-	res.FirstDirectP50, res.FirstRoutedP50 = ms(fd, 50), ms(fr, 50)
-	res.FirstDirectP95, res.FirstRoutedP95 = ms(fd, 95), ms(fr, 95)
+	res.FirstDirectP50, res.FirstRoutedP50 = quantileMillis(fd, 50), quantileMillis(fr, 50)
+	res.FirstDirectP95, res.FirstRoutedP95 = quantileMillis(fd, 95), quantileMillis(fr, 95)
 	res.AddedP50, res.AddedP95 = res.FirstRoutedP50-res.FirstDirectP50, res.FirstRoutedP95-res.FirstDirectP95
-	res.GapDirectP95, res.GapRoutedP95 = ms(gd, 95), ms(gr, 95)
+	res.GapDirectP95, res.GapRoutedP95 = quantileMillis(gd, 95), quantileMillis(gr, 95)
 	return nil
 }
 
-// measureFlood lets many streams run at once against an engine that generates as fast as it is read.
-func measureFlood(ctx context.Context, b *bed, res *RoutedResult) error {
+// measureThroughput lets many streams run at once against an engine that generates as fast as it is read.
+func measureThroughput(ctx context.Context, b *testbed, res *RoutedResult) error {
 	b.engine.SetTimes(0, 0)
-	defer b.engine.SetTimes(benchFirst, benchPer)
+	defer b.engine.SetTimes(benchFirstToken, benchPerToken)
 	var cpuDirect, cpuRouted float64
 	var err error
-	if res.TokensDirect, cpuDirect, err = floodOf(ctx, newCaller(b.engineURL), 10_000); err != nil {
+	if res.TokensDirect, cpuDirect, err = throughput(ctx, newCaller(b.engineURL), 10_000); err != nil {
 		return err
 	}
-	if res.TokensRouted, cpuRouted, err = floodOf(ctx, newCaller(b.callersURL), 20_000); err != nil {
+	if res.TokensRouted, cpuRouted, err = throughput(ctx, newCaller(b.callersURL), 20_000); err != nil {
 		return err
 	}
 	res.TokenShare = res.TokensRouted / res.TokensDirect
@@ -169,15 +171,15 @@
 	return nil
 }
 
-func floodOf(ctx context.Context, c *caller, from int) (tokensPerS, cpuMicros float64, err error) {
+func throughput(ctx context.Context, c *caller, from int) (tokensPerS, cpuMicros float64, err error) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	total := 0
-	startCPU, start := cpu(), time.Now()
-	for i := range flood {
+	startCPU, start := cpuTime(), time.Now()
+	for i := range concurrentStreams {
 		wg.Go(func() {
 			for k := range 3 {
-				t, serr := c.stream(ctx, from+i*10+k, floodTokens)
+				t, serr := c.stream(ctx, from+i*10+k, throughputTokens)
 				mu.Lock()
 				total += t.tokens
 				if serr != nil {
@@ -192,34 +194,34 @@
 	if total == 0 {
 		return 0, 0, err
 	}
-	return float64(total) / took.Seconds(), float64((cpu() - startCPU).Microseconds()) / float64(total), err
+	return float64(total) / took.Seconds(), float64((cpuTime() - startCPU).Microseconds()) / float64(total), err
 }
 
-// measureStreams holds streams open and weighs them: routed, less what the same streams take direct.
-func measureStreams(ctx context.Context, b *bed, res *RoutedResult) error {
+// measureStreamMemory holds streams open and weighs them: routed, less what the same streams take direct.
+func measureStreamMemory(ctx context.Context, b *testbed, res *RoutedResult) error {
 	b.engine.SetTimes(10*time.Millisecond, 50*time.Millisecond)
-	defer b.engine.SetTimes(benchFirst, benchPer)
+	defer b.engine.SetTimes(benchFirstToken, benchPerToken)
 	sizes := []int{100, 200, 400, 800}
 	points := make([]Point, 0, len(sizes))
 	for i, n := range sizes {
-		direct := openStreams(ctx, newCaller(b.engineURL), n, 100_000*(i+1))
-		routed := openStreams(ctx, newCaller(b.callersURL), n, 1_000_000*(i+1))
+		direct := memoryOfStreams(ctx, newCaller(b.engineURL), n, 100_000*(i+1))
+		routed := memoryOfStreams(ctx, newCaller(b.callersURL), n, 1_000_000*(i+1))
 		points = append(points, Point{float64(n), routed - direct})
 	}
 	res.StreamMemory = fit("memory of an instance", "open streams", "bytes", 920.0/380*6.4, points)
 	return nil
 }
 
-// openStreams holds n streams open and returns the memory that they take, in bytes.
-func openStreams(ctx context.Context, c *caller, n, from int) float64 {
-	before := inUse()
+// memoryOfStreams holds n streams open and returns the memory that they take, in bytes.
+func memoryOfStreams(ctx context.Context, c *caller, n, from int) float64 {
+	before := memoryInUse()
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() { _, _ = c.stream(ctx, from+i, 2000) })
 	}
 	time.Sleep(600 * time.Millisecond)
-	used := inUse() - before
+	used := memoryInUse() - before
 	cancel()
 	wg.Wait()
 	c.http.CloseIdleConnections()
--- a/internal/bench/store.go
+++ b/internal/bench/store.go
@@ -20,7 +20,7 @@
 const (
 	ReferenceRequestRate = 920.0 // a second
 	ReferenceZones       = 25
-	perZone              = 15 // instances
+	instancesPerZone     = 15 // instances
 )
 
 // StoreResult is what the store is asked for, by duty.
@@ -39,39 +39,39 @@
 // The simulated traffic: budgets are popular by Zipf's law; the most popular are drawn on from every zone, the others
 // mostly from their own.
 const (
-	zipfS        = 1.05
-	zipfV        = 20
-	everywhere   = 100  // budgets that are used from every zone
-	awayShare    = 0.01 // of the others' requests come from any zone
-	costTokens   = 348  // 320,000 tokens a second over 920 requests
-	reserveMost  = 1_000
-	warmSeconds  = 30
-	countSeconds = 20
-	storeFlush   = 5 * time.Second
-	storeBeat    = 10 * time.Second
+	zipfS              = 1.05
+	zipfV              = 20
+	globalBudgets      = 100  // budgets that are used from every zone
+	defaultRemoteShare = 0.01 // of the others' requests come from any zone
+	tokensPerRequest   = 348  // 320,000 tokens a second over 920 requests
+	reservedTokens     = 1_000
+	warmUpSeconds      = 30
+	measuredSeconds    = 20
+	flushInterval      = 5 * time.Second
+	refreshInterval    = 10 * time.Second
 )
 
-const assumption = "Zipf s=1.05 v=20 over 80,000 budgets; the first 100 from every zone, the others from their own zone but for 1%; " +
+const assumptions = "Zipf s=1.05 v=20 over 80,000 budgets; the first 100 from every zone, the others from their own zone but for 1%; " +
 	"15 instances a zone, 4 of them holders; every budget used in its zone before; 30 s of traffic to warm, 20 s counted"
 
 // storeSim is every holder of the fleet on one store, without the wires.
 type storeSim struct {
-	clock *clock.Clock
-	store *external.Meter
-	mem   *memstore.Store
-	zones [][]mesh.Peer
-	homes map[string]*budget.Home
-	rng   *rand.Rand
-	zipf  *rand.Zipf
-	n     int
-	miss  int
-	away  float64 // share of requests that come from a foreign zone
+	clock       *clock.Clock
+	store       *external.Meter
+	mem         *memstore.Store
+	zones       [][]mesh.Peer
+	homes       map[string]*budget.Home
+	rng         *rand.Rand
+	zipf        *rand.Zipf
+	requests    int
+	rejected    int
+	remoteShare float64 // share of requests that come from a foreign zone
 }
 
-func newStoreSim(ctx context.Context, zones, budgets int, away float64) (*storeSim, error) {
+func newStoreSim(ctx context.Context, zones, budgets int, remoteShare float64) (*storeSim, error) {
 	s := &storeSim{
-		away:  away,
-		clock: clock.New(), mem: memstore.New(), homes: make(map[string]*budget.Home),
+		remoteShare: remoteShare,
+		clock:       clock.New(), mem: memstore.New(), homes: make(map[string]*budget.Home),
 		rng: rand.New(rand.NewPCG(7, 7)), //nolint:gosec // a simulation
 	}
 	s.store = external.NewMeter(s.mem)
@@ -80,10 +80,10 @@
 		return nil, err
 	}
 	times := budget.DefaultTimes()
-	times.Flush, times.Beat = storeFlush, storeBeat
+	times.Flush, times.Beat = flushInterval, refreshInterval
 	times.Dead = time.Hour // nobody dies here
 	for z := range zones {
-		peers := peersOf(fmt.Sprintf("z%02d", z), perZone)
+		peers := peersOf(fmt.Sprintf("z%02d", z), instancesPerZone)
 		s.zones = append(s.zones, peers)
 		for _, p := range peers {
 			s.homes[p.ID] = budget.NewHome(s.store, fixedMembers{self: p, zone: peers}, nil, mesh.NewRouter(), noStopper{},
@@ -93,8 +93,8 @@
 	return s, nil
 }
 
-// second plays one second of traffic.
-func (s *storeSim) second(ctx context.Context, requests int) error {
+// simulateSecond plays one simulateSecond of traffic.
+func (s *storeSim) simulateSecond(ctx context.Context, requests int) error {
 	step := time.Second / time.Duration(max(requests, 1))
 	for range requests {
 		s.clock.Advance(step)
@@ -111,46 +111,46 @@
 func (s *storeSim) request(ctx context.Context) error {
 	rank := int(s.zipf.Uint64()) //nolint:gosec // below the number of budgets
 	zone := rank % len(s.zones)
-	if rank < everywhere || s.rng.Float64() < s.away {
+	if rank < globalBudgets || s.rng.Float64() < s.remoteShare {
 		zone = s.rng.IntN(len(s.zones))
 	}
 	return s.requestFor(ctx, rank, zone)
 }
 
 func (s *storeSim) requestFor(ctx context.Context, rank, zone int) error {
-	s.n++
-	return s.play(ctx, fmt.Sprintf("r-%d", s.n), rank, zone, s.zones[zone][s.rng.IntN(perZone)])
+	s.requests++
+	return s.reserveAndSettle(ctx, fmt.Sprintf("r-%d", s.requests), rank, zone, s.zones[zone][s.rng.IntN(instancesPerZone)])
 }
 
-// touch makes a request of a budget at both of its homes: that of the zone, and that of requests which the zone's home
+// requestAtBothHomes makes a request of a budget at both of its homes: that of the zone, and that of requests which the zone's home
 // serves itself.
-func (s *storeSim) touch(ctx context.Context, req string, rank int, client mesh.Peer) error {
+func (s *storeSim) requestAtBothHomes(ctx context.Context, req string, rank int, client mesh.Peer) error {
 	zone := rank % len(s.zones)
-	if err := s.play(ctx, req, rank, zone, client); err != nil {
+	if err := s.reserveAndSettle(ctx, req, rank, zone, client); err != nil {
 		return err
 	}
 	home := budget.Homes(budgetID(rank), s.zones[zone], client.ID)[0]
-	return s.play(ctx, req+"-own", rank, zone, home)
+	return s.reserveAndSettle(ctx, req+"-own", rank, zone, home)
 }
 
-func (s *storeSim) play(ctx context.Context, req string, rank, zone int, client mesh.Peer) error {
+func (s *storeSim) reserveAndSettle(ctx context.Context, req string, rank, zone int, client mesh.Peer) error {
 	id := budgetID(rank)
 	peers := s.zones[zone]
 	h := s.homes[budget.Homes(id, peers, client.ID)[0].ID]
 	_, err := h.Reserve(ctx, client.Who(), budget.ReserveReq{
-		Request: req, Budget: id, Customer: benchCustomer, Tokens: reserveMost, Place: budget.Place{Run: req},
+		Request: req, Budget: id, Customer: benchCustomer, Tokens: reservedTokens, Place: budget.Place{Run: req},
 	})
 	if err != nil {
 		if verdict.Of(err) == verdict.NotRun {
-			s.miss++
+			s.rejected++
 			return nil
 		}
 		return err
 	}
-	return h.Settle(ctx, budget.SettleReq{Request: req, Budget: id, Run: req, Holder: h.Holder(), Tokens: costTokens})
+	return h.Settle(ctx, budget.SettleReq{Request: req, Budget: id, Run: req, Holder: h.Holder(), Tokens: tokensPerRequest})
 }
 
-func sum(calls map[external.Duty]external.Calls) (out external.Calls) {
+func totalCalls(calls map[external.Duty]external.Calls) (out external.Calls) {
 	for _, c := range calls {
 		out.Writes += c.Writes
 		out.Reads += c.Reads
@@ -161,42 +161,42 @@
 
 // storeRun is what one simulation has counted.
 type storeRun struct {
-	calls   map[external.Duty]external.Calls
-	refused int
-	page    int
+	calls       map[external.Duty]external.Calls
+	refused     int
+	largestPage int
 }
 
-func runStore(ctx context.Context, rate int, away float64) (storeRun, error) {
-	s, err := newStoreSim(ctx, ReferenceZones, ReferenceBudgets, away)
+func runStore(ctx context.Context, rate int, remoteShare float64) (storeRun, error) {
+	s, err := newStoreSim(ctx, ReferenceZones, ReferenceBudgets, remoteShare)
 	if err != nil {
 		return storeRun{}, err
 	}
-	calls, err := s.count(ctx, rate)
+	calls, err := s.measure(ctx, rate)
 	if err != nil {
 		return storeRun{}, err
 	}
-	most, _ := s.mem.ValueSizes(budget.PagePrefix)
-	return storeRun{calls: calls, refused: s.miss, page: most}, nil
+	largest, _ := s.mem.ValueSizes(budget.PagePrefix)
+	return storeRun{calls: calls, refused: s.rejected, largestPage: largest}, nil
 }
 
 // MeasureStore counts the calls of the fleet's holders at several request rates.
 func MeasureStore(ctx context.Context) (*StoreResult, error) {
-	res := &StoreResult{Seconds: countSeconds, Assumptions: assumption}
+	res := &StoreResult{Seconds: measuredSeconds, Assumptions: assumptions}
 	var writes, reads, bytes []Point
 	rates := []float64{230, 460, 690, ReferenceRequestRate}
 	runs := make([]storeRun, len(rates))
 	shares := []float64{0, 0.05, 0.1} // and awayShare, which the runs by rate have
-	away := make([]storeRun, len(shares))
+	remoteRuns := make([]storeRun, len(shares))
 	var g errgroup.Group
 	for i, share := range shares {
 		g.Go(func() (err error) {
-			away[i], err = runStore(ctx, int(ReferenceRequestRate), share)
+			remoteRuns[i], err = runStore(ctx, int(ReferenceRequestRate), share)
 			return err
 		})
 	}
 	for i, rate := range rates {
 		g.Go(func() (err error) {
-			runs[i], err = runStore(ctx, int(rate), awayShare)
+			runs[i], err = runStore(ctx, int(rate), defaultRemoteShare)
 			return err
 		})
 	}
@@ -204,26 +204,26 @@
 		return nil, err
 	}
 	for i, run := range runs {
-		all := sum(run.calls)
-		writes = append(writes, Point{rates[i], float64(all.Writes) / countSeconds})
-		reads = append(reads, Point{rates[i], float64(all.Reads) / countSeconds})
-		bytes = append(bytes, Point{rates[i], float64(all.Bytes) / countSeconds})
-		res.ByDuty, res.Refused, res.LargestPage = run.calls, run.refused, run.page
+		all := totalCalls(run.calls)
+		writes = append(writes, Point{rates[i], float64(all.Writes) / measuredSeconds})
+		reads = append(reads, Point{rates[i], float64(all.Reads) / measuredSeconds})
+		bytes = append(bytes, Point{rates[i], float64(all.Bytes) / measuredSeconds})
+		res.ByDuty, res.Refused, res.LargestPage = run.calls, run.refused, run.largestPage
 	}
-	foreign := []Point{{awayShare, writes[len(writes)-1].Y}}
-	for i, run := range away {
-		foreign = append(foreign, Point{shares[i], float64(sum(run.calls).Writes) / countSeconds})
+	remotePoints := []Point{{defaultRemoteShare, writes[len(writes)-1].Y}}
+	for i, run := range remoteRuns {
+		remotePoints = append(remotePoints, Point{shares[i], float64(totalCalls(run.calls).Writes) / measuredSeconds})
 	}
-	res.WritesByRemoteShare = fit("store writes by the share of requests from a foreign zone", "share", "writes/s", awayShare, foreign)
+	res.WritesByRemoteShare = fit("store writes by the share of requests from a foreign zone", "share", "writes/s", defaultRemoteShare, remotePoints)
 	res.Writes = fit("store writes", "requests/s", "writes/s", ReferenceRequestRate, writes)
 	res.Reads = fit("store reads", "requests/s", "reads/s", ReferenceRequestRate, reads)
 	res.Bytes = fit("bytes read and written", "requests/s", "bytes/s", ReferenceRequestRate, bytes)
 	return res, nil
 }
 
-// touchAll makes one request for every budget in its own zone, as hours of traffic would have, and lets the holders
+// requestEveryBudget makes one request for every budget in its own zone, as hours of traffic would have, and lets the holders
 // write what follows.
-func (s *storeSim) touchAll(ctx context.Context) error {
+func (s *storeSim) requestEveryBudget(ctx context.Context) error {
 	type group struct {
 		page uint16
 		zone int
@@ -236,16 +236,16 @@
 	for _, ranks := range byPage { // together, so that few writes serve them
 		var g errgroup.Group
 		for _, rank := range ranks {
-			s.n++
+			s.requests++
 			req := fmt.Sprintf("first-%d", rank)
-			client := s.zones[rank%len(s.zones)][s.rng.IntN(perZone)]
-			g.Go(func() error { return s.touch(ctx, req, rank, client) })
+			client := s.zones[rank%len(s.zones)][s.rng.IntN(instancesPerZone)]
+			g.Go(func() error { return s.requestAtBothHomes(ctx, req, rank, client) })
 		}
 		if err := g.Wait(); err != nil {
 			return err
 		}
 	}
-	for range 2 * int(storeBeat/time.Second) {
+	for range 2 * int(refreshInterval/time.Second) {
 		s.clock.Advance(time.Second)
 		for _, h := range s.homes {
 			h.Tick(ctx)
@@ -254,19 +254,19 @@
 	return nil
 }
 
-// count warms the holders and returns the calls of the time after.
-func (s *storeSim) count(ctx context.Context, rate int) (map[external.Duty]external.Calls, error) {
-	if err := s.touchAll(ctx); err != nil {
+// measure warms the holders and returns the calls of the time after.
+func (s *storeSim) measure(ctx context.Context, rate int) (map[external.Duty]external.Calls, error) {
+	if err := s.requestEveryBudget(ctx); err != nil {
 		return nil, err
 	}
-	for range warmSeconds {
-		if err := s.second(ctx, rate); err != nil {
+	for range warmUpSeconds {
+		if err := s.simulateSecond(ctx, rate); err != nil {
 			return nil, err
 		}
 	}
 	before := s.store.Calls()
-	for range countSeconds {
-		if err := s.second(ctx, rate); err != nil {
+	for range measuredSeconds {
+		if err := s.simulateSecond(ctx, rate); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/bench/bed.go
+++ b/internal/bench/testbed.go
@@ -23,16 +23,16 @@
 )
 
 const (
-	benchModel    = "bench"
-	benchFirst    = 5 * time.Millisecond
-	benchPer      = time.Millisecond
-	benchOperator = "bench-operator"
-	bedSettle     = 1500 * time.Millisecond
+	benchModel      = "bench"
+	benchFirstToken = 5 * time.Millisecond
+	benchPerToken   = time.Millisecond
+	benchOperator   = "bench-operator"
+	startupWait     = 1500 * time.Millisecond
 )
 
-// bed is one engine, the platform's stand-ins and two instances on loopback. Two, so that the budget's holder is
+// testbed is one engine, the platform's stand-ins and two instances on loopback. Two, so that the budget's holder is
 // another process than the serving instance, as it is in earnest.
-type bed struct {
+type testbed struct {
 	engine     *engine.Engine
 	kv         *kv.Server
 	servers    []*standin.Server
@@ -42,8 +42,8 @@
 	callersURL string
 }
 
-func startBed() (*bed, error) {
-	b := &bed{engine: engine.New(benchModel, engine.WithTimes(benchFirst, benchPer), engine.WithCapacity(100_000), engine.WithoutLog()), kv: kv.New()}
+func startTestbed() (*testbed, error) {
+	b := &testbed{engine: engine.New(benchModel, engine.WithTimes(benchFirstToken, benchPerToken), engine.WithCapacity(100_000), engine.WithoutLog()), kv: kv.New()}
 	var urls []string
 	l := list.New()
 	for _, h := range []http.Handler{b.engine.Handler(), b.kv.Handler(), l.Handler()} {
@@ -73,8 +73,8 @@
 		l.Set(external.Instance{ID: id, Zone: "zone", Addr: in.Peer().Addr, State: external.StateLive})
 	}
 	b.callersURL = "http://" + b.instances[0].CallersAddr()
-	time.Sleep(bedSettle)
-	return b, b.declare()
+	time.Sleep(startupWait)
+	return b, b.applyConfig()
 }
 
 func startInstance(ca *mesh.Authority, id, store, list string) (*instance.Instance, error) {
@@ -91,8 +91,8 @@
 	return instance.New(&set)
 }
 
-// declare plans and confirms the bed's configuration.
-func (b *bed) declare() error {
+// applyConfig plans and confirms the bed's configuration.
+func (b *testbed) applyConfig() error {
 	in := intent.Intent{
 		Apply: declare.Declarations{
 			Zones: map[string]declare.Zone{"zone": {Region: "region"}},
@@ -117,7 +117,7 @@
 	return b.post("/v1/plans/"+p.ID+"/confirm", struct{}{}, &r)
 }
 
-func (b *bed) post(path string, in, out any) error {
+func (b *testbed) post(path string, in, out any) error {
 	data, err := json.Marshal(in)
 	if err != nil {
 		return eris.Wrap(err, "encoding")
@@ -139,7 +139,7 @@
 	return json.Unmarshal(body, out)
 }
 
-func (b *bed) close() {
+func (b *testbed) close() {
 	for i, in := range b.instances {
 		in.Kill()
 		<-b.done[i]
--- a/internal/bench/usage.go
+++ b/internal/bench/usage.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// cpu is the processor time that this process has used.
-func cpu() time.Duration {
+// cpuTime is the processor time that this process has used.
+func cpuTime() time.Duration {
 	var ru syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &ru) != nil {
 		return 0
@@ -15,8 +15,8 @@
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano())
 }
 
-// inUse is the memory in use after a collection, in bytes, with the stacks of goroutines.
-func inUse() float64 {
+// memoryInUse is the memory in use after a collection, in bytes, with the stacks of goroutines.
+func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var ms runtime.MemStats
--- a/internal/demo/audit.go
+++ b/internal/demo/audit.go
@@ -36,20 +36,20 @@
 }
 
 func (a *audit) note(format string, args ...any) {
-	const most = 20
-	if len(a.Notes) < most {
+	const maxNotes = 20
+	if len(a.Notes) < maxNotes {
 		a.Notes = append(a.Notes, fmt.Sprintf(format, args...))
 	}
 }
 
 // ranPrompts finds what the engines ran for each answer text: how often, and the most that a run cost.
-type ranPrompt struct {
+type promptRuns struct {
 	runs int
 	cost int64
 }
 
-func (f *fleet) ranByText() map[uint64]ranPrompt {
-	out := make(map[uint64]ranPrompt)
+func (f *fleet) runsByText() map[uint64]promptRuns {
+	out := make(map[uint64]promptRuns)
 	for _, e := range f.engines {
 		for _, r := range e.engine.Log() {
 			p := out[r.Text]
@@ -67,9 +67,9 @@
 }
 
 // runAudit checks every promise.
-func runAudit(ctx context.Context, s *scene, calls []*call) (*audit, error) {
+func runAudit(ctx context.Context, s *scenario, calls []*call) (*audit, error) {
 	a := &audit{crashed: s.f.hasCrashed()}
-	ran := s.f.ranByText()
+	ran := s.f.runsByText()
 	a.checkAnswers(calls, ran, s.f)
 	a.checkPayments(calls, s.f)
 	a.checkDrains(s)
@@ -79,30 +79,30 @@
 	return a, nil
 }
 
-func (a *audit) checkAnswers(calls []*call, ran map[uint64]ranPrompt, f *fleet) {
+func (a *audit) checkAnswers(calls []*call, ran map[uint64]promptRuns, f *fleet) {
 	for _, c := range calls {
 		if len(c.verdicts) == 0 {
 			a.Lost++
 			a.note("lost: call %d has no verdict", c.serial)
 		}
-		if c.whole && c.text != c.expected() {
+		if c.complete && c.text != c.expectedText() {
 			a.Crossed++
 			a.note("crossed: call %d got another answer", c.serial)
 		}
-		if c.cut {
+		if c.cutByStop {
 			a.CutByStop++
 			a.note("cut: call %d was broken by a planned stop", c.serial)
 		}
-		if !c.everRan() && a.ranAnyway(c, ran, f) {
+		if !c.mayHaveRun() && a.hasRun(c, ran, f) {
 			a.NotRunButRan++
 			a.note("not run: call %d (%s) ran all the same", c.serial, c.id)
 		}
 	}
 }
 
-func (a *audit) ranAnyway(c *call, ran map[uint64]ranPrompt, f *fleet) bool {
+func (a *audit) hasRun(c *call, ran map[uint64]promptRuns, f *fleet) bool {
 	switch c.kind {
-	case chatStream, chatWhole:
+	case chatStream, chatNonStreaming:
 		return ran[textHash(c)].runs > 0
 	default:
 		return f.plainRuns(string(c.body())) > 0
@@ -112,7 +112,7 @@
 // plainRuns is how often the plain services ran a body.
 func (f *fleet) plainRuns(body string) int {
 	n := 0
-	for _, p := range f.plains {
+	for _, p := range f.plainServices {
 		n += p.Runs(body)
 	}
 	return n
@@ -130,7 +130,7 @@
 	}
 }
 
-func (a *audit) checkDrains(s *scene) {
+func (a *audit) checkDrains(s *scenario) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, d := range s.drains {
@@ -152,7 +152,7 @@
 type bounds struct{ low, high int64 }
 
 // checkBills compares what the store says was spent with what the callers got and the endpoints ran.
-func (a *audit) checkBills(ctx context.Context, f *fleet, calls []*call, ran map[uint64]ranPrompt) error {
+func (a *audit) checkBills(ctx context.Context, f *fleet, calls []*call, ran map[uint64]promptRuns) error {
 	want := make(map[string]*bounds)
 	charged := f.chargesByID()
 	for _, c := range calls {
@@ -167,7 +167,7 @@
 		a.checkCharges(c, charged, low, high)
 	}
 	for i := range customers {
-		for k := range budgetsPerClient {
+		for k := range budgetsPerCustomer {
 			if err := a.checkBudget(ctx, f, budgetName(i, k), depositOf(i, k), want[budgetName(i, k)]); err != nil {
 				return err
 			}
@@ -188,7 +188,7 @@
 		a.DoubleBilled++
 		a.note("double: call %d (%s) has %d charges", c.serial, c.id, len(bills))
 	}
-	if c.whole && len(bills) == 0 && !a.crashed {
+	if c.complete && len(bills) == 0 && !a.crashed {
 		a.Unbilled++
 		a.note("unbilled: call %d (%s) was answered whole", c.serial, c.id)
 	}
@@ -201,18 +201,18 @@
 
 // billBounds is what the call must and may cost: exactly its price if it was answered whole; nothing if it has not run;
 // up to what the endpoint ran otherwise.
-func (c *call) billBounds(ran map[uint64]ranPrompt, f *fleet) (low, high int64) {
-	if c.whole {
+func (c *call) billBounds(ran map[uint64]promptRuns, f *fleet) (low, high int64) {
+	if c.complete {
 		return c.price(), c.price()
 	}
-	if !c.everRan() {
+	if !c.mayHaveRun() {
 		return 0, 0
 	}
 	if c.kind == payment || c.kind == lookup {
 		if f.plainRuns(string(c.body())) > 0 {
-			return 0, c.need
+			return 0, c.maxCost
 		}
-		return 0, c.need // a call that may have run is billed
+		return 0, c.maxCost // a call that may have run is billed
 	}
 	return 0, ran[textHash(c)].cost
 }
@@ -243,7 +243,7 @@
 	}
 	a.Billed += v.Spent
 	a.Held += held
-	a.compare(name, bill{spent: v.Spent, held: held, deposited: deposited}, *want)
+	a.checkBill(name, bill{spent: v.Spent, held: held, deposited: deposited}, *want)
 	return nil
 }
 
@@ -254,8 +254,8 @@
 	deposited int64
 }
 
-// compare judges a budget's bill.
-func (a *audit) compare(name string, b bill, want bounds) {
+// checkBill judges a budget's bill.
+func (a *audit) checkBill(name string, b bill, want bounds) {
 	if b.spent > b.deposited {
 		a.Overspend += b.spent - b.deposited
 		a.note("overspend: budget %s spent %d of %d", name, b.spent, b.deposited)
@@ -295,11 +295,11 @@
 			return false
 		}
 	}
-	return f.deadGrants(ctx) == 0
+	return f.countDeadGrants(ctx) == 0
 }
 
-// deadGrants counts grants of holders that do not live any more.
-func (f *fleet) deadGrants(ctx context.Context) int {
+// countDeadGrants counts grants of holders that do not live any more.
+func (f *fleet) countDeadGrants(ctx context.Context) int {
 	alive := make(map[string]bool)
 	for _, n := range f.live("") {
 		alive[n.in.Home().Holder()] = true
@@ -329,18 +329,18 @@
 	return n
 }
 
-func countVerdicts(calls []*call) (whole, notRun, mayHave, refusedBudget int) {
+func countVerdicts(calls []*call) (complete, notRun, mayHave, refusedBudget int) {
 	for _, c := range calls {
 		switch {
-		case c.whole:
-			whole++
-		case c.code == verdict.CodeBudgetExhausted && !c.everRan():
+		case c.complete:
+			complete++
+		case c.code == verdict.CodeBudgetExhausted && !c.mayHaveRun():
 			refusedBudget++
-		case !c.everRan():
+		case !c.mayHaveRun():
 			notRun++
 		default:
 			mayHave++
 		}
 	}
-	return whole, notRun, mayHave, refusedBudget
+	return complete, notRun, mayHave, refusedBudget
 }
--- a/internal/demo/audit_test.go
+++ b/internal/demo/audit_test.go
@@ -10,13 +10,13 @@
 // crashed: the store's answer was lost" of its last write of charges: the store had taken it, and its sums were right. In another a
 // payment that the crashed instance had sent stayed held ("its run's fate is unknown"), as it must until an operator releases it.
 func TestAuditOfCrashes(t *testing.T) {
-	call := &call{id: "k-1", kind: payment, whole: true}
+	call := &call{id: "k-1", kind: payment, complete: true}
 	const price = 40
 	audited := func(crashed bool, b bill) *audit {
 		a := &audit{crashed: crashed}
 		a.checkCharges(call, nil, price, price)
 		b.deposited = 1000
-		a.compare("budget", b, bounds{low: price, high: price})
+		a.checkBill("budget", b, bounds{low: price, high: price})
 		return a
 	}
 	Convey("An answered call without a charge is unbilled", t, func() {
--- a/internal/demo/caller.go
+++ b/internal/demo/caller.go
@@ -25,38 +25,38 @@
 
 const (
 	chatStream callKind = iota
-	chatWhole
+	chatNonStreaming
 	lookup
 	payment
 )
 
 // call is one request of a caller with everything that the auditor needs.
 type call struct {
-	serial   int
-	kind     callKind
-	customer int
-	budget   string
-	key      string // idempotency key, or empty
-	prompt   string
-	limit    int64
-	need     int64
+	serial    int
+	kind      callKind
+	customer  int
+	budget    string
+	key       string // idempotency key, or empty
+	prompt    string
+	maxTokens int64
+	maxCost   int64
 
 	// How it ended.
-	tries    int
-	verdicts []verdict.Verdict
-	code     verdict.Code
-	whole    bool
-	text     string
-	id       string
-	cut      bool // a planned stop broke it
-
-	turnedAway int
-	started    time.Time
-	ended      time.Time
-	first      time.Duration
+	attempts  int
+	verdicts  []verdict.Verdict
+	code      verdict.Code
+	complete  bool
+	text      string
+	id        string
+	cutByStop bool // a planned stop broke it
+
+	refusedCount int
+	started      time.Time
+	ended        time.Time
+	firstToken   time.Duration
 }
 
-func (c *call) last() verdict.Verdict {
+func (c *call) lastVerdict() verdict.Verdict {
 	if len(c.verdicts) == 0 {
 		return verdict.MayHaveRun
 	}
@@ -64,10 +64,10 @@
 }
 
 // refusals is how often the call was refused as not run, with an instance at the other end.
-func (c *call) refusals() int { return c.turnedAway }
+func (c *call) refusals() int { return c.refusedCount }
 
-// everRan reports whether any try may have run.
-func (c *call) everRan() bool {
+// mayHaveRun reports whether any try may have run.
+func (c *call) mayHaveRun() bool {
 	for _, v := range c.verdicts {
 		if v != verdict.NotRun {
 			return true
@@ -76,33 +76,33 @@
 	return false
 }
 
-// habits are faults on the callers' side.
-type habits struct {
-	mu        sync.Mutex
-	hangUp    bool // some callers hang up in mid-stream and do not come back
-	comeBack  bool // some hang up and ask again with the same key
-	elsewhere bool // and ask in the other zone
+// behavior are faults on the callers' side.
+type behavior struct {
+	mu                sync.Mutex
+	disconnect        bool // some callers hang up in mid-stream and do not come back
+	retryDisconnected bool // some hang up and ask again with the same key
+	retryElsewhere    bool // and ask in the other zone
 }
 
-func (h *habits) set(f func(*habits)) {
+func (h *behavior) set(f func(*behavior)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f(h)
 }
 
-func (h *habits) get() habits {
+func (h *behavior) get() behavior {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return habits{hangUp: h.hangUp, comeBack: h.comeBack, elsewhere: h.elsewhere}
+	return behavior{disconnect: h.disconnect, retryDisconnected: h.retryDisconnected, retryElsewhere: h.retryElsewhere}
 }
 
 // callers make requests until their context ends, and keep a record of each.
 type callers struct {
-	f      *fleet
-	seed   uint64
-	habits habits
-	http   *http.Client
-	books  *books
+	f        *fleet
+	seed     uint64
+	behavior behavior
+	http     *http.Client
+	accounts *accounts
 
 	mu     sync.Mutex
 	serial int
@@ -111,16 +111,16 @@
 
 func newCallers(f *fleet, seed uint64) *callers {
 	t := &http.Transport{MaxIdleConnsPerHost: 64}
-	return &callers{f: f, seed: seed, http: &http.Client{Transport: t}, books: newBooks()}
+	return &callers{f: f, seed: seed, http: &http.Client{Transport: t}, accounts: newAccounts()}
 }
 
 const (
 	workersPerZone = 8
 	retryPause     = 40 * time.Millisecond
-	callLimit      = 25 * time.Second
-	triesLimit     = 40
-	longWait       = 2 // seconds that no caller waits for
-	patience       = 3 // refusals after which a caller comes back another day
+	callTimeout    = 25 * time.Second
+	maxAttempts    = 40
+	maxRetryAfter  = 2 // seconds that no caller waits for
+	maxRefusals    = 3 // refusals after which a caller comes back another day
 )
 
 // run makes requests from every zone until ctx ends, then waits for those in progress.
@@ -131,7 +131,7 @@
 			rng := rand.New(rand.NewPCG(c.seed, uint64(z*workersPerZone+w))) //nolint:gosec // test load
 			wg.Go(func() {
 				for ctx.Err() == nil {
-					c.one(zone, rng)
+					c.runCall(zone, rng)
 				}
 			})
 		}
@@ -139,20 +139,20 @@
 	wg.Wait()
 }
 
-func (c *callers) next(rng *rand.Rand) *call {
+func (c *callers) newCall(rng *rand.Rand) *call {
 	c.mu.Lock()
 	c.serial++
 	serial := c.serial
 	c.mu.Unlock()
 	cl := &call{serial: serial, customer: rng.IntN(customers), started: time.Now()}
-	cl.budget = budgetName(cl.customer, rng.IntN(budgetsPerClient))
+	cl.budget = budgetName(cl.customer, rng.IntN(budgetsPerCustomer))
 	cl.prompt = fmt.Sprintf("request %d: please summarise report %d", serial, rng.IntN(1000))
-	cl.limit = int64(8 + rng.IntN(40))
+	cl.maxTokens = int64(8 + rng.IntN(40))
 	switch n := rng.IntN(100); {
 	case n < 55:
 		cl.kind = chatStream
 	case n < 70:
-		cl.kind = chatWhole
+		cl.kind = chatNonStreaming
 	case n < 85:
 		cl.kind = lookup
 	default:
@@ -161,11 +161,11 @@
 	if cl.kind == payment || rng.IntN(2) == 0 {
 		cl.key = fmt.Sprintf("key-%d-%d", c.seed, serial)
 	}
-	cl.need = c.cost(cl)
+	cl.maxCost = c.maxCostOf(cl)
 	return cl
 }
 
-func (c *callers) cost(cl *call) int64 {
+func (c *callers) maxCostOf(cl *call) int64 {
 	switch cl.kind {
 	case payment:
 		return 40
@@ -185,7 +185,7 @@
 		return []byte(fmt.Sprintf(`{"order":%q}`, c.prompt))
 	}
 	return []byte(fmt.Sprintf(`{"model":%q,"stream":%v,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
-		modelName, c.kind == chatStream, c.limit, c.prompt))
+		modelName, c.kind == chatStream, c.maxTokens, c.prompt))
 }
 
 func (c *call) path() string {
@@ -199,27 +199,27 @@
 	}
 }
 
-// one makes a call, and makes it again with its key while that is allowed and useful.
-func (c *callers) one(zone string, rng *rand.Rand) {
-	cl := c.next(rng)
-	c.books.begin(cl)
-	h := c.habits.get()
-	hangUp := (h.hangUp || h.comeBack) && cl.kind == chatStream && rng.IntN(3) == 0
-	ctx, cancel := context.WithTimeout(context.Background(), callLimit)
+// runCall makes a call, and makes it again with its key while that is allowed and useful.
+func (c *callers) runCall(zone string, rng *rand.Rand) {
+	cl := c.newCall(rng)
+	c.accounts.callStarted(cl)
+	h := c.behavior.get()
+	disconnect := (h.disconnect || h.retryDisconnected) && cl.kind == chatStream && rng.IntN(3) == 0
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	for cl.tries < triesLimit && cl.refusals() < patience && ctx.Err() == nil {
-		cl.tries++
-		again := c.try(ctx, cl, zone, rng, hangUp && cl.tries == 1)
-		if hangUp && cl.tries == 1 && cl.last() != verdict.NotRun {
-			if cl.key == "" || !h.comeBack {
+	for cl.attempts < maxAttempts && cl.refusals() < maxRefusals && ctx.Err() == nil {
+		cl.attempts++
+		retry := c.attempt(ctx, cl, zone, rng, disconnect && cl.attempts == 1)
+		if disconnect && cl.attempts == 1 && cl.lastVerdict() != verdict.NotRun {
+			if cl.key == "" || !h.retryDisconnected {
 				break
 			}
-			if h.elsewhere {
+			if h.retryElsewhere {
 				zone = otherZone(zone)
 			}
 			continue
 		}
-		if !again {
+		if !retry {
 			break
 		}
 		select {
@@ -228,7 +228,7 @@
 		}
 	}
 	cl.ended = time.Now()
-	c.books.end(cl)
+	c.accounts.callEnded(cl)
 	c.mu.Lock()
 	c.calls = append(c.calls, cl)
 	c.mu.Unlock()
@@ -253,8 +253,8 @@
 	return live[rng.IntN(len(live))]
 }
 
-// try makes one attempt. It reports whether another one with the same key makes sense.
-func (c *callers) try(ctx context.Context, cl *call, zone string, rng *rand.Rand, hangUp bool) bool {
+// attempt makes one attempt. It reports whether another one with the same key makes sense.
+func (c *callers) attempt(ctx context.Context, cl *call, zone string, rng *rand.Rand, disconnect bool) bool {
 	n := c.pick(zone, rng)
 	if n == nil {
 		cl.verdicts = append(cl.verdicts, verdict.NotRun)
@@ -269,62 +269,62 @@
 	if cl.key != "" {
 		req.Header.Set(gateway.HeaderKey, cl.key)
 	}
-	began := time.Now()
+	start := time.Now()
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return c.broken(cl, n, err)
+		return c.connectionFailed(cl, n, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if id := resp.Header.Get(chat.HeaderRequestID); id != "" {
 		cl.id = id
 	}
 	if resp.Header.Get("Content-Type") == "application/problem+json" {
-		return c.refused(cl, resp)
+		return c.readProblem(cl, resp)
 	}
-	return c.read(cl, n, resp, began, hangUp)
+	return c.readResponse(cl, n, resp, start, disconnect)
 }
 
-// broken judges a connection that broke: without an answer the fate is unknown, but for one that never came about.
-func (c *callers) broken(cl *call, n *node, err error) bool {
+// connectionFailed judges a connection that broke: without an answer the fate is unknown, but for one that never came about.
+func (c *callers) connectionFailed(cl *call, n *node, err error) bool {
 	if strings.Contains(err.Error(), "connection refused") {
 		cl.verdicts = append(cl.verdicts, verdict.NotRun)
 		return true
 	}
 	cl.verdicts = append(cl.verdicts, verdict.MayHaveRun)
 	if n.isStopping() {
-		cl.cut = true
+		cl.cutByStop = true
 	}
 	return cl.key != ""
 }
 
-func (c *callers) refused(cl *call, resp *http.Response) bool {
+func (c *callers) readProblem(cl *call, resp *http.Response) bool {
 	var p gateway.Problem
 	_ = json.NewDecoder(resp.Body).Decode(&p)
 	v := verdict.Parse(p.Verdict)
 	cl.verdicts = append(cl.verdicts, v)
 	if v == verdict.NotRun {
-		cl.turnedAway++
+		cl.refusedCount++
 	}
 	cl.code = verdict.Code(p.Title)
 	if cl.code == verdict.CodeBudgetExhausted || cl.code == verdict.CodeBudgetUnready {
-		c.books.refused(cl)
+		c.accounts.recordRefusal(cl)
 	}
 	if cl.code == verdict.CodeBudgetExhausted || cl.code == verdict.CodeClaimTaken {
 		return false
 	}
-	if v == verdict.NotRun && p.RetryAfter >= longWait {
+	if v == verdict.NotRun && p.RetryAfter >= maxRetryAfter {
 		return false // the caller comes back another day
 	}
 	return v == verdict.NotRun || (cl.key != "" && p.RetryAfter > 0)
 }
 
-func (c *callers) read(cl *call, n *node, resp *http.Response, began time.Time, hangUp bool) bool {
+func (c *callers) readResponse(cl *call, n *node, resp *http.Response, start time.Time, disconnect bool) bool {
 	var err error
 	switch cl.kind {
 	case chatStream:
-		err = readStream(cl, resp.Body, began, hangUp)
-	case chatWhole:
-		err = readWhole(cl, resp.Body)
+		err = readStream(cl, resp.Body, start, disconnect)
+	case chatNonStreaming:
+		err = readCompletion(cl, resp.Body)
 	default:
 		err = readPlain(cl, resp)
 	}
@@ -338,26 +338,26 @@
 		cl.verdicts = append(cl.verdicts, verdict.Parse(pe.p.Verdict))
 		cl.code = verdict.Code(pe.p.Title)
 		return cl.key != "" && pe.p.RetryAfter > 0
-	case errors.Is(err, errHungUp):
+	case errors.Is(err, errDisconnected):
 		cl.verdicts = append(cl.verdicts, verdict.MayHaveRun)
 		return cl.key != ""
 	}
-	return c.broken(cl, n, err)
+	return c.connectionFailed(cl, n, err)
 }
 
-var errHungUp = errors.New("the caller hung up")
+var errDisconnected = errors.New("the caller hung up")
 
-func readStream(cl *call, r io.Reader, began time.Time, hangUp bool) error {
+func readStream(cl *call, r io.Reader, start time.Time, disconnect bool) error {
 	var text strings.Builder
 	sc := bufio.NewScanner(r)
-	pieces := 0
+	chunks := 0
 	for sc.Scan() {
 		data, ok := strings.CutPrefix(sc.Text(), "data: ")
 		if !ok {
 			continue
 		}
 		if data == chat.Done {
-			cl.text, cl.whole = text.String(), true
+			cl.text, cl.complete = text.String(), true
 			return nil
 		}
 		var ev struct {
@@ -370,15 +370,15 @@
 		if ev.Error != nil {
 			return &problemError{p: *ev.Error}
 		}
-		if pieces == 0 {
-			cl.first = time.Since(began)
+		if chunks == 0 {
+			cl.firstToken = time.Since(start)
 		}
-		pieces++
+		chunks++
 		if len(ev.Choices) > 0 && ev.Choices[0].Delta != nil {
 			text.WriteString(ev.Choices[0].Delta.Content)
 		}
-		if hangUp && pieces == 2 {
-			return errHungUp
+		if disconnect && chunks == 2 {
+			return errDisconnected
 		}
 	}
 	if err := sc.Err(); err != nil {
@@ -387,7 +387,7 @@
 	return io.ErrUnexpectedEOF
 }
 
-func readWhole(cl *call, r io.Reader) error {
+func readCompletion(cl *call, r io.Reader) error {
 	var out chat.Completion
 	if err := json.NewDecoder(r).Decode(&out); err != nil {
 		return err
@@ -395,7 +395,7 @@
 	if len(out.Choices) != 1 || out.Choices[0].Message == nil {
 		return io.ErrUnexpectedEOF
 	}
-	cl.text, cl.whole = out.Choices[0].Message.Content, true
+	cl.text, cl.complete = out.Choices[0].Message.Content, true
 	return nil
 }
 
@@ -406,12 +406,12 @@
 	if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
 		return err
 	}
-	cl.text, cl.whole = out.Echo, true
+	cl.text, cl.complete = out.Echo, true
 	return nil
 }
 
-// expected is the answer that the call must get.
-func (c *call) expected() string {
+// expectedText is the answer that the call must get.
+func (c *call) expectedText() string {
 	if c.kind == payment || c.kind == lookup {
 		return string(c.body())
 	}
@@ -431,7 +431,7 @@
 // price is what a whole answer costs.
 func (c *call) price() int64 {
 	if c.kind == payment || c.kind == lookup {
-		return c.need
+		return c.maxCost
 	}
 	p, n := c.generated()
 	return engine.PromptTokens(p) + n
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -73,18 +73,18 @@
 var ErrGuaranteeViolated = errors.New("a promise was broken")
 
 const (
-	changeEvery  = 400 * time.Millisecond
-	watchEvery   = 5 * time.Millisecond
-	settleLimit  = 20 * time.Second
-	setUpLimit   = 10 * time.Second
-	faultBegins  = 0.25 // of the duration
-	faultEnds    = 0.7
-	healingLimit = 20 * time.Second
+	changeInterval = 400 * time.Millisecond
+	watchInterval  = 5 * time.Millisecond
+	settleTimeout  = 20 * time.Second
+	setUpTimeout   = 10 * time.Second
+	faultStart     = 0.25 // of the duration
+	faultEnd       = 0.7
+	healTimeout    = 20 * time.Second
 )
 
 // Run runs the demo and writes its result. It returns ErrBroken if a promise was broken.
 func Run(ctx context.Context, cfg Config) error {
-	chosen, err := choose(cfg.Faults)
+	chosen, err := selectFaults(cfg.Faults)
 	if err != nil {
 		return err
 	}
@@ -97,14 +97,14 @@
 		return eris.Wrap(err, "starting the fleet")
 	}
 	defer f.close()
-	s := &scene{f: f, operator: newOperator(f), callers: newCallers(f, cfg.Seed)}
-	res, err := play(ctx, cfg, s, chosen)
+	s := &scenario{f: f, operator: newOperator(f), callers: newCallers(f, cfg.Seed)}
+	res, err := runScenario(ctx, cfg, s, chosen)
 	if err != nil {
 		return err
 	}
 	res.Faults = strings.Join(cfg.Faults, ",")
 	res.Seed = cfg.Seed
-	if err := write(cfg, res); err != nil {
+	if err := writeResult(cfg, res); err != nil {
 		return err
 	}
 	if !res.GuaranteesHeld() {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-func choose(names []string) ([]fault, error) {
+func selectFaults(names []string) ([]fault, error) {
 	known := faults()
 	var out []fault
 	for _, name := range names {
@@ -126,13 +126,13 @@
 	return out, nil
 }
 
-func play(ctx context.Context, cfg Config, s *scene, chosen []fault) (*Result, error) {
-	setUp, cancelSetUp := context.WithTimeout(ctx, setUpLimit)
+func runScenario(ctx context.Context, cfg Config, s *scenario, chosen []fault) (*Result, error) {
+	setUp, cancelSetUp := context.WithTimeout(ctx, setUpTimeout)
 	defer cancelSetUp()
 	if err := s.operator.setUp(setUp); err != nil {
 		return nil, err
 	}
-	if err := sleep(ctx, 2*keysSettling); err != nil {
+	if err := sleep(ctx, 2*keysSettleTime); err != nil {
 		return nil, err
 	}
 	w := watchVersions(s.f)
@@ -140,16 +140,16 @@
 	defer stopLoad()
 	var wg sync.WaitGroup
 	wg.Go(func() { s.callers.run(load) })
-	wg.Go(func() { s.operator.keepChanging(load, changeEvery) })
+	wg.Go(func() { s.operator.changePeriodically(load, changeInterval) })
 	if slices.Contains(cfg.Faults, "operator-race") {
-		wg.Go(func() { s.operator.race(load) })
+		wg.Go(func() { s.operator.raceOperators(load) })
 	}
-	err := strike(ctx, cfg.Duration, s, chosen)
+	err := injectFaults(ctx, cfg.Duration, s, chosen)
 	wg.Wait()
 	if err != nil {
 		return nil, err
 	}
-	settled := s.f.settle(ctx, settleLimit)
+	settled := s.f.settle(ctx, settleTimeout)
 	writes, reads := s.f.kv.Writes(), s.f.kv.Reads()
 	calls := s.f.storeCalls()
 	for _, n := range s.f.live("") {
@@ -158,26 +158,26 @@
 		}
 	}
 	reverts := w.stop()
-	return conclude(ctx, s, &Result{
+	return buildResult(ctx, s, &Result{
 		StoreWrites: writes, StoreReads: reads, StoreCalls: calls, ConfigReverts: reverts, Settled: settled,
 	})
 }
 
-// strike begins the faults, one soon after another, and heals them in the same order.
-func strike(ctx context.Context, d time.Duration, s *scene, chosen []fault) error {
-	if err := sleep(ctx, time.Duration(faultBegins*float64(d))); err != nil {
+// injectFaults begins the faults, one soon after another, and heals them in the same order.
+func injectFaults(ctx context.Context, d time.Duration, s *scenario, chosen []fault) error {
+	if err := sleep(ctx, time.Duration(faultStart*float64(d))); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, d+healingLimit)
+	ctx, cancel := context.WithTimeout(ctx, d+healTimeout)
 	defer cancel()
-	began := time.Now()
+	startTime := time.Now()
 	for _, ft := range chosen {
 		if err := ft.start(ctx, s); err != nil && ctx.Err() != nil {
 			return err
 		}
 	}
-	rest := time.Duration((faultEnds-faultBegins)*float64(d)) - time.Since(began)
-	if err := sleep(ctx, rest); err != nil {
+	remaining := time.Duration((faultEnd-faultStart)*float64(d)) - time.Since(startTime)
+	if err := sleep(ctx, remaining); err != nil {
 		return err
 	}
 	for _, ft := range chosen {
@@ -200,7 +200,7 @@
 	}
 }
 
-func conclude(ctx context.Context, s *scene, res *Result) (*Result, error) {
+func buildResult(ctx context.Context, s *scenario, res *Result) (*Result, error) {
 	s.callers.mu.Lock()
 	calls := s.callers.calls
 	s.callers.mu.Unlock()
@@ -210,17 +210,17 @@
 	}
 	res.Requests = len(calls)
 	res.Answered, res.NotRun, res.MayHaveRun, res.RefusedBudget = countVerdicts(calls)
-	res.FalseRefusals, _ = s.callers.books.refusals()
+	res.FalseRefusals, _ = s.callers.accounts.refusals()
 	res.Overspend, res.DoubleBilled, res.Unbilled = a.Overspend, a.DoubleBilled, a.Unbilled
 	res.Lost, res.Crossed, res.RanTwice, res.NotRunButRan = a.Lost, a.Crossed, a.RanTwice, a.NotRunButRan
 	res.LateNewWork, res.CutByStop, res.Held, res.Billed = a.LateNewWork, a.CutByStop, a.Held, a.Billed
 	res.Notes = a.Notes
-	res.ConfigP99MS, res.Changes = s.operator.p99()
-	res.Attempts = s.f.amplification(calls)
+	res.ConfigP99MS, res.Changes = s.operator.changeLatencyP99()
+	res.Attempts = s.f.runsPerRequest(calls)
 	return res, nil
 }
 
-func (o *operatorClient) p99() (ms float64, n int) {
+func (o *operatorClient) changeLatencyP99() (ms float64, n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.latency) == 0 {
@@ -231,14 +231,14 @@
 	return float64(at.Microseconds()) / 1000, len(o.latency)
 }
 
-// amplification is the runs at endpoints for each call that ran.
-func (f *fleet) amplification(calls []*call) float64 {
+// runsPerRequest is the runs at endpoints for each call that ran.
+func (f *fleet) runsPerRequest(calls []*call) float64 {
 	runs, ran := 0, 0
 	for _, e := range f.engines {
 		runs += len(e.engine.Log())
 	}
 	for _, c := range calls {
-		if (c.kind == chatStream || c.kind == chatWhole) && c.everRan() {
+		if (c.kind == chatStream || c.kind == chatNonStreaming) && c.mayHaveRun() {
 			ran++
 		}
 	}
@@ -284,7 +284,7 @@
 			select {
 			case <-w.quit:
 				return
-			case <-time.After(watchEvery):
+			case <-time.After(watchInterval):
 			}
 		}
 	}()
@@ -297,7 +297,7 @@
 	return w.reverts
 }
 
-func write(cfg Config, r *Result) error {
+func writeResult(cfg Config, r *Result) error {
 	if cfg.JSON {
 		b, err := json.Marshal(r)
 		if err != nil {
@@ -310,9 +310,9 @@
 }
 
 func (r *Result) text(w io.Writer) error {
-	verdictLine := "every promise was kept"
+	summary := "every promise was kept"
 	if !r.GuaranteesHeld() {
-		verdictLine = "A PROMISE WAS BROKEN"
+		summary = "A PROMISE WAS BROKEN"
 	}
 	_, err := fmt.Fprintf(w, `%d requests: %d answered whole, %d not run, %d may have run, %d refused for their budget
 billed %d tokens; held %d; %d false refusals; %.2f runs a request
@@ -323,7 +323,7 @@
 %s
 `, r.Requests, r.Answered, r.NotRun, r.MayHaveRun, r.RefusedBudget, r.Billed, r.Held, r.FalseRefusals, r.Attempts,
 		r.Changes, r.ConfigP99MS, r.StoreWrites, r.StoreReads, r.Overspend, r.DoubleBilled, r.Unbilled, r.Lost, r.Crossed,
-		r.RanTwice, r.NotRunButRan, r.ConfigReverts, r.LateNewWork, r.CutByStop, verdictLine)
+		r.RanTwice, r.NotRunButRan, r.ConfigReverts, r.LateNewWork, r.CutByStop, summary)
 	for _, n := range r.Notes {
 		_, _ = fmt.Fprintln(w, "note:", n)
 	}
--- a/internal/demo/faults.go
+++ b/internal/demo/faults.go
@@ -14,30 +14,30 @@
 	"github.com/ledgemount/ledgemount/internal/standin/plain"
 )
 
-// scene is what a fault acts on.
-type scene struct {
+// scenario is what a fault acts on.
+type scenario struct {
 	f        *fleet
 	callers  *callers
 	operator *operatorClient
 
-	mu        sync.Mutex
-	drains    []drainMark
-	stopFails int
+	mu          sync.Mutex
+	drains      []drainWindow
+	failedStops int
 }
 
-// drainMark says from when on an endpoint must not get new work.
-type drainMark struct {
+// drainWindow says from when on an endpoint must not get new work.
+type drainWindow struct {
 	endpoint string
 	from, to time.Time
 }
 
 // fault begins with start and ends with heal; length is the time between them as a share of the demo.
 type fault struct {
-	start func(ctx context.Context, s *scene) error
-	heal  func(ctx context.Context, s *scene) error
+	start func(ctx context.Context, s *scenario) error
+	heal  func(ctx context.Context, s *scenario) error
 }
 
-func nothing(context.Context, *scene) error { return nil }
+func noAction(context.Context, *scenario) error { return nil }
 
 // faults are the faults by name.
 func faults() map[string]fault {
@@ -47,10 +47,10 @@
 		"store-answer-lost":       storeFault(kv.AnswerLost),
 		"zone-cut":                {start: cutZones(true), heal: cutZones(false)},
 		"zone-cut-from-store":     {start: cutStore(true), heal: cutStore(false)},
-		"instance-crash":          {start: crash(leastHome), heal: replace},
-		"home-crash":              {start: crash(mostHome), heal: replace},
-		"instance-pause":          {start: pauseOne(leastHome), heal: resumeAll},
-		"home-pause":              {start: pauseOne(mostHome), heal: resumeAll},
+		"instance-crash":          {start: crashOne(leastReserved), heal: replaceCrashed},
+		"home-crash":              {start: crashOne(mostReserved), heal: replaceCrashed},
+		"instance-pause":          {start: pauseOne(leastReserved), heal: resumeAll},
+		"home-pause":              {start: pauseOne(mostReserved), heal: resumeAll},
 		"endpoint-crash":          {start: crashEngine(true), heal: crashEngine(false)},
 		"endpoint-slow":           engineFault(engine.Slow, plain.Slow),
 		"endpoint-refuse":         engineFault(engine.Refuse, plain.Refuse),
@@ -58,13 +58,13 @@
 		"endpoint-crossed-answer": engineFault(engine.CrossedAnswer, plain.Crossed),
 		"endpoint-truncate":       engineFault(engine.Truncate, plain.Crash),
 		"cache-events-gap":        engineFault(engine.CacheGap, ""),
-		"list-lag":                {start: lagList(2 * time.Second), heal: lagList(0)},
-		"caller-disconnect":       habitFault(func(h *habits, on bool) { h.hangUp = on }),
-		"caller-retry":            habitFault(func(h *habits, on bool) { h.comeBack = on }),
-		"caller-retry-other-zone": habitFault(func(h *habits, on bool) { h.comeBack, h.elsewhere = on, on }),
-		"operator-race":           {start: nothing, heal: nothing},
+		"list-lag":                {start: delayList(2 * time.Second), heal: delayList(0)},
+		"caller-disconnect":       callerFault(func(h *behavior, on bool) { h.disconnect = on }),
+		"caller-retry":            callerFault(func(h *behavior, on bool) { h.retryDisconnected = on }),
+		"caller-retry-other-zone": callerFault(func(h *behavior, on bool) { h.retryDisconnected, h.retryElsewhere = on, on }),
+		"operator-race":           {start: noAction, heal: noAction},
 		"drain":                   {start: drain, heal: activate},
-		"rolling-stop":            {start: rollingStop, heal: nothing},
+		"rolling-stop":            {start: rollingStop, heal: noAction},
 	}
 }
 
@@ -79,8 +79,8 @@
 }
 
 func storeFault(f kv.Fault) fault {
-	set := func(on bool) func(context.Context, *scene) error {
-		return func(_ context.Context, s *scene) error {
+	set := func(on bool) func(context.Context, *scenario) error {
+		return func(_ context.Context, s *scenario) error {
 			s.f.kv.Set(f, on)
 			return nil
 		}
@@ -88,26 +88,26 @@
 	return fault{start: set(true), heal: set(false)}
 }
 
-func cutZones(cut bool) func(context.Context, *scene) error {
-	return func(_ context.Context, s *scene) error {
+func cutZones(cut bool) func(context.Context, *scenario) error {
+	return func(_ context.Context, s *scenario) error {
 		s.f.setZoneCut(cut)
 		return nil
 	}
 }
 
-func cutStore(cut bool) func(context.Context, *scene) error {
-	return func(_ context.Context, s *scene) error {
+func cutStore(cut bool) func(context.Context, *scenario) error {
+	return func(_ context.Context, s *scenario) error {
 		for _, n := range s.f.all() {
 			if n.zone == zoneNames[1] {
-				n.brake.setCutStore(cut)
+				n.gate.setCutStore(cut)
 			}
 		}
 		return nil
 	}
 }
 
-// mostHome picks the instance that holds the most reservations; leastHome the one with the fewest.
-func mostHome(nodes []*node) *node {
+// mostReserved picks the instance that holds the most reservations; leastHome the one with the fewest.
+func mostReserved(nodes []*node) *node {
 	best := nodes[0]
 	for _, n := range nodes[1:] {
 		if n.in.Home().Stats().Reserved > best.in.Home().Stats().Reserved {
@@ -117,7 +117,7 @@
 	return best
 }
 
-func leastHome(nodes []*node) *node {
+func leastReserved(nodes []*node) *node {
 	best := nodes[0]
 	for _, n := range nodes[1:] {
 		if n.in.Home().Stats().Reserved < best.in.Home().Stats().Reserved {
@@ -127,19 +127,19 @@
 	return best
 }
 
-func crash(choose func([]*node) *node) func(context.Context, *scene) error {
-	return func(_ context.Context, s *scene) error {
+func crashOne(pick func([]*node) *node) func(context.Context, *scenario) error {
+	return func(_ context.Context, s *scenario) error {
 		live := s.f.live(zoneNames[0])
 		if len(live) == 0 {
 			return nil
 		}
-		s.f.kill(choose(live))
+		s.f.kill(pick(live))
 		return nil
 	}
 }
 
-// replace starts instances until every zone has its number again.
-func replace(_ context.Context, s *scene) error {
+// replaceCrashed starts instances until every zone has its number again.
+func replaceCrashed(_ context.Context, s *scenario) error {
 	for _, zone := range zoneNames {
 		for len(s.f.live(zone)) < instancesPerZone {
 			if err := s.f.startNode(zone); err != nil {
@@ -150,45 +150,45 @@
 	return nil
 }
 
-func pauseOne(choose func([]*node) *node) func(context.Context, *scene) error {
-	return func(_ context.Context, s *scene) error {
+func pauseOne(pick func([]*node) *node) func(context.Context, *scenario) error {
+	return func(_ context.Context, s *scenario) error {
 		live := s.f.live(zoneNames[0])
 		if len(live) == 0 {
 			return nil
 		}
-		choose(live).brake.pause()
+		pick(live).gate.pause()
 		return nil
 	}
 }
 
-func resumeAll(_ context.Context, s *scene) error {
+func resumeAll(_ context.Context, s *scenario) error {
 	for _, n := range s.f.all() {
-		n.brake.resume()
+		n.gate.resume()
 	}
 	return nil
 }
 
 // The faulty endpoint is the first zone's first engine; plain services fail in the first zone.
-func crashEngine(on bool) func(context.Context, *scene) error {
-	return func(_ context.Context, s *scene) error {
+func crashEngine(on bool) func(context.Context, *scenario) error {
+	return func(_ context.Context, s *scenario) error {
 		s.f.engines[0].engine.SetCrash(on)
 		return nil
 	}
 }
 
 func engineFault(ef engine.Fault, pf plain.Fault) fault {
-	set := func(on bool) func(context.Context, *scene) error {
-		return func(_ context.Context, s *scene) error {
+	set := func(on bool) func(context.Context, *scenario) error {
+		return func(_ context.Context, s *scenario) error {
 			s.f.engines[0].engine.Set(ef, on)
-			s.f.plains[zoneNames[0]].Set(pf, on)
+			s.f.plainServices[zoneNames[0]].Set(pf, on)
 			return nil
 		}
 	}
 	return fault{start: set(true), heal: set(false)}
 }
 
-func lagList(d time.Duration) func(context.Context, *scene) error {
-	return func(_ context.Context, s *scene) error {
+func delayList(d time.Duration) func(context.Context, *scenario) error {
+	return func(_ context.Context, s *scenario) error {
 		s.f.list.SetLag(d)
 		if d == 0 {
 			return nil
@@ -203,31 +203,31 @@
 	}
 }
 
-func habitFault(set func(h *habits, on bool)) fault {
-	turn := func(on bool) func(context.Context, *scene) error {
-		return func(_ context.Context, s *scene) error {
-			s.callers.habits.set(func(h *habits) { set(h, on) })
+func callerFault(set func(h *behavior, on bool)) fault {
+	apply := func(on bool) func(context.Context, *scenario) error {
+		return func(_ context.Context, s *scenario) error {
+			s.callers.behavior.set(func(h *behavior) { set(h, on) })
 			return nil
 		}
 	}
-	return fault{start: turn(true), heal: turn(false)}
+	return fault{start: apply(true), heal: apply(false)}
 }
 
-// promptly is how soon after its confirmation a drain must be in force.
-const promptly = 3 * time.Second
+// drainTimeout is how soon after its confirmation a drain must be in force.
+const drainTimeout = 3 * time.Second
 
-func drain(ctx context.Context, s *scene) error {
+func drain(ctx context.Context, s *scenario) error {
 	name := s.f.engines[0].name
 	if _, err := s.operator.change(ctx, &intent.Intent{Note: "drain", Drain: []string{name}}); err != nil {
 		return eris.Wrap(err, "draining")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drains = append(s.drains, drainMark{endpoint: name, from: time.Now().Add(promptly)})
+	s.drains = append(s.drains, drainWindow{endpoint: name, from: time.Now().Add(drainTimeout)})
 	return nil
 }
 
-func activate(ctx context.Context, s *scene) error {
+func activate(ctx context.Context, s *scenario) error {
 	s.mu.Lock()
 	for i := range s.drains {
 		if s.drains[i].to.IsZero() {
@@ -240,15 +240,15 @@
 }
 
 // rollingStop replaces every instance, one after another, as planned.
-func rollingStop(_ context.Context, s *scene) error {
+func rollingStop(_ context.Context, s *scenario) error {
 	for _, n := range s.f.live("") {
 		if err := s.f.startNode(n.zone); err != nil {
 			return err
 		}
-		time.Sleep(3 * listEvery)
+		time.Sleep(3 * listInterval)
 		if err := s.f.stop(n); err != nil {
 			s.mu.Lock()
-			s.stopFails++
+			s.failedStops++
 			s.mu.Unlock()
 		}
 	}
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -29,18 +29,18 @@
 
 // The demo's intervals: shorter than in earnest, so that faults and recoveries fit into seconds.
 const (
-	beatEvery    = 100 * time.Millisecond
-	listEvery    = 200 * time.Millisecond
-	pollEvery    = 2 * time.Second
-	deadAfter    = 1200 * time.Millisecond
-	orphanAfter  = 1500 * time.Millisecond
-	maxHold      = time.Second
-	flushEvery   = 250 * time.Millisecond
-	journalBeat  = 500 * time.Millisecond
-	storeTimeout = time.Second
-	stopLimit    = 10 * time.Second
-	keysTick     = 200 * time.Millisecond
-	keysSettling = 700 * time.Millisecond
+	heartbeatInterval = 100 * time.Millisecond
+	listInterval      = 200 * time.Millisecond
+	pollInterval      = 2 * time.Second
+	deadTimeout       = 1200 * time.Millisecond
+	orphanTimeout     = 1500 * time.Millisecond
+	maxHold           = time.Second
+	flushInterval     = 250 * time.Millisecond
+	refreshInterval   = 500 * time.Millisecond
+	storeTimeout      = time.Second
+	stopTimeout       = 10 * time.Second
+	keysTickInterval  = 200 * time.Millisecond
+	keysSettleTime    = 700 * time.Millisecond
 
 	enginesPerZone   = 2
 	instancesPerZone = 2
@@ -54,28 +54,28 @@
 
 // node is one running instance with its brake.
 type node struct {
-	id    string
-	zone  string
-	in    *instance.Instance
-	brake *brake
-	done  chan struct{}
+	id   string
+	zone string
+	in   *instance.Instance
+	gate *gate
+	done chan struct{}
 
 	mu       sync.Mutex
 	stopping bool // a planned stop has begun
-	gone     bool
+	removed  bool
 }
 
 func (n *node) usable() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.gone && !n.stopping
+	return !n.removed && !n.stopping
 }
 
-func (n *node) mark(stopping, gone bool) {
+func (n *node) mark(stopping, removed bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.stopping = n.stopping || stopping
-	n.gone = n.gone || gone
+	n.removed = n.removed || removed
 }
 
 func (n *node) isStopping() bool {
@@ -93,15 +93,15 @@
 
 // fleet is everything that the demo runs.
 type fleet struct {
-	log     zerolog.Logger
-	kv      *kv.Server
-	kvSrv   *standin.Server
-	list    *list.Server
-	listSrv *standin.Server
-	engines []*engineServer
-	plains  map[string]*plain.Service
-	plainS  map[string]*standin.Server
-	ca      *mesh.Authority
+	log           zerolog.Logger
+	kv            *kv.Server
+	kvSrv         *standin.Server
+	list          *list.Server
+	listSrv       *standin.Server
+	engines       []*engineServer
+	plainServices map[string]*plain.Service
+	plainServers  map[string]*standin.Server
+	ca            *mesh.Authority
 
 	mu      sync.Mutex
 	nodes   []*node
@@ -113,8 +113,8 @@
 
 func newFleet(log zerolog.Logger) (*fleet, error) {
 	f := &fleet{
-		log: log, kv: kv.New(), list: list.New(), plains: make(map[string]*plain.Service),
-		plainS: make(map[string]*standin.Server), charges: make(map[string][]ledger.Charge),
+		log: log, kv: kv.New(), list: list.New(), plainServices: make(map[string]*plain.Service),
+		plainServers: make(map[string]*standin.Server), charges: make(map[string][]ledger.Charge),
 	}
 	var err error
 	if f.ca, err = mesh.NewAuthority(); err != nil {
@@ -155,7 +155,7 @@
 	if err != nil {
 		return err
 	}
-	f.plains[zone], f.plainS[zone] = p, srv
+	f.plainServices[zone], f.plainServers[zone] = p, srv
 	return nil
 }
 
@@ -176,20 +176,20 @@
 	set.Mesh.CA, set.Mesh.Cert, set.Mesh.Key = string(f.ca.PEM()), string(cert), string(key)
 	set.Platform.StoreURL, set.Platform.InstancesURL = f.kvSrv.URL(), f.listSrv.URL()
 	set.Platform.StoreTimeout = storeTimeout
-	set.Budget.Flush, set.Budget.Beat = flushEvery, journalBeat
-	set.Budget.Dead, set.Budget.Orphan = deadAfter, orphanAfter
+	set.Budget.Flush, set.Budget.Beat = flushInterval, refreshInterval
+	set.Budget.Dead, set.Budget.Orphan = deadTimeout, orphanTimeout
 
-	b := newBrake(f.peerAt)
+	g := newGate(f.peerAt)
 	in, err := instance.New(&set,
-		instance.WithHook(b.hook), instance.WithGate(b.to, b.from), instance.WithLogger(f.log.With().Str("instance", id).Logger()),
-		instance.WithPlatformTransport(&braked{b: b, platform: true, next: &http.Transport{MaxIdleConnsPerHost: 16}}),
-		instance.WithEndpointTransport(&braked{b: b, next: endpoint.NewTransport()}),
-		instance.WithIntervals(beatEvery, listEvery, pollEvery), instance.WithBilled(f.billed),
-		instance.WithMaxHold(maxHold), instance.WithKeysOptions(once.WithSettling(keysTick, keysSettling)), instance.WithBudgetTimes(func(t *budget.Times) { t.Tick = 50 * time.Millisecond }))
+		instance.WithHook(g.hook), instance.WithGate(g.allowsCallTo, g.allowsCallFrom), instance.WithLogger(f.log.With().Str("instance", id).Logger()),
+		instance.WithPlatformTransport(&gatedTransport{g: g, platform: true, next: &http.Transport{MaxIdleConnsPerHost: 16}}),
+		instance.WithEndpointTransport(&gatedTransport{g: g, next: endpoint.NewTransport()}),
+		instance.WithIntervals(heartbeatInterval, listInterval, pollInterval), instance.WithBilled(f.billed),
+		instance.WithMaxHold(maxHold), instance.WithKeysOptions(once.WithSettling(keysTickInterval, keysSettleTime)), instance.WithBudgetTimes(func(t *budget.Times) { t.Tick = 50 * time.Millisecond }))
 	if err != nil {
 		return eris.Wrapf(err, "starting instance %s", id)
 	}
-	n := &node{id: id, zone: zone, in: in, brake: b, done: make(chan struct{})}
+	n := &node{id: id, zone: zone, in: in, gate: g, done: make(chan struct{})}
 	f.mu.Lock()
 	f.nodes = append(f.nodes, n)
 	f.mu.Unlock()
@@ -250,7 +250,7 @@
 	f.crashed = true
 	f.mu.Unlock()
 	n.mark(false, true)
-	n.brake.kill()
+	n.gate.kill()
 	n.in.Kill()
 	<-n.done
 	f.list.Remove(n.id)
@@ -260,7 +260,7 @@
 func (f *fleet) stop(n *node) error {
 	n.mark(true, false)
 	f.list.Set(external.Instance{ID: n.id, Zone: n.zone, Addr: n.in.Peer().Addr, State: external.StateLeaving})
-	ctx, cancel := context.WithTimeout(context.Background(), stopLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	err := n.in.Stop(ctx)
 	<-n.done
@@ -283,14 +283,14 @@
 	f.mu.Unlock()
 	for _, n := range f.all() {
 		zone := n.zone
-		n.brake.setCutPeer(func(p mesh.Peer) bool { return cut && p.Zone != zone })
+		n.gate.setCutPeer(func(p mesh.Peer) bool { return cut && p.Zone != zone })
 	}
 }
 
 func (f *fleet) close() {
 	for _, n := range f.all() {
 		if n.usable() || !isClosed(n.done) {
-			n.brake.kill()
+			n.gate.kill()
 			n.in.Kill()
 			<-n.done
 		}
@@ -298,7 +298,7 @@
 	for _, e := range f.engines {
 		_ = e.srv.Close()
 	}
-	for _, s := range f.plainS {
+	for _, s := range f.plainServers {
 		_ = s.Close()
 	}
 	_ = f.listSrv.Close()
--- a/internal/demo/operator.go
+++ b/internal/demo/operator.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	customers        = 6
-	budgetsPerClient = 4
-	bigDeposit       = 5_000_000
-	smallDeposit     = 9_000 // used up within the demo
-	operatorTimeout  = 5 * time.Second
+	customers          = 6
+	budgetsPerCustomer = 4
+	bigDeposit         = 5_000_000
+	smallDeposit       = 9_000 // used up within the demo
+	operatorTimeout    = 5 * time.Second
 )
 
 // operatorClient speaks the intent API.
@@ -76,7 +76,7 @@
 
 // change plans and confirms an intent at any instance, and again while the outcome is unknown.
 func (o *operatorClient) change(ctx context.Context, in *intent.Intent) (*intent.Result, error) {
-	n, err := o.any()
+	n, err := o.nextInstance()
 	if err != nil {
 		return nil, err
 	}
@@ -85,14 +85,14 @@
 		return nil, err
 	}
 	for {
-		if n, err = o.any(); err != nil {
+		if n, err = o.nextInstance(); err != nil {
 			return nil, err
 		}
 		var res intent.Result
 		sent := time.Now()
 		err := o.post(ctx, n, "/v1/plans/"+p.ID+"/confirm", struct{}{}, &res)
 		if err == nil && (res.State == intent.StateInForce || res.State == intent.StateUnchanged) {
-			o.note(ctx, sent, res.Version)
+			o.recordLatency(ctx, sent, res.Version)
 			return &res, nil
 		}
 		var pe *problemError
@@ -107,7 +107,7 @@
 	}
 }
 
-func (o *operatorClient) any() (*node, error) {
+func (o *operatorClient) nextInstance() (*node, error) {
 	live := o.f.live("")
 	if len(live) == 0 {
 		return nil, eris.New("no instance is up")
@@ -150,7 +150,7 @@
 	for _, zone := range zoneNames {
 		d.Zones[zone] = declare.Zone{Region: "demo"}
 		d.Endpoints[zone+"-portal"] = declare.Endpoint{
-			Zone: zone, URL: f.plainS[zone].URL(), Pool: poolPlain, State: declare.StateActive, Capacity: 200,
+			Zone: zone, URL: f.plainServers[zone].URL(), Pool: poolPlain, State: declare.StateActive, Capacity: 200,
 		}
 	}
 	for _, e := range f.engines {
@@ -167,10 +167,10 @@
 	return d
 }
 
-func firstIntent(d declare.Declarations) *intent.Intent {
+func initialIntent(d declare.Declarations) *intent.Intent {
 	in := &intent.Intent{Note: "the demo's beginning", Apply: d, Budgets: map[string]declare.Budget{}}
 	for i := range customers {
-		for k := range budgetsPerClient {
+		for k := range budgetsPerCustomer {
 			in.Budgets[budgetName(i, k)] = declare.Budget{
 				Customer: customerName(i), Deposits: map[string]int64{"opening": depositOf(i, k)},
 			}
@@ -181,14 +181,14 @@
 
 // setUp plans and confirms the first declarations and waits until they are in force everywhere.
 func (o *operatorClient) setUp(ctx context.Context) error {
-	res, err := o.change(ctx, firstIntent(o.f.declarations()))
+	res, err := o.change(ctx, initialIntent(o.f.declarations()))
 	if err != nil {
 		return eris.Wrap(err, "declaring the demo")
 	}
-	return o.await(ctx, res.Version, o.f.live(""))
+	return o.awaitVersion(ctx, res.Version, o.f.live(""))
 }
 
-func (o *operatorClient) await(ctx context.Context, version int64, nodes []*node) error {
+func (o *operatorClient) awaitVersion(ctx context.Context, version int64, nodes []*node) error {
 	for _, n := range nodes {
 		if err := n.in.Feed().Await(ctx, version); err != nil {
 			return eris.Wrapf(err, "instance %s", n.id)
@@ -197,8 +197,8 @@
 	return nil
 }
 
-// keepChanging makes a small change now and then, and notes how long it takes to be in force everywhere.
-func (o *operatorClient) keepChanging(ctx context.Context, every time.Duration) {
+// changePeriodically makes a small change now and then, and notes how long it takes to be in force everywhere.
+func (o *operatorClient) changePeriodically(ctx context.Context, every time.Duration) {
 	for i := 0; ; i++ {
 		select {
 		case <-ctx.Done():
@@ -211,13 +211,13 @@
 	}
 }
 
-const forceLimit = 3 * time.Second
+const inForceTimeout = 3 * time.Second
 
-// note waits until a version is in force everywhere and notes how long that took since its confirmation was sent.
-func (o *operatorClient) note(ctx context.Context, start time.Time, version int64) {
-	ctx, cancel := context.WithTimeout(ctx, forceLimit)
+// recordLatency waits until a version is in force everywhere and notes how long that took since its confirmation was sent.
+func (o *operatorClient) recordLatency(ctx context.Context, start time.Time, version int64) {
+	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
-	if o.await(ctx, version, o.f.live("")) != nil {
+	if o.awaitVersion(ctx, version, o.f.live("")) != nil {
 		return
 	}
 	o.mu.Lock()
@@ -225,8 +225,8 @@
 	o.latency = append(o.latency, time.Since(start))
 }
 
-// race lets two operators change the same object at once: one of them must be told of a conflict, or both saw the other's change.
-func (o *operatorClient) race(ctx context.Context) {
+// raceOperators lets two operators change the same object at once: one of them must be told of a conflict, or both saw the other's change.
+func (o *operatorClient) raceOperators(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		var wg sync.WaitGroup
 		for k := range 2 {
--- a/internal/matrix/caller_test.go
+++ b/internal/matrix/caller_test.go
@@ -16,7 +16,7 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// kind is what a cell's caller asks for.
+// kind is the kind of request that a cell's caller sends.
 type kind string
 
 const (
@@ -27,7 +27,7 @@
 const (
 	prompt    = "please summarise the tower report of the northern communes"
 	maxTokens = 40
-	price     = 40 // of a payment, as declared
+	price     = 40 // tokens that a payment costs, as declared
 )
 
 func (k kind) body() string {
@@ -53,7 +53,7 @@
 	return p, engine.Length(p, req.OutputLimit())
 }
 
-func (k kind) want() string {
+func (k kind) wantText() string {
 	if k == kindPayment {
 		return k.body()
 	}
@@ -69,76 +69,76 @@
 	return engine.PromptTokens(p) + n
 }
 
-// answer is how a caller's try ended.
-type answer struct {
-	verdict verdict.Verdict
-	code    verdict.Code
-	whole   bool
-	text    string
-	detail  string // of a refusal; no part of the golden file
-	retry   bool
+// callResult is the outcome of one attempt of a caller.
+type callResult struct {
+	verdict   verdict.Verdict
+	code      verdict.Code
+	complete  bool
+	text      string
+	detail    string // of a rejection; not part of the golden file
+	retryable bool
 }
 
-func (a answer) String() string {
+func (r callResult) String() string {
 	switch {
-	case a.whole:
+	case r.complete:
 		return "whole"
-	case a.code != "":
-		return a.verdict.String() + " " + string(a.code)
+	case r.code != "":
+		return r.verdict.String() + " " + string(r.code)
 	}
-	return a.verdict.String()
+	return r.verdict.String()
 }
 
-// ask makes one try at an instance. hangUp leaves after the second piece.
-func (w *world) ask(ctx context.Context, n *node, k kind, hangUp bool) answer {
+// send makes one attempt at an instance. With disconnect, the caller leaves after the second chunk.
+func (f *testFleet) send(ctx context.Context, n *node, k kind, disconnect bool) callResult {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.peer.Addr+k.path(), strings.NewReader(k.body()))
 	if err != nil {
-		w.t.Error(err)
+		f.t.Error(err)
 	}
 	req.Header.Set("Authorization", "Bearer "+testKey)
-	req.Header.Set(gateway.HeaderKey, w.key)
-	resp, err := w.http.RoundTrip(req)
+	req.Header.Set(gateway.HeaderKey, f.key)
+	resp, err := f.http.RoundTrip(req)
 	if err != nil {
 		if strings.Contains(err.Error(), "refused") {
-			return answer{verdict: verdict.NotRun, retry: true}
+			return callResult{verdict: verdict.NotRun, retryable: true}
 		}
-		return answer{verdict: verdict.MayHaveRun, retry: true}
+		return callResult{verdict: verdict.MayHaveRun, retryable: true}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if strings.HasPrefix(resp.Header.Get("Content-Type"), "application/problem") {
 		var p gateway.Problem
 		_ = json.NewDecoder(resp.Body).Decode(&p)
-		return refusal(p)
+		return rejection(p)
 	}
 	if k == kindPayment {
 		return readPayment(resp.Body)
 	}
-	return readStream(resp.Body, hangUp)
+	return readStream(resp.Body, disconnect)
 }
 
-func refusal(p gateway.Problem) answer {
+func rejection(p gateway.Problem) callResult {
 	v := verdict.Parse(p.Verdict)
-	return answer{verdict: v, code: verdict.Code(p.Title), detail: p.Detail, retry: p.RetryAfter > 0 || v == verdict.NotRun}
+	return callResult{verdict: v, code: verdict.Code(p.Title), detail: p.Detail, retryable: p.RetryAfter > 0 || v == verdict.NotRun}
 }
 
-func readPayment(r io.Reader) answer {
+func readPayment(r io.Reader) callResult {
 	var out plain.Response
 	if err := json.NewDecoder(r).Decode(&out); err != nil {
-		return answer{verdict: verdict.MayHaveRun, retry: true}
+		return callResult{verdict: verdict.MayHaveRun, retryable: true}
 	}
-	return answer{verdict: verdict.Ran, whole: true, text: out.Echo}
+	return callResult{verdict: verdict.Ran, complete: true, text: out.Echo}
 }
 
-func readStream(r io.Reader, hangUp bool) answer {
+func readStream(r io.Reader, disconnect bool) callResult {
 	var text strings.Builder
 	sc := bufio.NewScanner(r)
-	for pieces := 0; sc.Scan(); {
+	for chunks := 0; sc.Scan(); {
 		data, ok := strings.CutPrefix(sc.Text(), "data: ")
 		if !ok {
 			continue
 		}
 		if data == chat.Done {
-			return answer{verdict: verdict.Ran, whole: true, text: text.String()}
+			return callResult{verdict: verdict.Ran, complete: true, text: text.String()}
 		}
 		var ev struct {
 			chat.Chunk
@@ -148,14 +148,14 @@
 			break
 		}
 		if ev.Error != nil {
-			return refusal(*ev.Error)
+			return rejection(*ev.Error)
 		}
 		if len(ev.Choices) > 0 && ev.Choices[0].Delta != nil {
 			text.WriteString(ev.Choices[0].Delta.Content)
 		}
-		if pieces++; hangUp && pieces == 2 {
-			return answer{verdict: verdict.MayHaveRun, retry: true}
+		if chunks++; disconnect && chunks == 2 {
+			return callResult{verdict: verdict.MayHaveRun, retryable: true}
 		}
 	}
-	return answer{verdict: verdict.MayHaveRun, retry: true}
+	return callResult{verdict: verdict.MayHaveRun, retryable: true}
 }
--- a/internal/matrix/cell_test.go
+++ b/internal/matrix/cell_test.go
@@ -15,16 +15,16 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// fault is something that strikes when an instance reaches a step.
+// fault is a failure that is injected when an instance reaches a step.
 type fault struct {
 	name   string
-	strike func(c *cell, n *node)
+	inject func(c *cell, n *node)
 	heal   func(c *cell)
-	// hangUp and elsewhere are habits of the caller.
-	hangUp, elsewhere bool
+	// disconnect and otherZone change what the caller does: it disconnects in mid-stream, or retries in the other zone.
+	disconnect, otherZone bool
 }
 
-// faultNames names faults that strike together.
+// faultNames joins the names of faults that are injected together.
 func faultNames(faults []fault) string {
 	names := make([]string, len(faults))
 	for i, f := range faults {
@@ -33,130 +33,132 @@
 	return strings.Join(names, " + ")
 }
 
-// cell is one step with its faults, run in a world of its own.
+// cell is one step with its faults, run on a separate fleet.
 type cell struct {
-	w      *world
+	fleet  *testFleet
 	kind   kind
 	step   step.Step
 	faults []fault
 
-	mu       sync.Mutex
-	struck   bool // some instance has reached the step
-	acted    bool // and the faults have done their work
-	twice    bool // strike again at the next instance that reaches the step
-	times    int
-	answered chan struct{} // closed when the first try has ended
-	done     chan struct{} // closed when the planned stop that a fault began has ended
+	mu         sync.Mutex
+	stepSeen   bool // an instance has reached the step
+	injected   bool // the faults have been injected
+	repeat     bool // inject the faults again at the next instance that reaches the step
+	injections int
+	firstDone  chan struct{} // closed when the first attempt has ended
+	stopDone   chan struct{} // closed when the planned stop that a fault started has ended
 
-	outage  int // seconds for which the faults go on after the caller has ended
-	answers []answer
+	outage  int // seconds for which the faults last after the caller has ended
+	results []callResult
 }
 
-func (c *cell) reached(n *node, s step.Step) {
+// onStep injects the faults if an instance has reached the cell's step.
+func (c *cell) onStep(n *node, s step.Step) {
 	c.mu.Lock()
-	hit := s == c.step && (!c.struck || (c.twice && c.times < 2))
+	hit := s == c.step && (!c.stepSeen || (c.repeat && c.injections < 2))
 	if hit {
-		c.struck = true
-		c.times++
+		c.stepSeen = true
+		c.injections++
 	}
 	c.mu.Unlock()
 	if !hit {
 		return
 	}
 	if s == step.Settle {
-		select { // the settlement runs beside the answer: let that arrive
-		case <-c.answered:
-		case <-time.After(answerPatience):
+		select { // the settlement runs concurrently with the response: let the response arrive first
+		case <-c.firstDone:
+		case <-time.After(responseTimeout):
 		}
 	}
 	for _, f := range c.faults {
-		if f.strike != nil {
-			f.strike(c, n)
+		if f.inject != nil {
+			f.inject(c, n)
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.acted = true
+	c.injected = true
 }
 
-// wasStruck reports whether the faults have struck.
-func (c *cell) wasStruck() bool {
+// faultsInjected reports whether the faults have been injected.
+func (c *cell) faultsInjected() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.acted
+	return c.injected
 }
 
 // row is a line of docs/FAULTS.md.
 type row struct {
-	Kind   string
-	Step   string
-	Fault  string
-	Saw    string
-	Billed string
-	Held   int64
-	Kept   bool
-	Why    []string
-	Detail []string // what refusals said; no part of the golden file
+	Kind       string
+	Step       string
+	Fault      string
+	Observed   string
+	Billed     string
+	Held       int64
+	Passed     bool
+	Violations []string
+	Details    []string // details of rejections; not part of the golden file
 }
 
 const (
-	tryLimit    = 12 * time.Second
-	strikeLimit = 2 * time.Second
-	longOutage  = 20 // seconds for which faults go on after the caller has ended: others take over meanwhile
+	attemptTimeout = 12 * time.Second
+	stepTimeout    = 2 * time.Second
+	outageSeconds  = 20 // how long faults last after the caller has ended, so that other instances take over
 
-	frozenPatience = 60 * time.Millisecond
-	afterHeal      = 30 * time.Millisecond // what was held back goes on before time passes
-	answerPatience = 300 * time.Millisecond
+	pausedGrace     = 60 * time.Millisecond
+	healDelay       = 30 * time.Millisecond // lets blocked calls continue before the clock advances
+	responseTimeout = 300 * time.Millisecond
 )
 
-// run plays the cell: one caller asks at a1, comes back elsewhere with the same key while that makes sense; then the
-// faults heal, time passes, and the auditor looks.
+// run runs the cell. One caller sends a request to a1, and retries at other instances with the same key while a retry
+// makes sense. Then the faults heal, time passes, and the auditor checks the outcome.
 func (c *cell) run(ctx context.Context) row {
-	c.w.setStrike(c.reached)
-	stop := c.keepPumping(ctx)
+	c.fleet.setOnStep(c.onStep)
+	stop := c.startTicking(ctx)
 	c.call(ctx)
-	c.provoke()
-	c.awaitStrike()
+	c.triggerStep()
+	c.awaitInjection()
 	stop()
-	c.w.elapse(ctx, c.outage)
+	c.fleet.advanceSeconds(ctx, c.outage)
 	for _, f := range c.faults {
 		if f.heal != nil {
 			f.heal(c)
 		}
 	}
-	if c.done != nil {
-		<-c.done
+	if c.stopDone != nil {
+		<-c.stopDone
 	}
-	time.Sleep(afterHeal)
-	c.w.replace(ctx)
-	c.w.quiesce(ctx)
+	time.Sleep(healDelay)
+	c.fleet.replaceLost(ctx)
+	c.fleet.settle(ctx)
 	return c.audit(ctx)
 }
 
-const aLongTime = 2 * time.Hour
+// beyondIdle is longer than testTimes.Idle.
+const beyondIdle = 2 * time.Hour
 
-// provoke brings about the steps that no request reaches by itself.
-func (c *cell) provoke() {
+// triggerStep triggers the steps that no request reaches by itself.
+func (c *cell) triggerStep() {
 	switch c.step {
 	case step.Return:
 		c.awaitSettled()
-		c.w.clock.Advance(aLongTime)
+		c.fleet.clock.Advance(beyondIdle)
 	case step.Reclaim:
 		c.awaitSettled()
-		c.w.homeOf(serving(c)).crash()
+		c.fleet.homeOf(serving(c)).crash()
 		for range 3 * int(testTimes.Dead/time.Second) {
-			c.w.clock.Advance(time.Second)
+			c.fleet.clock.Advance(time.Second)
 			time.Sleep(5 * time.Millisecond)
 		}
 	default:
 	}
 }
 
-// awaitSettled waits until no serving instance has anything open.
+// awaitSettled waits until no instance has an open reservation.
 func (c *cell) awaitSettled() {
-	for giveUp := time.Now().Add(strikeLimit); time.Now().Before(giveUp); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(stepTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		open := 0
-		for _, n := range c.w.nodes {
+		for _, n := range c.fleet.nodes {
 			open += n.client.Open()
 		}
 		if open == 0 {
@@ -165,15 +167,15 @@
 	}
 }
 
-// awaitStrike waits for a step that is reached after the caller has its answer.
-func (c *cell) awaitStrike() {
-	for giveUp := time.Now().Add(strikeLimit); !c.wasStruck() && time.Now().Before(giveUp); {
+// awaitInjection waits until the faults are injected, since a step may follow after the caller has its response.
+func (c *cell) awaitInjection() {
+	for deadline := time.Now().Add(stepTimeout); !c.faultsInjected() && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// keepPumping moves time and pumps while the caller waits.
-func (c *cell) keepPumping(ctx context.Context) (stop func()) {
+// startTicking advances the clock and runs the instances' background work until stop is called.
+func (c *cell) startTicking(ctx context.Context) (stop func()) {
 	quit, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -182,8 +184,8 @@
 			case <-quit:
 				return
 			case <-time.After(time.Millisecond):
-				c.w.clock.Advance(time.Millisecond)
-				c.w.pump(ctx)
+				c.fleet.clock.Advance(time.Millisecond)
+				c.fleet.tickAll(ctx)
 			}
 		}
 	}()
@@ -193,70 +195,73 @@
 	}
 }
 
-const triesPerCall = 4
+const maxAttempts = 4
 
+// call sends the request, and retries it at the other instances.
 func (c *cell) call(ctx context.Context) {
-	order := []*node{c.w.node("a1"), c.w.node("a2"), c.w.node("b1"), c.w.node("b2")}
-	if c.habit(func(f fault) bool { return f.elsewhere }) {
-		order = []*node{c.w.node("a1"), c.w.node("b1"), c.w.node("b2"), c.w.node("a2")}
+	order := []*node{c.fleet.node("a1"), c.fleet.node("a2"), c.fleet.node("b1"), c.fleet.node("b2")}
+	if c.anyFault(func(f fault) bool { return f.otherZone }) {
+		order = []*node{c.fleet.node("a1"), c.fleet.node("b1"), c.fleet.node("b2"), c.fleet.node("a2")}
 	}
-	hangUp := c.habit(func(f fault) bool { return f.hangUp })
-	for i := range triesPerCall {
-		a := c.try(ctx, order[i], hangUp && i == 0)
-		c.answers = append(c.answers, a)
+	disconnect := c.anyFault(func(f fault) bool { return f.disconnect })
+	for i := range maxAttempts {
+		a := c.attempt(ctx, order[i], disconnect && i == 0)
+		c.results = append(c.results, a)
 		if i == 0 {
-			close(c.answered)
+			close(c.firstDone)
 		}
-		if a.whole || !a.retry {
+		if a.complete || !a.retryable {
 			return
 		}
-		c.w.clock.Advance(time.Second)
+		c.fleet.clock.Advance(time.Second)
 	}
 }
 
-func (c *cell) habit(f func(fault) bool) bool {
-	for _, one := range c.faults {
-		if f(one) {
+// anyFault reports whether any of the cell's faults matches.
+func (c *cell) anyFault(match func(fault) bool) bool {
+	for _, ft := range c.faults {
+		if match(ft) {
 			return true
 		}
 	}
 	return false
 }
 
-// try asks and gives up when the instance is frozen: the caller's patience is not the point here.
-func (c *cell) try(ctx context.Context, n *node, hangUp bool) answer {
-	ctx, cancel := context.WithTimeout(ctx, tryLimit)
+// attempt sends the request once. It cancels the request soon after the instance is paused, since the cell does not
+// test the caller's timeout.
+func (c *cell) attempt(ctx context.Context, n *node, disconnect bool) callResult {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	go func() {
 		for ctx.Err() == nil {
-			if n.isFrozen() {
-				time.Sleep(frozenPatience) // what is on its way still arrives
+			if n.isPaused() {
+				time.Sleep(pausedGrace) // data that was already sent still arrives
 				cancel()
 			}
 			time.Sleep(time.Millisecond)
 		}
 	}()
-	a := c.w.ask(ctx, n, c.kind, hangUp)
-	if (ctx.Err() != nil || n.isDead()) && !a.whole && a.verdict != verdict.NotRun {
-		return answer{verdict: verdict.MayHaveRun, retry: true} // the caller has given up, or the instance died
+	a := c.fleet.send(ctx, n, c.kind, disconnect)
+	if (ctx.Err() != nil || n.isDead()) && !a.complete && a.verdict != verdict.NotRun {
+		return callResult{verdict: verdict.MayHaveRun, retryable: true} // the caller has given up, or the instance has crashed
 	}
 	return a
 }
 
-// audit checks every promise against the endpoints' logs, the store and the caller's answers.
+// audit checks every guarantee against the endpoints' logs, the store and the caller's responses.
 func (c *cell) audit(ctx context.Context) row {
-	r := row{Kind: string(c.kind), Step: string(c.step), Fault: faultNames(c.faults), Saw: c.saw()}
-	for _, a := range c.answers {
-		r.Detail = append(r.Detail, a.detail)
+	r := row{Kind: string(c.kind), Step: string(c.step), Fault: faultNames(c.faults), Observed: c.observed()}
+	for _, a := range c.results {
+		r.Details = append(r.Details, a.detail)
 	}
-	v, err := budget.Inspect(ctx, c.w.store(), testBudget)
+	v, err := budget.Inspect(ctx, c.fleet.store(), testBudget)
 	if err != nil {
-		r.Why = append(r.Why, err.Error())
+		r.Violations = append(r.Violations, err.Error())
 		return r
 	}
-	runs, most := c.ran()
-	last := c.answers[len(c.answers)-1]
-	alive := c.w.aliveHolders()
+	runs, maxCost := c.endpointRuns()
+	last := c.results[len(c.results)-1]
+	alive := c.fleet.aliveHolders()
 	for _, h := range v.Holders {
 		if !alive[h.Holder] {
 			r.Held += h.Granted - h.Spent
@@ -264,25 +269,25 @@
 	}
 	check := func(ok bool, format string, args ...any) {
 		if !ok {
-			r.Why = append(r.Why, fmt.Sprintf(format, args...))
+			r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 		}
 	}
-	check(c.wasStruck(), "the step was never reached")
-	check(v.Spent+v.Free+(v.Granted-spentOf(v)) == v.Deposited, "the budget does not add up")
+	check(c.faultsInjected(), "the step was never reached")
+	check(v.Spent+v.Free+(v.Granted-spentByHolders(v)) == v.Deposited, "the budget does not add up")
 	check(v.Spent <= v.Deposited, "overspent")
-	check(!last.whole || last.text == c.kind.want(), "the answer is not the request's own")
-	check(!last.whole || v.Spent == c.kind.cost() || v.Spent+r.Held >= c.kind.cost(), "billed %d, not %d", v.Spent, c.kind.cost())
-	check(c.mayRun() || runs == 0, "called not run, but ran")
-	check(c.mayRun() || v.Spent == 0, "called not run, but billed %d", v.Spent)
+	check(!last.complete || last.text == c.kind.wantText(), "the answer is not the request's own")
+	check(!last.complete || v.Spent == c.kind.cost() || v.Spent+r.Held >= c.kind.cost(), "billed %d, not %d", v.Spent, c.kind.cost())
+	check(c.mayHaveRun() || runs == 0, "called not run, but ran")
+	check(c.mayHaveRun() || v.Spent == 0, "called not run, but billed %d", v.Spent)
 	check(c.kind != kindPayment || runs <= 1, "ran %d times", runs)
-	check(v.Spent <= most, "billed %d, more than the %d that ran", v.Spent, most)
-	check(len(c.answers) > 0, "nothing came back to the caller")
-	r.Billed = billed(v.Spent, c.kind)
-	r.Kept = len(r.Why) == 0
+	check(v.Spent <= maxCost, "billed %d, more than the %d that ran", v.Spent, maxCost)
+	check(len(c.results) > 0, "nothing came back to the caller")
+	r.Billed = billedLabel(v.Spent, c.kind)
+	r.Passed = len(r.Violations) == 0
 	return r
 }
 
-func spentOf(v *budget.View) int64 {
+func spentByHolders(v *budget.View) int64 {
 	var n int64
 	for _, h := range v.Holders {
 		n += h.Spent
@@ -290,7 +295,7 @@
 	return n
 }
 
-func billed(n int64, k kind) string {
+func billedLabel(n int64, k kind) string {
 	switch n {
 	case 0:
 		return "no"
@@ -300,17 +305,17 @@
 	return "part"
 }
 
-func (c *cell) saw() string {
-	parts := make([]string, len(c.answers))
-	for i, a := range c.answers {
+func (c *cell) observed() string {
+	parts := make([]string, len(c.results))
+	for i, a := range c.results {
 		parts[i] = a.String()
 	}
 	return strings.Join(parts, ", ")
 }
 
-// mayRun reports whether any try was told something else than not run.
-func (c *cell) mayRun() bool {
-	for _, a := range c.answers {
+// mayHaveRun reports whether any attempt got a verdict other than not run.
+func (c *cell) mayHaveRun() bool {
+	for _, a := range c.results {
 		if a.verdict != verdict.NotRun {
 			return true
 		}
@@ -318,32 +323,32 @@
 	return false
 }
 
-// ran reports how often endpoints ran the request, and the most that it can have cost.
-func (c *cell) ran() (runs int, most int64) {
+// endpointRuns returns how often endpoints ran the request, and the most tokens that it can have cost.
+func (c *cell) endpointRuns() (runs int, maxCost int64) {
 	if c.kind == kindPayment {
-		for _, p := range c.w.plains {
+		for _, p := range c.fleet.plainServices {
 			runs += p.Runs(c.kind.body())
 		}
-		if c.mayRun() {
-			most = price
+		if c.mayHaveRun() {
+			maxCost = price
 		}
-		return runs, most
+		return runs, maxCost
 	}
-	hash := xxhash.Sum64String(c.kind.want())
-	for _, e := range c.w.engines {
+	hash := xxhash.Sum64String(c.kind.wantText())
+	for _, e := range c.fleet.engines {
 		for _, r := range e.Log() {
 			if r.Text == hash {
 				runs++
-				most = max(most, r.Prompt+r.Output)
+				maxCost = max(maxCost, r.Prompt+r.Output)
 			}
 		}
 	}
-	return runs, most
+	return runs, maxCost
 }
 
-func (w *world) aliveHolders() map[string]bool {
+func (f *testFleet) aliveHolders() map[string]bool {
 	out := make(map[string]bool)
-	for _, n := range w.nodes {
+	for _, n := range f.nodes {
 		if !n.isDead() {
 			out[n.home.Holder()] = true
 		}
@@ -351,13 +356,14 @@
 	return out
 }
 
-// homeOf is the instance that holds the test budget's escrow for a serving instance.
-func (w *world) homeOf(n *node) *node {
+// homeOf returns the instance that holds the test budget's escrow for a serving instance.
+func (f *testFleet) homeOf(n *node) *node {
 	homes := budget.Homes(testBudget, members{n}.Zone(), n.peer.ID)
-	return w.node(homes[0].ID)
+	return f.node(homes[0].ID)
 }
 
-func (w *world) change(ctx context.Context, n *node, in *intent.Intent) error {
+// applyIntent plans and confirms an intent at an instance.
+func (f *testFleet) applyIntent(ctx context.Context, n *node, in *intent.Intent) error {
 	p, err := n.planner.Plan(ctx, in)
 	if err != nil {
 		return err
--- a/internal/matrix/doc.go
+++ b/internal/matrix/doc.go
@@ -1,4 +1,6 @@
-// Package matrix proves the promises: every fault at every step, checked by an auditor that trusts no instance.
+// Package matrix tests the product's guarantees: it injects every fault at every step of a request, and checks the
+// outcome with an auditor that trusts no instance.
 //
-// All of it is in test files: go test ./internal/matrix -run TestFaultMatrix. The rows are kept in docs/FAULTS.md.
+// The package consists of test files only: go test ./internal/matrix -run TestFaultMatrix. The rows of the matrix are
+// stored in docs/FAULTS.md.
 package matrix
--- a/internal/matrix/world_test.go
+++ b/internal/matrix/fleet_test.go
@@ -42,25 +42,26 @@
 
 var errCrashed = errors.New("the instance has crashed")
 
-// world is a small fleet on fake wires: two zones of two instances, one engine and one plain service in each.
-type world struct {
-	t       *testing.T
-	clock   *clock.Clock
-	net     *meshtest.Net
-	http    *inproc.Transport
-	kv      *kv.Server
-	nodes   []*node
-	engines map[string]*engine.Engine
-	plains  map[string]*plain.Service
+// testFleet is a small fleet on in-process transports: two zones with two instances, one engine and one plain service
+// each.
+type testFleet struct {
+	t             *testing.T
+	clock         *clock.Clock
+	net           *meshtest.Net
+	http          *inproc.Transport
+	kv            *kv.Server
+	nodes         []*node
+	engines       map[string]*engine.Engine
+	plainServices map[string]*plain.Service
 
 	key string // the caller's idempotency key
-	// wrap and wrapStore plant bugs.
-	wrap      func(mesh.Caller) mesh.Caller
-	wrapStore func(http.RoundTripper) http.RoundTripper
+	// wrapCaller and wrapStore inject bugs that the auditor must find.
+	wrapCaller func(mesh.Caller) mesh.Caller
+	wrapStore  func(http.RoundTripper) http.RoundTripper
 
-	mu     sync.Mutex
-	lag    bool // crashed and frozen instances still look alive
-	strike func(n *node, s step.Step)
+	mu      sync.Mutex
+	listLag bool // crashed and paused instances still look alive
+	onStep  func(n *node, s step.Step)
 }
 
 var testTimes = budget.Times{
@@ -68,59 +69,59 @@
 	Dead: 4 * time.Second, Denied: 10 * time.Millisecond, KeepDone: time.Hour,
 }
 
-func newWorld(t *testing.T) *world { return newWorldWith(t, func(*world) {}) }
+func newFleet(t *testing.T) *testFleet { return newFleetWith(t, func(*testFleet) {}) }
 
-// newWorldWith makes a world after opt has changed its wiring.
-func newWorldWith(t *testing.T, opt func(*world)) *world {
-	w := &world{
+// newFleetWith makes a fleet; opt may change its wiring first.
+func newFleetWith(t *testing.T, opt func(*testFleet)) *testFleet {
+	f := &testFleet{
 		t: t, clock: clock.New(), net: meshtest.New(), http: inproc.New(), kv: kv.New(kv.WithLostEvery(1)),
-		engines: make(map[string]*engine.Engine), plains: make(map[string]*plain.Service),
-		key:       "the-key",
-		strike:    func(*node, step.Step) {},
-		wrap:      func(c mesh.Caller) mesh.Caller { return c },
-		wrapStore: func(rt http.RoundTripper) http.RoundTripper { return rt },
+		engines: make(map[string]*engine.Engine), plainServices: make(map[string]*plain.Service),
+		key:        "the-key",
+		onStep:     func(*node, step.Step) {},
+		wrapCaller: func(c mesh.Caller) mesh.Caller { return c },
+		wrapStore:  func(rt http.RoundTripper) http.RoundTripper { return rt },
 	}
-	opt(w)
-	w.http.Handle(storeHost, w.kv.Handler())
-	t.Cleanup(w.close)
-	doc := &declare.Document{Version: 1, Fences: declare.Fences{}, Decl: w.declarations()}
+	opt(f)
+	f.http.Handle(storeHost, f.kv.Handler())
+	t.Cleanup(f.close)
+	doc := &declare.Document{Version: 1, Fences: declare.Fences{}, Decl: f.declarations()}
 	data, err := json.Marshal(doc)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := w.store().Put(t.Context(), declare.Key, data, 0, 0); err != nil {
+	if _, err := f.store().Put(t.Context(), declare.Key, data, 0, 0); err != nil {
 		t.Fatal(err)
 	}
-	w.deposit()
+	f.deposit()
 	for _, id := range []string{"a1", "a2", "b1", "b2"} {
-		w.nodes = append(w.nodes, w.newNode(id, "zone-"+id[:1]))
+		f.nodes = append(f.nodes, f.newNode(id, "zone-"+id[:1]))
 	}
-	for _, n := range w.nodes {
+	for _, n := range f.nodes {
 		if err := n.feed.Read(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	w.warm(t.Context())
-	return w
+	f.warmUp(t.Context())
+	return f
 }
 
-// replace starts an instance in every zone that has none left, as the platform does.
-func (w *world) replace(ctx context.Context) {
+// replaceLost starts an instance in every zone that has no running instance left, as the platform does.
+func (f *testFleet) replaceLost(ctx context.Context) {
 	for _, zone := range []string{"zone-a", "zone-b"} {
-		if w.anyIn(zone) {
+		if f.anyAliveIn(zone) {
 			continue
 		}
-		n := w.newNode(zone[len("zone-"):]+"9", zone)
+		n := f.newNode(zone[len("zone-"):]+"9", zone)
 		if err := n.feed.Read(ctx); err != nil {
-			w.t.Error(err)
+			f.t.Error(err)
 		}
-		w.nodes = append(w.nodes, n)
+		f.nodes = append(f.nodes, n)
 	}
-	w.warm(ctx)
+	f.warmUp(ctx)
 }
 
-func (w *world) anyIn(zone string) bool {
-	for _, n := range w.nodes {
+func (f *testFleet) anyAliveIn(zone string) bool {
+	for _, n := range f.nodes {
 		if n.peer.Zone == zone && !n.isDead() {
 			return true
 		}
@@ -128,22 +129,22 @@
 	return false
 }
 
-// lastCalls is more than the slowest call takes: the calls that are under way when a cell ends come to their own end.
-const lastCalls = 10 * time.Second
+// closeWait is longer than the slowest call takes, so that calls in progress when a cell ends can return.
+const closeWait = 10 * time.Second
 
-func (w *world) close() {
-	for _, n := range w.nodes {
+func (f *testFleet) close() {
+	for _, n := range f.nodes {
 		n.crash()
 	}
-	w.kv.Close()
-	time.Sleep(lastCalls)
+	f.kv.Close()
+	time.Sleep(closeWait)
 }
 
-func (w *world) store() external.Store {
-	return etcdstore.New("http://"+storeHost, etcdstore.WithTransport(w.http))
+func (f *testFleet) store() external.Store {
+	return etcdstore.New("http://"+storeHost, etcdstore.WithTransport(f.http))
 }
 
-func (w *world) declarations() declare.Declarations {
+func (f *testFleet) declarations() declare.Declarations {
 	d := declare.Declarations{
 		Zones:     map[string]declare.Zone{"zone-a": {Region: "r"}, "zone-b": {Region: "r"}},
 		Endpoints: map[string]declare.Endpoint{},
@@ -162,9 +163,9 @@
 	for _, zone := range []string{"zone-a", "zone-b"} {
 		e := engine.New(testModel, engine.WithTimes(0, 200*time.Microsecond))
 		p := plain.New(0)
-		w.engines[zone], w.plains[zone] = e, p
-		w.http.Handle("engine."+zone, e.Handler())
-		w.http.Handle("plain."+zone, p)
+		f.engines[zone], f.plainServices[zone] = e, p
+		f.http.Handle("engine."+zone, e.Handler())
+		f.http.Handle("plain."+zone, p)
 		d.Endpoints["engine-"+zone] = declare.Endpoint{
 			Zone: zone, URL: "http://engine." + zone, Pool: "drafts", State: declare.StateActive, Capacity: 8, Checks: true,
 		}
@@ -175,108 +176,108 @@
 	return d
 }
 
-func (w *world) deposit() {
+func (f *testFleet) deposit() {
 	var page budget.Page
 	row := &budget.Row{Customer: testCustomer}
 	if err := row.Deposit("opening", deposit); err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	page.Put(testBudget, row)
 	data, err := page.Encode()
 	if err != nil {
-		w.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	if _, err := w.store().Put(w.t.Context(), budget.PageKey(budget.PageOf(testBudget)), data, 0, 0); err != nil {
-		w.t.Fatal(err)
+	if _, err := f.store().Put(f.t.Context(), budget.PageKey(budget.PageOf(testBudget)), data, 0, 0); err != nil {
+		f.t.Fatal(err)
 	}
 }
 
-func (w *world) newNode(id, zone string) *node {
+func (f *testFleet) newNode(id, zone string) *node {
 	ctx, cancel := context.WithCancel(context.Background())
-	n := &node{w: w, peer: mesh.Peer{ID: id, Zone: zone, Addr: id, Inc: "x"}, cancel: cancel}
+	n := &node{fleet: f, peer: mesh.Peer{ID: id, Zone: zone, Addr: id, Inc: "x"}, cancel: cancel}
 	router := mesh.NewRouter()
-	caller := w.wrap(&gatedCaller{n: n, next: w.net.Join(n.peer, router)})
+	caller := f.wrapCaller(&gatedCaller{n: n, next: f.net.Join(n.peer, router)})
 	m := members{n}
-	store := etcdstore.New("http://"+storeHost, etcdstore.WithTransport(w.wrapStore(gatedHTTP{n})), etcdstore.WithTimeout(time.Second))
+	store := etcdstore.New("http://"+storeHost, etcdstore.WithTransport(f.wrapStore(gatedTransport{n})), etcdstore.WithTimeout(time.Second))
 	n.feed = rollout.NewFeed(store, m, caller, router)
-	tg := targets.New(zone, targets.WithSeed(1), targets.WithClock(w.clock.Now))
+	tg := targets.New(zone, targets.WithSeed(1), targets.WithClock(f.clock.Now))
 	n.feed.OnChange(tg.SetDocument)
-	driver := endpoint.NewDriverWith(gatedHTTP{n})
+	driver := endpoint.NewDriverWith(gatedTransport{n})
 	stopper := endpoint.NewStopper(driver, tg)
-	n.home = budget.NewHome(store, m, caller, router, stopper, budget.WithTimes(testTimes), budget.WithClock(w.clock.Now), budget.WithHook(n.hook),
+	n.home = budget.NewHome(store, m, caller, router, stopper, budget.WithTimes(testTimes), budget.WithClock(f.clock.Now), budget.WithHook(n.hook),
 		budget.WithKeyCheck(func(ctx context.Context, customer, request string, place budget.Place, tokens int64) (bill, sure bool) {
 			return n.keys.BillOrphan(ctx, customer, request, place, tokens)
 		}))
-	n.client = budget.NewClient(store, m, caller, router, budget.WithClientClock(w.clock.Now))
+	n.client = budget.NewClient(store, m, caller, router, budget.WithClientClock(f.clock.Now))
 	zones := func(string) []string { return []string{"zone-a", "zone-b"} }
-	n.keys = once.NewKeys(m, caller, router, zones, once.WithKeysClock(w.clock.Now))
+	n.keys = once.NewKeys(m, caller, router, zones, once.WithKeysClock(f.clock.Now))
 	n.gateway = gateway.New(gateway.Deps{
 		Feed: n.feed, Members: m, Caller: caller, Router: router, Targets: tg, Budgets: n.client, Keys: n.keys,
-		Claims: once.NewClaims(store, n.peer.Who(), w.clock.Now), Driver: driver, Stopper: stopper,
-	}, gateway.WithClock(w.clock.Now), gateway.WithHook(n.hook), gateway.WithKill(ctx), gateway.WithLooker(w.http),
+		Claims: once.NewClaims(store, n.peer.Who(), f.clock.Now), Driver: driver, Stopper: stopper,
+	}, gateway.WithClock(f.clock.Now), gateway.WithHook(n.hook), gateway.WithKill(ctx), gateway.WithLooker(f.http),
 		gateway.WithLogger(zerolog.New(zerolog.SyncWriter(&n.log)).Level(zerolog.WarnLevel)))
 	n.feed.OnChange(n.gateway.SetDocument)
 	n.planner = intent.New(store, n.feed, m, caller, router, tg.InFlight, intent.WithHook(n.hook))
-	w.http.Handle(n.peer.Addr, n.gateway.Handler())
+	f.http.Handle(n.peer.Addr, n.gateway.Handler())
 	return n
 }
 
-func (w *world) node(id string) *node {
-	for _, n := range w.nodes {
+func (f *testFleet) node(id string) *node {
+	for _, n := range f.nodes {
 		if n.peer.ID == id {
 			return n
 		}
 	}
-	w.t.Fatalf("no node %s", id)
+	f.t.Fatalf("no node %s", id)
 	return nil
 }
 
-func (w *world) reached(n *node, s step.Step) {
-	w.mu.Lock()
-	f := w.strike
-	w.mu.Unlock()
-	f(n, s)
+func (f *testFleet) stepReached(n *node, s step.Step) {
+	f.mu.Lock()
+	hook := f.onStep
+	f.mu.Unlock()
+	hook(n, s)
 }
 
-func (w *world) setStrike(f func(n *node, s step.Step)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.strike = f
+func (f *testFleet) setOnStep(hook func(n *node, s step.Step)) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.onStep = hook
 }
 
-func (w *world) looksAlive(n *node) bool {
-	w.mu.Lock()
-	lag := w.lag
-	w.mu.Unlock()
-	return lag || n.awake()
+func (f *testFleet) looksAlive(n *node) bool {
+	f.mu.Lock()
+	listLag := f.listLag
+	f.mu.Unlock()
+	return listLag || n.running()
 }
 
-func (w *world) setLag(lag bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lag = lag
+func (f *testFleet) setListLag(listLag bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.listLag = listLag
 }
 
 const (
-	tickPatience = 20 * time.Millisecond
-	quietLimit   = 2 * time.Second
+	tickTimeout   = 20 * time.Millisecond
+	settleTimeout = 2 * time.Second
 )
 
-// pump lets every awake instance do what is due. One that freezes in the middle of it is left behind.
-func (w *world) pump(ctx context.Context) {
-	for _, n := range w.nodes {
+// tickAll runs the background work of every running instance. It does not wait for an instance that is paused meanwhile.
+func (f *testFleet) tickAll(ctx context.Context) {
+	for _, n := range f.nodes {
 		done := n.tick(ctx)
 		select {
 		case <-done:
-		case <-time.After(tickPatience):
+		case <-time.After(tickTimeout):
 		}
 	}
 }
 
-// tick does what is due in the background, unless it is still at it.
+// tick starts the instance's due background work, unless the previous tick is still running.
 func (n *node) tick(ctx context.Context) <-chan struct{} {
 	done := make(chan struct{})
-	if !n.awake() || !n.ticking.TryLock() {
+	if !n.running() || !n.ticking.TryLock() {
 		close(done)
 		return done
 	}
@@ -291,44 +292,46 @@
 	return done
 }
 
-// quiesce moves the clock and pumps until nothing is open any more, or until it gives up.
-func (w *world) quiesce(ctx context.Context) {
+// settle advances the clock and ticks the instances until the fleet is settled. It gives up after 60 rounds and
+// settleTimeout.
+func (f *testFleet) settle(ctx context.Context) {
 	const rounds = 60
-	giveUp := time.Now().Add(quietLimit)
-	for i := 0; i < rounds || time.Now().Before(giveUp); i++ {
+	deadline := time.Now().Add(settleTimeout)
+	for i := 0; i < rounds || time.Now().Before(deadline); i++ {
 		if i < rounds {
-			w.clock.Advance(time.Second)
+			f.clock.Advance(time.Second)
 		}
-		w.pump(ctx)
+		f.tickAll(ctx)
 		time.Sleep(time.Millisecond)
-		if w.quiet(ctx) {
+		if f.settled(ctx) {
 			return
 		}
 	}
 }
 
-// elapse lets seconds pass.
-func (w *world) elapse(ctx context.Context, seconds int) {
+// advanceSeconds advances the clock second by second, and ticks the instances after each.
+func (f *testFleet) advanceSeconds(ctx context.Context, seconds int) {
 	for range seconds {
-		w.clock.Advance(time.Second)
-		w.pump(ctx)
+		f.clock.Advance(time.Second)
+		f.tickAll(ctx)
 	}
 }
 
-// warm lets the instances find each other: time passes, so that they trust what they know.
-func (w *world) warm(ctx context.Context) {
+// warmUp advances the clock and ticks the idempotency keys, until the instances trust their view of the fleet.
+func (f *testFleet) warmUp(ctx context.Context) {
 	const rounds = 8
 	for range rounds {
-		w.clock.Advance(time.Second)
-		for _, n := range w.nodes {
+		f.clock.Advance(time.Second)
+		for _, n := range f.nodes {
 			n.keys.Tick(ctx)
 		}
 	}
 }
 
-func (w *world) quiet(ctx context.Context) bool {
+// settled reports whether no reservation is open, and every grant in the store belongs to a running instance.
+func (f *testFleet) settled(ctx context.Context) bool {
 	holders := make(map[string]bool)
-	for _, n := range w.nodes {
+	for _, n := range f.nodes {
 		if n.isDead() {
 			continue
 		}
@@ -337,7 +340,7 @@
 			return false
 		}
 	}
-	v, err := budget.Inspect(ctx, w.store(), testBudget)
+	v, err := budget.Inspect(ctx, f.store(), testBudget)
 	if err != nil {
 		return false
 	}
--- a/internal/matrix/matrix_test.go
+++ b/internal/matrix/matrix_test.go
@@ -29,48 +29,49 @@
 	}
 )
 
-type plan struct {
+// cellSpec describes one cell of the matrix.
+type cellSpec struct {
 	kind   kind
 	step   step.Step
 	faults []fault
-	twice  bool
+	repeat bool
 }
 
-// plans lists every cell: each step times each fault.
-func plans() []plan {
-	var out []plan
+// cellSpecs lists every cell: each step combined with each fault, and the special cases below.
+func cellSpecs() []cellSpec {
+	var out []cellSpec
 	for _, f := range faultList() {
 		for _, s := range chatSteps {
-			out = append(out, plan{kind: kindChat, step: s, faults: []fault{f}})
+			out = append(out, cellSpec{kind: kindChat, step: s, faults: []fault{f}})
 		}
-		if f.hangUp {
+		if f.disconnect {
 			continue // payments are not streamed
 		}
 		for _, s := range paymentSteps {
-			out = append(out, plan{kind: kindPayment, step: s, faults: []fault{f}})
+			out = append(out, cellSpec{kind: kindPayment, step: s, faults: []fault{f}})
 		}
 	}
-	out = append(out, escrowPlans()...)
-	out = append(out, pairPlans()...)
-	return append(out, twicePlans()...)
+	out = append(out, escrowSpecs()...)
+	out = append(out, pairSpecs()...)
+	return append(out, repeatSpecs()...)
 }
 
-// escrowPlans are the steps of escrow that no request reaches by itself.
-func escrowPlans() []plan {
-	var out []plan
+// escrowSpecs lists the cells for steps of escrow that no request reaches by itself.
+func escrowSpecs() []cellSpec {
+	var out []cellSpec
 	for _, f := range faultList() {
-		if f.hangUp {
+		if f.disconnect {
 			continue
 		}
 		out = append(out,
-			plan{kind: kindChat, step: step.Return, faults: []fault{f}},
-			plan{kind: kindChat, step: step.Reclaim, faults: []fault{f}})
+			cellSpec{kind: kindChat, step: step.Return, faults: []fault{f}},
+			cellSpec{kind: kindChat, step: step.Reclaim, faults: []fault{f}})
 	}
 	return out
 }
 
-// pairPlans are faults that strike together.
-func pairPlans() []plan {
+// pairSpecs lists the cells in which two faults are injected together.
+func pairSpecs() []cellSpec {
 	pairs := [][2]string{
 		{"store-down", "home-crash"},
 		{"store-answer-lost", "home-crash"},
@@ -84,86 +85,88 @@
 		{"rolling-stop", "store-answer-lost"},
 		{"zone-cut-from-store", "home-crash"},
 	}
-	var out []plan
+	var out []cellSpec
 	for _, p := range pairs {
 		a, b := faultNamed(p[0]), faultNamed(p[1])
 		for _, s := range []step.Step{step.Draw, step.Dispatch, step.MidStream, step.Settle} {
-			out = append(out, plan{kind: kindChat, step: s, faults: []fault{a, b}})
+			out = append(out, cellSpec{kind: kindChat, step: s, faults: []fault{a, b}})
 		}
-		if !a.hangUp {
-			out = append(out, plan{kind: kindPayment, step: step.Claim, faults: []fault{a, b}})
+		if !a.disconnect {
+			out = append(out, cellSpec{kind: kindPayment, step: step.Claim, faults: []fault{a, b}})
 		}
 	}
 	return out
 }
 
 func faultNamed(name string) fault {
-	for _, f := range faultList() {
-		if f.name == name {
-			return f
+	for _, ft := range faultList() {
+		if ft.name == name {
+			return ft
 		}
 	}
 	panic("no fault " + name)
 }
 
-// twicePlans strike whoever reaches the step, and the next one that reaches it too.
-func twicePlans() []plan {
-	twice := []fault{
-		{name: "crash, twice", strike: func(_ *cell, n *node) { n.crash() }},
-		{name: "pause, twice", strike: func(_ *cell, n *node) { n.freeze() }, heal: thawAll},
+// repeatSpecs lists the cells that inject a fault into the instance that reaches the step, and once more into the next
+// instance that reaches it.
+func repeatSpecs() []cellSpec {
+	faults := []fault{
+		{name: "crash, twice", inject: func(_ *cell, n *node) { n.crash() }},
+		{name: "pause, twice", inject: func(_ *cell, n *node) { n.pause() }, heal: resumeAll},
 	}
-	out := make([]plan, 0, (len(chatSteps)+1)*len(twice))
-	for _, f := range twice {
+	out := make([]cellSpec, 0, (len(chatSteps)+1)*len(faults))
+	for _, f := range faults {
 		for _, s := range chatSteps {
-			out = append(out, plan{kind: kindChat, step: s, faults: []fault{f}, twice: true})
+			out = append(out, cellSpec{kind: kindChat, step: s, faults: []fault{f}, repeat: true})
 		}
-		out = append(out, plan{kind: kindPayment, step: step.Claim, faults: []fault{f}, twice: true})
+		out = append(out, cellSpec{kind: kindPayment, step: step.Claim, faults: []fault{f}, repeat: true})
 	}
 	return out
 }
 
-// name is the cell's name as a subtest.
-func (p plan) name() string {
-	return fmt.Sprintf("%s/%s/%s", p.step, faultNames(p.faults), p.kind)
+// name returns the name of the cell's subtest.
+func (s cellSpec) name() string {
+	return fmt.Sprintf("%s/%s/%s", s.step, faultNames(s.faults), s.kind)
 }
 
-func (p plan) run(t *testing.T) row {
-	w := newWorld(t)
-	c := &cell{answered: make(chan struct{}), outage: longOutage, w: w, kind: p.kind, step: p.step, faults: p.faults, twice: p.twice}
+func (s cellSpec) run(t *testing.T) row {
+	f := newFleet(t)
+	c := &cell{firstDone: make(chan struct{}), outage: outageSeconds, fleet: f, kind: s.kind, step: s.step, faults: s.faults, repeat: s.repeat}
 	return c.run(t.Context())
 }
 
-// TestFaultMatrix plays each cell in a bubble of virtual time. On the machine's own clock a busy machine changed the rows: a reservation
-// ran into its 3 s, or a caller into its 12 s, before the step at which the fault strikes, and the row told "not-run
-// budget-unavailable" where the request would have been sent. In a bubble time passes only while every goroutine waits.
+// TestFaultMatrix runs each cell in a synctest bubble, in which time passes only while every goroutine waits. With real
+// time, load on the machine changed the rows: a reservation reached its 3 s timeout, or a caller its 12 s timeout,
+// before the step at which the fault is injected. The row then read "not-run budget-unavailable" where the request
+// would have been sent.
 func TestFaultMatrix(t *testing.T) {
-	ps := plans()
-	rows := make([]row, len(ps))
+	specs := cellSpecs()
+	rows := make([]row, len(specs))
 	t.Run("cells", func(t *testing.T) {
-		for i, p := range ps {
-			t.Run(p.name(), func(t *testing.T) {
+		for i, spec := range specs {
+			t.Run(spec.name(), func(t *testing.T) {
 				t.Parallel()
-				synctest.Test(t, func(t *testing.T) { rows[i] = p.run(t) })
+				synctest.Test(t, func(t *testing.T) { rows[i] = spec.run(t) })
 			})
 		}
 	})
 	for _, r := range rows {
-		if !r.Kept {
-			t.Errorf("%s at %s, %s: saw %s, billed %s: %s", r.Fault, r.Step, r.Kind, r.Saw, r.Billed, strings.Join(r.Why, "; "))
+		if !r.Passed {
+			t.Errorf("%s at %s, %s: saw %s, billed %s: %s", r.Fault, r.Step, r.Kind, r.Observed, r.Billed, strings.Join(r.Violations, "; "))
 		}
 	}
-	golden(t, table(rows))
+	checkGolden(t, table(rows))
 	if t.Failed() {
-		logRefusals(t, rows)
+		logRejections(t, rows)
 	}
 }
 
-// logRefusals tells what the refusals of all rows said: the golden file has their codes only.
-func logRefusals(t *testing.T, rows []row) {
+// logRejections logs the details of all rejections, because the golden file contains only their codes.
+func logRejections(t *testing.T, rows []row) {
 	t.Helper()
 	for _, r := range rows {
-		if said := strings.Join(r.Detail, ""); said != "" {
-			t.Logf("%s at %s, %s: %q", r.Fault, r.Step, r.Kind, r.Detail)
+		if details := strings.Join(r.Details, ""); details != "" {
+			t.Logf("%s at %s, %s: %q", r.Fault, r.Step, r.Kind, r.Details)
 		}
 	}
 }
@@ -173,19 +176,19 @@
 	fmt.Fprintf(&b, "%d cells.\n\n", len(rows))
 	b.WriteString("| step | fault | request | the caller saw | billed | held tokens | promise kept |\n|---|---|---|---|---|---|---|\n")
 	for _, r := range rows {
-		kept := "yes"
-		if !r.Kept {
-			kept = "**no**"
+		passed := "yes"
+		if !r.Passed {
+			passed = "**no**"
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %d | %s |\n", r.Step, r.Fault, r.Kind, r.Saw, r.Billed, r.Held, kept)
+		fmt.Fprintf(&b, "| %s | %s | %s | %s | %s | %d | %s |\n", r.Step, r.Fault, r.Kind, r.Observed, r.Billed, r.Held, passed)
 	}
 	return b.String()
 }
 
 const marker = "<!-- rows: written by go test ./internal/matrix -run TestFaultMatrix -update -->\n"
 
-// golden compares the rows with those in docs/FAULTS.md, or writes them.
-func golden(t *testing.T, rows string) {
+// checkGolden compares the rows with those in docs/FAULTS.md, or writes them there if -update is set.
+func checkGolden(t *testing.T, rows string) {
 	t.Helper()
 	data, err := os.ReadFile(goldenFile)
 	if err != nil {
--- a/internal/matrix/node_test.go
+++ b/internal/matrix/node_test.go
@@ -17,10 +17,10 @@
 	"github.com/ledgemount/ledgemount/internal/step"
 )
 
-// node is one instance, made of the real services on fake wires.
+// node is one instance, made of the real services on in-process transports.
 type node struct {
-	w    *world
-	peer mesh.Peer
+	fleet *testFleet
+	peer  mesh.Peer
 
 	home    *budget.Home
 	client  *budget.Client
@@ -28,14 +28,14 @@
 	feed    *rollout.Feed
 	planner *intent.Service
 	gateway *gateway.Gateway
-	log     bytes.Buffer // lines of the gateway from warnings on
+	log     bytes.Buffer // the gateway's log at level warn and above
 	cancel  context.CancelFunc
 
 	ticking sync.Mutex
 
 	mu       sync.Mutex
 	dead     bool
-	frozen   chan struct{}
+	paused   chan struct{}
 	cutStore bool
 	leaving  bool
 }
@@ -46,20 +46,20 @@
 	return n.dead
 }
 
-func (n *node) isFrozen() bool {
+func (n *node) isPaused() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.frozen != nil
+	return n.paused != nil
 }
 
-// awake reports whether the instance runs at all.
-func (n *node) awake() bool { return !n.isDead() && !n.isFrozen() }
+// running reports whether the instance has neither crashed nor been paused.
+func (n *node) running() bool { return !n.isDead() && !n.isPaused() }
 
-// wait blocks while the instance is frozen, and fails once it has crashed.
-func (n *node) wait() error {
+// waitResumed blocks while the instance is paused, and fails once it has crashed.
+func (n *node) waitResumed() error {
 	for {
 		n.mu.Lock()
-		dead, ch := n.dead, n.frozen
+		dead, ch := n.dead, n.paused
 		n.mu.Unlock()
 		if dead {
 			return errCrashed
@@ -74,82 +74,82 @@
 func (n *node) crash() {
 	n.mu.Lock()
 	n.dead = true
-	if n.frozen != nil {
-		close(n.frozen)
-		n.frozen = nil
+	if n.paused != nil {
+		close(n.paused)
+		n.paused = nil
 	}
 	n.mu.Unlock()
-	// Its connections break first: what ends inside a crashed process reaches nobody any more.
-	n.w.net.SetDown(n.peer.Addr, true)
-	n.w.http.SetDown(n.peer.Addr)
+	// Break the connections first, since nothing that a crashed process still does may reach another process.
+	n.fleet.net.SetDown(n.peer.Addr, true)
+	n.fleet.http.SetDown(n.peer.Addr)
 	n.cancel()
 }
 
-func (n *node) freeze() {
+func (n *node) pause() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.frozen == nil {
-		n.frozen = make(chan struct{})
-		n.w.net.SetDown(n.peer.Addr, true)
+	if n.paused == nil {
+		n.paused = make(chan struct{})
+		n.fleet.net.SetDown(n.peer.Addr, true)
 	}
 }
 
-func (n *node) thaw() {
+func (n *node) resume() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.frozen != nil {
-		n.w.net.SetDown(n.peer.Addr, false)
-		close(n.frozen)
-		n.frozen = nil
+	if n.paused != nil {
+		n.fleet.net.SetDown(n.peer.Addr, false)
+		close(n.paused)
+		n.paused = nil
 	}
 }
 
-// hook strikes the cell's fault when an instance reaches its step.
+// hook injects the cell's faults when an instance reaches their step.
 func (n *node) hook(_ context.Context, s step.Step) error {
-	n.w.reached(n, s)
-	return n.wait()
+	n.fleet.stepReached(n, s)
+	return n.waitResumed()
 }
 
-// Call and Stream implement mesh.Caller: a frozen instance sends nothing until it goes on.
+// gatedCaller implements mesh.Caller. A paused instance sends nothing until it resumes.
 type gatedCaller struct {
 	n    *node
 	next mesh.Caller
 }
 
 func (c *gatedCaller) Call(ctx context.Context, addr string, kind mesh.Kind, body []byte) ([]byte, error) {
-	if err := c.n.wait(); err != nil {
+	if err := c.n.waitResumed(); err != nil {
 		return nil, errors.Join(mesh.ErrUnreachable, err)
 	}
 	out, err := c.next.Call(ctx, addr, kind, body)
-	if werr := c.n.wait(); werr != nil {
+	if werr := c.n.waitResumed(); werr != nil {
 		return nil, errors.Join(mesh.ErrNoReply, werr)
 	}
 	return out, err
 }
 
 func (c *gatedCaller) Stream(ctx context.Context, addr string, kind mesh.Kind, body []byte, each func([]byte) error) error {
-	if err := c.n.wait(); err != nil {
+	if err := c.n.waitResumed(); err != nil {
 		return errors.Join(mesh.ErrUnreachable, err)
 	}
 	return c.next.Stream(ctx, addr, kind, body, each)
 }
 
-// gatedHTTP is an instance's way to the store and the endpoints.
-type gatedHTTP struct{ n *node }
+// gatedTransport is an instance's transport to the store and the endpoints.
+type gatedTransport struct{ n *node }
 
 // RoundTrip implements http.RoundTripper.
-func (g gatedHTTP) RoundTrip(r *http.Request) (*http.Response, error) {
-	if err := g.n.wait(); err != nil {
+func (g gatedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if err := g.n.waitResumed(); err != nil {
 		return nil, err
 	}
 	g.n.mu.Lock()
 	cut := g.n.cutStore && r.URL.Host == storeHost
 	g.n.mu.Unlock()
 	if cut {
-		return nil, &net.OpError{Op: "dial", Net: "test", Err: errors.New("cut off")}
+		return nil, &net.OpError{Op: "dial", Net: "test", Err: errors.New("cut off from the store")}
 	}
-	resp, err := g.n.w.http.RoundTrip(r)
-	if werr := g.n.wait(); werr != nil {
+	resp, err := g.n.fleet.http.RoundTrip(r)
+	if werr := g.n.waitResumed(); werr != nil {
 		if resp != nil {
 			_ = resp.Body.Close()
 		}
@@ -158,15 +158,15 @@
 	return resp, err
 }
 
-// members is a node's view: the truth, but for the lag that a cell asks for.
+// members is an instance's view of the fleet: the real state, unless a cell delays the instance list.
 type members struct{ n *node }
 
 func (m members) Self() mesh.Peer { return m.n.peer }
 
-func (m members) peers(keep func(*node) bool) []mesh.Peer {
+func (m members) peers(include func(*node) bool) []mesh.Peer {
 	var out []mesh.Peer
-	for _, o := range m.n.w.nodes {
-		if o == m.n || keep(o) {
+	for _, o := range m.n.fleet.nodes {
+		if o == m.n || include(o) {
 			out = append(out, o.peer)
 		}
 	}
@@ -174,16 +174,16 @@
 }
 
 func (m members) Zone() []mesh.Peer {
-	return m.peers(func(o *node) bool { return o.peer.Zone == m.n.peer.Zone && m.n.w.looksAlive(o) && !o.isLeaving() })
+	return m.peers(func(o *node) bool { return o.peer.Zone == m.n.peer.Zone && m.n.fleet.looksAlive(o) && !o.isLeaving() })
 }
 
 func (m members) Fleet() []mesh.Peer {
-	return m.peers(func(o *node) bool { return m.n.w.looksAlive(o) && !o.isLeaving() })
+	return m.peers(func(o *node) bool { return m.n.fleet.looksAlive(o) && !o.isLeaving() })
 }
 
 func (m members) Find(who string) (mesh.Peer, bool) {
 	id, _ := mesh.SplitWho(who)
-	for _, o := range m.n.w.nodes {
+	for _, o := range m.n.fleet.nodes {
 		if o.peer.ID == id {
 			return o.peer, true
 		}
@@ -192,9 +192,9 @@
 }
 
 func (m members) Alive(who string) bool {
-	for _, o := range m.n.w.nodes {
+	for _, o := range m.n.fleet.nodes {
 		if o.peer.Who() == who {
-			return o == m.n || m.n.w.looksAlive(o)
+			return o == m.n || m.n.fleet.looksAlive(o)
 		}
 	}
 	return false
--- a/internal/matrix/planted_test.go
+++ b/internal/matrix/planted_test.go
@@ -20,14 +20,14 @@
 	"github.com/ledgemount/ledgemount/internal/step"
 )
 
-// saboteur is a caller with a planted bug.
-type saboteur struct {
+// faultyCaller is a mesh.Caller with an injected bug.
+type faultyCaller struct {
 	mesh.Caller
 	call func(next mesh.Caller, ctx context.Context, addr string, kind mesh.Kind, body []byte) ([]byte, error)
 }
 
-func (s *saboteur) Call(ctx context.Context, addr string, kind mesh.Kind, body []byte) ([]byte, error) {
-	return s.call(s.Caller, ctx, addr, kind, body)
+func (c *faultyCaller) Call(ctx context.Context, addr string, kind mesh.Kind, body []byte) ([]byte, error) {
+	return c.call(c.Caller, ctx, addr, kind, body)
 }
 
 func encode(v any) []byte {
@@ -38,7 +38,7 @@
 	return b
 }
 
-// billTwice settles every request again under another name.
+// billTwice settles every request a second time under another request ID.
 func billTwice(next mesh.Caller, ctx context.Context, addr string, kind mesh.Kind, body []byte) ([]byte, error) {
 	var req budget.SettleReq
 	if kind == budget.KindSettle && cbor.Unmarshal(body, &req) == nil && req.Tokens > 0 {
@@ -54,7 +54,8 @@
 	return next.Call(ctx, addr, kind, body)
 }
 
-// forgetHolds reports nothing to a successor, and never tells the serving side that its holder is gone.
+// forgetHolds answers every fence with an empty report. The successor then finds no open reservations, and the serving
+// instance is never notified that its holder has been removed.
 func forgetHolds(next mesh.Caller, ctx context.Context, addr string, kind mesh.Kind, body []byte) ([]byte, error) {
 	var req budget.FenceReq
 	if kind == budget.KindFence && cbor.Unmarshal(body, &req) == nil {
@@ -63,7 +64,7 @@
 	return next.Call(ctx, addr, kind, body)
 }
 
-// loseSettlements settles everything with nothing.
+// loseSettlements settles every request with zero tokens.
 func loseSettlements(next mesh.Caller, ctx context.Context, addr string, kind mesh.Kind, body []byte) ([]byte, error) {
 	var req budget.SettleReq
 	if kind == budget.KindSettle && cbor.Unmarshal(body, &req) == nil {
@@ -73,12 +74,13 @@
 	return next.Call(ctx, addr, kind, body)
 }
 
-// noClaims is a way to the store on which claims seem to succeed, but are not written: as if dispatched before claiming.
-type noClaims struct{ next http.RoundTripper }
+// claimDropper is a transport to the store that reports claims as successful without writing them. The fleet then
+// behaves as if it dispatched a request before it claimed its key.
+type claimDropper struct{ next http.RoundTripper }
 
-func (n noClaims) RoundTrip(r *http.Request) (*http.Response, error) {
+func (d claimDropper) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Path != etcdstore.PathTxn {
-		return n.next.RoundTrip(r)
+		return d.next.RoundTrip(r)
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -93,78 +95,78 @@
 		return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(out)), Request: r}, nil
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
-	return n.next.RoundTrip(r)
+	return d.next.RoundTrip(r)
 }
 
-// cutAndPause pauses the serving instance right before it dispatches, while the zones are cut from each other; its
-// caller comes back in the other zone.
+// cutAndPause pauses the serving instance right before it dispatches, while the zones are cut off from each other. The
+// caller retries in the other zone.
 func cutAndPause() fault {
 	return fault{
 		name:      "zone-cut + instance-pause",
-		elsewhere: true,
-		strike: func(c *cell, _ *node) {
+		otherZone: true,
+		inject: func(c *cell, _ *node) {
 			cutZones(c, true)
-			serving(c).freeze()
+			serving(c).pause()
 		},
 		heal: func(c *cell) {
 			cutZones(c, false)
-			thawAll(c)
+			resumeAll(c)
 		},
 	}
 }
 
-// keyOfZoneA is an idempotency key whose record lives in zone-a.
+// keyOfZoneA is an idempotency key whose record is stored in zone-a.
 const keyOfZoneA = "key-1"
 
-// plantedCell runs a cell in a world with a bug and returns what the auditor says.
-func plantedCell(t *testing.T, k kind, s step.Step, f fault, opt func(*world)) (r row) {
+// runWithBug runs a cell on a fleet with a bug and returns the auditor's findings.
+func runWithBug(t *testing.T, k kind, s step.Step, ft fault, opt func(*testFleet)) (result row) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorldWith(t, opt)
-		c := &cell{answered: make(chan struct{}), outage: longOutage, w: w, kind: k, step: s, faults: []fault{f}}
-		if f.elsewhere {
-			c.outage = 0 // the paused instance goes on while its reservation is still young
+		f := newFleetWith(t, opt)
+		c := &cell{firstDone: make(chan struct{}), outage: outageSeconds, fleet: f, kind: k, step: s, faults: []fault{ft}}
+		if ft.otherZone {
+			c.outage = 0 // the paused instance resumes before its reservation expires
 		}
-		r = c.run(t.Context())
+		result = c.run(t.Context())
 	})
-	return r
+	return result
 }
 
 func TestPlantedBugsAreCaught(t *testing.T) {
-	sabotage := func(f func(mesh.Caller, context.Context, string, mesh.Kind, []byte) ([]byte, error)) func(*world) {
-		return func(w *world) {
-			w.wrap = func(next mesh.Caller) mesh.Caller { return &saboteur{Caller: next, call: f} }
+	withFaultyCaller := func(call func(mesh.Caller, context.Context, string, mesh.Kind, []byte) ([]byte, error)) func(*testFleet) {
+		return func(f *testFleet) {
+			f.wrapCaller = func(next mesh.Caller) mesh.Caller { return &faultyCaller{Caller: next, call: call} }
 		}
 	}
-	Convey("Given a fleet without a bug, the auditor is content", t, func() {
-		r := plantedCell(t, kindChat, step.Settle, faultNamed("operator-race"), func(*world) {})
-		So(r.Why, ShouldBeEmpty)
+	Convey("Given a fleet without a bug, the auditor reports nothing", t, func() {
+		r := runWithBug(t, kindChat, step.Settle, faultNamed("operator-race"), func(*testFleet) {})
+		So(r.Violations, ShouldBeEmpty)
 	})
-	Convey("Given a fleet that bills twice, the auditor says so", t, func() {
-		r := plantedCell(t, kindChat, step.Settle, faultNamed("operator-race"), sabotage(billTwice))
-		So(r.Kept, ShouldBeFalse)
-		So(strings.Join(r.Why, "; "), ShouldContainSubstring, "more than")
+	Convey("Given a fleet that bills twice, the auditor reports it", t, func() {
+		r := runWithBug(t, kindChat, step.Settle, faultNamed("operator-race"), withFaultyCaller(billTwice))
+		So(r.Passed, ShouldBeFalse)
+		So(strings.Join(r.Violations, "; "), ShouldContainSubstring, "more than")
 	})
-	Convey("Given a fleet that forgets a hold, the auditor says so", t, func() {
-		r := plantedCell(t, kindChat, step.Dispatch, faultNamed("operator-race"), sabotage(loseSettlements))
-		So(r.Kept, ShouldBeFalse)
-		So(strings.Join(r.Why, "; "), ShouldContainSubstring, "billed 0")
+	Convey("Given a fleet that loses settlements, the auditor reports it", t, func() {
+		r := runWithBug(t, kindChat, step.Dispatch, faultNamed("operator-race"), withFaultyCaller(loseSettlements))
+		So(r.Passed, ShouldBeFalse)
+		So(strings.Join(r.Violations, "; "), ShouldContainSubstring, "billed 0")
 	})
-	Convey("Given a fleet that goes on using a dead holder's grant, the auditor says so", t, func() {
-		r := plantedCell(t, kindChat, step.MidStream, faultNamed("home-pause"), sabotage(forgetHolds))
-		So(r.Kept, ShouldBeFalse)
-		So(strings.Join(r.Why, "; "), ShouldContainSubstring, "billed 0")
+	Convey("Given a fleet that continues to use a crashed holder's grant, the auditor reports it", t, func() {
+		r := runWithBug(t, kindChat, step.MidStream, faultNamed("home-pause"), withFaultyCaller(forgetHolds))
+		So(r.Passed, ShouldBeFalse)
+		So(strings.Join(r.Violations, "; "), ShouldContainSubstring, "billed 0")
 	})
-	Convey("Given a fleet that dispatches without a claim, the auditor says so", t, func() {
-		r := plantedCell(t, kindPayment, step.Dispatch, cutAndPause(), func(w *world) {
-			w.key = keyOfZoneA
-			w.wrapStore = func(next http.RoundTripper) http.RoundTripper { return noClaims{next} }
+	Convey("Given a fleet that dispatches without a claim, the auditor reports it", t, func() {
+		r := runWithBug(t, kindPayment, step.Dispatch, cutAndPause(), func(f *testFleet) {
+			f.key = keyOfZoneA
+			f.wrapStore = func(next http.RoundTripper) http.RoundTripper { return claimDropper{next} }
 		})
-		So(r.Kept, ShouldBeFalse)
-		So(strings.Join(r.Why, "; "), ShouldContainSubstring, "ran 2 times")
+		So(r.Passed, ShouldBeFalse)
+		So(strings.Join(r.Violations, "; "), ShouldContainSubstring, "ran 2 times")
 	})
-	Convey("Given the same fault and honest claims, the auditor is content", t, func() {
-		r := plantedCell(t, kindPayment, step.Dispatch, cutAndPause(), func(w *world) { w.key = keyOfZoneA })
-		So(r.Why, ShouldBeEmpty)
+	Convey("Given the same fault and claims that are written, the auditor reports nothing", t, func() {
+		r := runWithBug(t, kindPayment, step.Dispatch, cutAndPause(), func(f *testFleet) { f.key = keyOfZoneA })
+		So(r.Violations, ShouldBeEmpty)
 	})
 }
--- a/internal/standin/bundle/bundle.go
+++ b/internal/standin/bundle/bundle.go
@@ -134,7 +134,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /{name}/{fault}/{state}", func(w http.ResponseWriter, r *http.Request) {
 		on := r.PathValue("state") == "on"
-		if !b.set(r.PathValue("name"), r.PathValue("fault"), on) {
+		if !b.setFault(r.PathValue("name"), r.PathValue("fault"), on) {
 			http.Error(w, "no such stand-in", http.StatusNotFound)
 			return
 		}
@@ -151,7 +151,7 @@
 	return mux
 }
 
-func (b *Bundle) set(name, fault string, on bool) bool {
+func (b *Bundle) setFault(name, fault string, on bool) bool {
 	if name == "store" {
 		b.kv.Set(kv.Fault(fault), on)
 		return true
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	cacheBlocks = 512
-	keepEvents  = 4096
-	gapEvery    = 3
-	hexBase     = 16
-	wordBits    = 64
+	cacheBlocks       = 512
+	maxEvents         = 4096
+	lostEventInterval = 3
+	hexBase           = 16
+	blockBits         = 64
 )
 
 // cache is the engine's prompt cache: the blocks it holds, newest first, and what it has published. The engine's lock
@@ -29,14 +29,14 @@
 
 func newCache() *cache { return &cache{order: list.New(), blocks: make(map[uint64]*list.Element)} }
 
-// store notes that a block was used. gap loses some of the events.
-func (c *cache) store(block uint64, gap bool) {
+// use notes that a block was used. gap loses some of the events.
+func (c *cache) use(block uint64, loseEvents bool) {
 	if el, ok := c.blocks[block]; ok {
 		c.order.MoveToFront(el)
 		return
 	}
 	c.blocks[block] = c.order.PushFront(block)
-	c.publish(wire.CacheEvent{Block: block}, gap)
+	c.publish(wire.CacheEvent{Block: block}, loseEvents)
 	if c.order.Len() <= cacheBlocks {
 		return
 	}
@@ -44,18 +44,18 @@
 	old, _ := back.Value.(uint64)
 	c.order.Remove(back)
 	delete(c.blocks, old)
-	c.publish(wire.CacheEvent{Block: old, Evicted: true}, gap)
+	c.publish(wire.CacheEvent{Block: old, Evicted: true}, loseEvents)
 }
 
-func (c *cache) publish(e wire.CacheEvent, gap bool) {
+func (c *cache) publish(e wire.CacheEvent, loseEvents bool) {
 	c.seq++
 	e.Seq = c.seq
-	if gap && c.seq%gapEvery == 0 {
+	if loseEvents && c.seq%lostEventInterval == 0 {
 		return
 	}
 	c.events = append(c.events, e)
-	if len(c.events) > keepEvents {
-		c.events = c.events[len(c.events)-keepEvents:]
+	if len(c.events) > maxEvents {
+		c.events = c.events[len(c.events)-maxEvents:]
 	}
 }
 
@@ -79,7 +79,7 @@
 }
 
 func (e *Engine) exportKV(w http.ResponseWriter, r *http.Request) {
-	block, err := strconv.ParseUint(r.PathValue("block"), hexBase, wordBits)
+	block, err := strconv.ParseUint(r.PathValue("block"), hexBase, blockBits)
 	e.mu.Lock()
 	_, ok := e.cache.blocks[block]
 	e.mu.Unlock()
@@ -91,14 +91,14 @@
 }
 
 func (e *Engine) importKV(w http.ResponseWriter, r *http.Request) {
-	block, err := strconv.ParseUint(r.PathValue("block"), hexBase, wordBits)
+	block, err := strconv.ParseUint(r.PathValue("block"), hexBase, blockBits)
 	if err != nil {
 		refuse(w, http.StatusBadRequest, "not a block")
 		return
 	}
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, maxBody))
 	e.mu.Lock()
-	e.cache.store(block, false)
+	e.cache.use(block, false)
 	e.mu.Unlock()
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -61,25 +61,25 @@
 type Engine struct {
 	standin.Switches[Fault]
 
-	model      string
-	firstToken time.Duration
-	perToken   time.Duration
-	capacity   int
-	checks     bool
-	keep       bool
-
-	mu      sync.Mutex
-	words   Notices
-	turned  int // requests that it has turned away
-	fence   int64
-	loaded  string
-	role    string
-	streams map[string]*stream
-	tombs   map[string]bool
-	log     []*Run
-	running int
-	n       int64
-	cache   *cache
+	model       string
+	firstToken  time.Duration
+	perToken    time.Duration
+	capacity    int
+	checkFences bool
+	keepLog     bool
+
+	mu        sync.Mutex
+	notices   Notices
+	rejected  int // requests that it has turned away
+	fence     int64
+	version   string
+	role      string
+	streams   map[string]*stream
+	cancelled map[string]bool
+	log       []*Run
+	running   int
+	admitted  int64
+	cache     *cache
 }
 
 // Option changes an Engine.
@@ -94,7 +94,7 @@
 func WithCapacity(n int) Option { return func(e *Engine) { e.capacity = n } }
 
 // WithoutLog makes an engine that keeps no log and forgets streams that have ended, for long runs.
-func WithoutLog() Option { return func(e *Engine) { e.keep = false } }
+func WithoutLog() Option { return func(e *Engine) { e.keepLog = false } }
 
 // SetTimes changes the time to the first token and between tokens of later streams.
 func (e *Engine) SetTimes(first, per time.Duration) {
@@ -104,20 +104,20 @@
 }
 
 // WithoutChecks makes an engine that does not compare fences.
-func WithoutChecks() Option { return func(e *Engine) { e.checks = false } }
+func WithoutChecks() Option { return func(e *Engine) { e.checkFences = false } }
 
 // New makes an engine that serves one model.
 func New(model string, opts ...Option) *Engine {
 	e := &Engine{
-		model:      model,
-		firstToken: 10 * time.Millisecond,
-		perToken:   time.Millisecond,
-		capacity:   64,
-		checks:     true,
-		keep:       true,
-		streams:    make(map[string]*stream),
-		tombs:      make(map[string]bool),
-		cache:      newCache(),
+		model:       model,
+		firstToken:  10 * time.Millisecond,
+		perToken:    time.Millisecond,
+		capacity:    64,
+		checkFences: true,
+		keepLog:     true,
+		streams:     make(map[string]*stream),
+		cancelled:   make(map[string]bool),
+		cache:       newCache(),
 	}
 	for _, opt := range opts {
 		opt(e)
@@ -137,31 +137,31 @@
 }
 
 // SetNotices sets what the engine reports of itself in its answers from now on.
-func (e *Engine) SetNotices(w Notices) {
+func (e *Engine) SetNotices(n Notices) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.words = w
+	e.notices = n
 }
 
 // Rejected is the number of requests that the engine has turned away.
 func (e *Engine) Rejected() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.turned
+	return e.rejected
 }
 
-// say writes the engine's words into the head of an answer.
-func (e *Engine) say(h http.Header, turned bool) {
+// writeNotices writes the engine's words into the head of an answer.
+func (e *Engine) writeNotices(h http.Header, rejected bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.words.Leaving {
+	if e.notices.Leaving {
 		h.Set(chat.HeaderLeaving, "1")
 	}
-	if turned {
-		e.turned++
+	if rejected {
+		e.rejected++
 	}
-	if turned && e.words.RetryAfter != "" {
-		h.Set("Retry-After", e.words.RetryAfter)
+	if rejected && e.notices.RetryAfter != "" {
+		h.Set("Retry-After", e.notices.RetryAfter)
 	}
 }
 
@@ -200,7 +200,7 @@
 		s.abort()
 	}
 	e.streams = make(map[string]*stream)
-	e.tombs = make(map[string]bool)
+	e.cancelled = make(map[string]bool)
 }
 
 func refuse(w http.ResponseWriter, status int, detail string) {
@@ -220,7 +220,7 @@
 	}
 	blocks := pool.Blocks(body)
 	s, status := e.admit(r, req, blocks)
-	e.say(w.Header(), s == nil)
+	e.writeNotices(w.Header(), s == nil)
 	if s == nil {
 		refuse(w, status, http.StatusText(status))
 		return
@@ -239,9 +239,9 @@
 		return nil, http.StatusNotFound
 	case e.On(Refuse):
 		return nil, http.StatusServiceUnavailable
-	case e.checks && fence < e.fence:
+	case e.checkFences && fence < e.fence:
 		return nil, http.StatusPreconditionFailed
-	case e.tombs[id]:
+	case e.cancelled[id]:
 		return nil, http.StatusGone
 	case e.running >= e.capacity:
 		return nil, http.StatusTooManyRequests
@@ -249,13 +249,13 @@
 	if old, ok := e.streams[id]; ok && old.attempt == attempt {
 		return old, 0
 	}
-	e.n++
+	e.admitted++
 	for _, b := range blocks {
-		e.cache.store(b, e.On(CacheGap))
+		e.cache.use(b, e.On(CacheGap))
 	}
-	s := newStream(e, id, attempt, req, e.n)
+	s := newStream(e, id, attempt, req, e.admitted)
 	e.streams[id] = s
-	if e.keep {
+	if e.keepLog {
 		e.log = append(e.log, s.run)
 	}
 	e.running++
@@ -263,13 +263,13 @@
 	return s, 0
 }
 
-func (e *Engine) ended(s *stream, output int64, whole bool) {
+func (e *Engine) streamEnded(s *stream, output int64, complete bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s.run.Output = output
-	s.run.Whole = whole
+	s.run.Whole = complete
 	e.running--
-	if !e.keep {
+	if !e.keepLog {
 		delete(e.streams, s.run.RequestID)
 	}
 }
@@ -296,7 +296,7 @@
 	e.mu.Lock()
 	s := e.streams[id]
 	if s == nil {
-		e.tombs[id] = true
+		e.cancelled[id] = true
 	}
 	e.mu.Unlock()
 	out := wire.Stopped{RequestID: id}
@@ -310,7 +310,7 @@
 
 func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	out := wire.Load{Running: e.running, Capacity: e.capacity, Model: e.model, Version: e.loaded, Role: e.role, Fence: e.fence}
+	out := wire.Load{Running: e.running, Capacity: e.capacity, Model: e.model, Version: e.version, Role: e.role, Fence: e.fence}
 	e.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(out)
@@ -324,13 +324,13 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.checks && in.Fence < e.fence {
+	if e.checkFences && in.Fence < e.fence {
 		refuse(w, http.StatusPreconditionFailed, "an order with a higher number was taken")
 		return
 	}
 	e.fence = in.Fence
 	if in.Version != "" {
-		e.loaded = in.Version
+		e.version = in.Version
 	}
 	if in.Role != "" {
 		e.role = in.Role
@@ -346,9 +346,9 @@
 	w.WriteHeader(http.StatusOK)
 	rc := http.NewResponseController(w)
 	_ = rc.Flush()
-	e.meddle(w, s)
+	e.injectForeignChunks(w, s)
 	for {
-		from, to, end, aborted := s.wait(r.Context(), offset) // a cancelled stream counts as aborted
+		from, to, complete, aborted := s.wait(r.Context(), offset) // a cancelled stream counts as aborted
 		if aborted {
 			panic(http.ErrAbortHandler)
 		}
@@ -356,26 +356,26 @@
 			return
 		}
 		for i := from; i < to; i++ {
-			if s.broken() || e.cutHere(s, i) {
+			if s.interrupted() || e.truncateAt(s, i) {
 				panic(http.ErrAbortHandler)
 			}
 			writeEvent(w, s.chunk(i))
 		}
 		offset = to
-		if end {
+		if complete {
 			break
 		}
 		if rc.Flush() != nil {
 			return
 		}
 	}
-	writeEvent(w, s.last())
+	writeEvent(w, s.finalChunk())
 	_, _ = fmt.Fprintf(w, "data: %s\n\n", chat.Done)
 	_ = rc.Flush()
 }
 
-// meddle writes pieces that belong to someone else into the stream, if such a fault is on.
-func (e *Engine) meddle(w io.Writer, s *stream) {
+// injectForeignChunks writes pieces that belong to someone else into the stream, if such a fault is on.
+func (e *Engine) injectForeignChunks(w io.Writer, s *stream) {
 	if e.On(CrossedAnswer) && s.number%faultEvery == 0 {
 		c := s.chunk(0)
 		c.ID = wire.AnswerID("someone-else", 1)
@@ -390,12 +390,12 @@
 	}
 }
 
-// cutHere breaks some streams once, in the middle.
-func (e *Engine) cutHere(s *stream, i int64) bool {
+// truncateAt breaks some streams once, in the middle.
+func (e *Engine) truncateAt(s *stream, i int64) bool {
 	if !e.On(Truncate) || s.number%faultEvery != 2 || i != s.total/2 {
 		return false
 	}
-	return s.cut.CompareAndSwap(false, true)
+	return s.truncated.CompareAndSwap(false, true)
 }
 
 func writeEvent(w io.Writer, c chat.Chunk) {
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -15,21 +15,21 @@
 
 // stream is one generation; it goes on while nobody reads, so that it can be resumed.
 type stream struct {
-	engine  *Engine
-	run     *Run
-	attempt int
-	number  int64
-	words   []string
-	total   int64
-	cut     atomic.Bool
-
-	mu      sync.Mutex
-	at      int64 // tokens generated so far
-	end     bool
-	aborted bool
-	halt    bool
-	changed chan struct{}
-	ended   chan struct{}
+	engine    *Engine
+	run       *Run
+	attempt   int
+	number    int64
+	words     []string
+	total     int64
+	truncated atomic.Bool
+
+	mu        sync.Mutex
+	generated int64 // tokens generated so far
+	completed bool
+	aborted   bool
+	cancelled bool
+	changed   chan struct{}
+	ended     chan struct{}
 }
 
 func newStream(e *Engine, id string, attempt int, req *chat.Request, number int64) *stream {
@@ -65,16 +65,16 @@
 	}
 	time.Sleep(first)
 	start := time.Now()
-	for !s.over() {
+	for !s.finished() {
 		s.advance(s.due(time.Since(start), per))
-		if !s.over() {
+		if !s.finished() {
 			time.Sleep(max(per, time.Millisecond))
 		}
 	}
 	s.mu.Lock()
-	at, whole := s.at, s.at == s.total
+	generated, complete := s.generated, s.generated == s.total
 	s.mu.Unlock()
-	e.ended(s, at, whole)
+	e.streamEnded(s, generated, complete)
 }
 
 // due is how many tokens should exist after a time; a sleeping generator catches up.
@@ -85,31 +85,31 @@
 	return min(s.total, 1+int64(since/per))
 }
 
-func (s *stream) over() bool {
+func (s *stream) finished() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.end || s.halt || s.aborted
+	return s.completed || s.cancelled || s.aborted
 }
 
-// broken reports whether nothing more may be sent.
-func (s *stream) broken() bool {
+// interrupted reports whether nothing more may be sent.
+func (s *stream) interrupted() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.aborted || (s.halt && !s.end)
+	return s.aborted || (s.cancelled && !s.completed)
 }
 
 func (s *stream) advance(to int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.halt || s.aborted || to <= s.at {
+	if s.cancelled || s.aborted || to <= s.generated {
 		return
 	}
-	s.at = to
-	s.end = to == s.total
-	s.wake()
+	s.generated = to
+	s.completed = to == s.total
+	s.notifyReaders()
 }
 
-func (s *stream) wake() {
+func (s *stream) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -118,14 +118,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.aborted = true
-	s.wake()
+	s.notifyReaders()
 }
 
 // stop ends the generation and waits until it has ended.
 func (s *stream) stop() {
 	s.mu.Lock()
-	s.halt = true
-	s.wake()
+	s.cancelled = true
+	s.notifyReaders()
 	s.mu.Unlock()
 	<-s.ended
 }
@@ -137,13 +137,13 @@
 }
 
 // wait returns the tokens that are new since offset, and whether they are the last.
-func (s *stream) wait(ctx context.Context, offset int64) (from, to int64, end, aborted bool) {
+func (s *stream) wait(ctx context.Context, offset int64) (from, to int64, completed, aborted bool) {
 	for {
 		s.mu.Lock()
-		at, over, ab, changed := s.at, s.end, s.aborted || (s.halt && !s.end), s.changed
+		generated, done, interrupted, changed := s.generated, s.completed, s.aborted || (s.cancelled && !s.completed), s.changed
 		s.mu.Unlock()
-		if at > offset || over || ab {
-			return offset, max(at, offset), over, ab
+		if generated > offset || done || interrupted {
+			return offset, max(generated, offset), done, interrupted
 		}
 		select {
 		case <-changed:
@@ -154,7 +154,7 @@
 }
 
 func (s *stream) usage() chat.Usage {
-	return chat.Usage{PromptTokens: s.run.Prompt, CompletionTokens: s.at, TotalTokens: s.run.Prompt + s.at}
+	return chat.Usage{PromptTokens: s.run.Prompt, CompletionTokens: s.generated, TotalTokens: s.run.Prompt + s.generated}
 }
 
 func (s *stream) chunk(i int64) chat.Chunk {
@@ -168,7 +168,7 @@
 	}
 }
 
-func (s *stream) last() chat.Chunk {
+func (s *stream) finalChunk() chat.Chunk {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	stop := chat.FinishStop
@@ -179,6 +179,6 @@
 		Model:   s.engine.model,
 		Choices: []chat.Choice{{Delta: &chat.Delta{}, FinishReason: &stop}},
 		Usage:   &u,
-		Offset:  s.at,
+		Offset:  s.generated,
 	}
 }
--- a/internal/standin/kv/kv.go
+++ b/internal/standin/kv/kv.go
@@ -39,8 +39,8 @@
 }
 
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl     time.Duration
+	expires time.Time
 }
 
 // Server is the stand-in. It keeps everything in memory.
@@ -54,10 +54,10 @@
 	leases   map[int64]*lease
 	watchers map[*watcher]struct{}
 
-	reads, writes, lost atomic.Int64
-	lostEvery           int64
-	closed              chan struct{}
-	once                sync.Once
+	reads, writes, lossCandidates atomic.Int64
+	lostEvery                     int64
+	closed                        chan struct{}
+	once                          sync.Once
 }
 
 type watcher struct {
@@ -107,22 +107,22 @@
 	return mux
 }
 
-func (s *Server) guard(n *atomic.Int64, next http.HandlerFunc) http.HandlerFunc {
+func (s *Server) guard(count *atomic.Int64, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if s.On(Down) {
-			hangUp(w)
+			closeConnection(w)
 			return
 		}
 		if s.On(Slow) {
 			time.Sleep(slowDelay)
 		}
-		n.Add(1)
+		count.Add(1)
 		next(w, r)
 	}
 }
 
-// hangUp closes the connection without an answer.
-func hangUp(w http.ResponseWriter) {
+// closeConnection closes the connection without an answer.
+func closeConnection(w http.ResponseWriter) {
 	if hj, ok := w.(http.Hijacker); ok {
 		if conn, _, err := hj.Hijack(); err == nil {
 			_ = conn.Close()
@@ -138,7 +138,7 @@
 	return true
 }
 
-func answer(w http.ResponseWriter, out any) {
+func writeJSON(w http.ResponseWriter, out any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(out)
 }
@@ -157,7 +157,7 @@
 		})
 	}
 	s.mu.Unlock()
-	answer(w, out)
+	writeJSON(w, out)
 }
 
 func (s *Server) keysIn(from, to string) []string {
@@ -183,7 +183,7 @@
 		return
 	}
 	s.mu.Lock()
-	ok := s.holds(in.Compare)
+	ok := s.matches(in.Compare)
 	if ok {
 		for _, op := range in.Success {
 			s.apply(op)
@@ -191,14 +191,14 @@
 	}
 	rev := s.rev
 	s.mu.Unlock()
-	if s.On(AnswerLost) && s.lost.Add(1)%s.lostEvery == 0 {
-		hangUp(w)
+	if s.On(AnswerLost) && s.lossCandidates.Add(1)%s.lostEvery == 0 {
+		closeConnection(w)
 		return
 	}
-	answer(w, etcdstore.TxnResponse{Header: etcdstore.Header{Revision: etcdstore.Int64(rev)}, Succeeded: ok})
+	writeJSON(w, etcdstore.TxnResponse{Header: etcdstore.Header{Revision: etcdstore.Int64(rev)}, Succeeded: ok})
 }
 
-func (s *Server) holds(cs []etcdstore.Compare) bool {
+func (s *Server) matches(cs []etcdstore.Compare) bool {
 	for _, c := range cs {
 		if s.records[string(c.Key)].rev != int64(c.ModRevision) {
 			return false
@@ -240,9 +240,9 @@
 	s.mu.Lock()
 	s.nextID++
 	id := s.nextID
-	s.leases[id] = &lease{ttl: ttl, ends: time.Now().Add(ttl)}
+	s.leases[id] = &lease{ttl: ttl, expires: time.Now().Add(ttl)}
 	s.mu.Unlock()
-	answer(w, etcdstore.LeaseResponse{ID: etcdstore.Int64(id), TTL: in.TTL})
+	writeJSON(w, etcdstore.LeaseResponse{ID: etcdstore.Int64(id), TTL: in.TTL})
 }
 
 func (s *Server) serveKeepAlive(w http.ResponseWriter, r *http.Request) {
@@ -253,11 +253,11 @@
 	var out etcdstore.KeepAliveResponse
 	s.mu.Lock()
 	if l, ok := s.leases[int64(in.ID)]; ok {
-		l.ends = time.Now().Add(l.ttl)
+		l.expires = time.Now().Add(l.ttl)
 		out.Result = etcdstore.LeaseResponse{ID: in.ID, TTL: etcdstore.Int64(l.ttl / time.Second)}
 	}
 	s.mu.Unlock()
-	answer(w, out)
+	writeJSON(w, out)
 }
 
 // expire ends leases, and breaks watches while the service is down.
@@ -278,7 +278,7 @@
 
 func (s *Server) expireAt(now time.Time) {
 	for id, l := range s.leases {
-		if now.Before(l.ends) {
+		if now.Before(l.expires) {
 			continue
 		}
 		delete(s.leases, id)
--- a/internal/standin/list/list.go
+++ b/internal/standin/list/list.go
@@ -13,9 +13,9 @@
 )
 
 type change struct {
-	at   time.Time
-	inst external.Instance
-	gone bool
+	at      time.Time
+	inst    external.Instance
+	removed bool
 }
 
 // Server is the stand-in. Changes show after its lag.
@@ -23,12 +23,12 @@
 	mu      sync.Mutex
 	lag     time.Duration
 	pending []change
-	shown   map[string]external.Instance
+	visible map[string]external.Instance
 }
 
 // New makes an empty list.
 func New() *Server {
-	return &Server{shown: make(map[string]external.Instance)}
+	return &Server{visible: make(map[string]external.Instance)}
 }
 
 // SetLag makes later changes show only after d.
@@ -39,42 +39,42 @@
 }
 
 // Set adds or changes an instance.
-func (s *Server) Set(inst external.Instance) { s.push(change{inst: inst}) }
+func (s *Server) Set(inst external.Instance) { s.enqueue(change{inst: inst}) }
 
 // Remove takes an instance off the list.
 func (s *Server) Remove(id string) {
-	s.push(change{inst: external.Instance{ID: id}, gone: true})
+	s.enqueue(change{inst: external.Instance{ID: id}, removed: true})
 }
 
-func (s *Server) push(c change) {
+func (s *Server) enqueue(c change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.at = time.Now().Add(s.lag)
 	s.pending = append(s.pending, c)
 }
 
-func (s *Server) settle(now time.Time) {
-	rest := s.pending[:0]
+func (s *Server) applyDue(now time.Time) {
+	remaining := s.pending[:0]
 	for _, c := range s.pending {
 		switch {
 		case now.Before(c.at):
-			rest = append(rest, c)
-		case c.gone:
-			delete(s.shown, c.inst.ID)
+			remaining = append(remaining, c)
+		case c.removed:
+			delete(s.visible, c.inst.ID)
 		default:
-			s.shown[c.inst.ID] = c.inst
+			s.visible[c.inst.ID] = c.inst
 		}
 	}
-	s.pending = rest
+	s.pending = remaining
 }
 
 // Handler serves the list.
 func (s *Server) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
-		s.settle(time.Now())
-		groups := make([]httplist.Group, 0, len(s.shown))
-		for _, inst := range s.shown {
+		s.applyDue(time.Now())
+		groups := make([]httplist.Group, 0, len(s.visible))
+		for _, inst := range s.visible {
 			groups = append(groups, httplist.Group{
 				Targets: []string{inst.Addr},
 				Labels:  httplist.Labels{ID: inst.ID, Zone: inst.Zone, State: string(inst.State)},
--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -107,14 +107,14 @@
 }
 
 // ValueSizes returns the largest value under a prefix, and the sum of all, in bytes.
-func (s *Store) ValueSizes(prefix string) (most, total int) {
+func (s *Store) ValueSizes(prefix string) (largest, total int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, e := range s.records {
 		if strings.HasPrefix(key, prefix) {
-			most = max(most, len(e.Data))
+			largest = max(largest, len(e.Data))
 			total += len(e.Data)
 		}
 	}
-	return most, total
+	return largest, total
 }
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -40,9 +40,9 @@
 
 	delay time.Duration
 
-	mu   sync.Mutex
-	runs map[string]int
-	n    int64
+	mu    sync.Mutex
+	runs  map[string]int
+	calls int64
 }
 
 // New makes a service that takes delay to answer.
@@ -61,8 +61,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[body]++
-	s.n++
-	return s.n
+	s.calls++
+	return s.calls
 }
 
 // ServeHTTP implements http.Handler.
@@ -85,11 +85,11 @@
 	if s.On(Crash) && n%faultEvery == 0 {
 		panic(http.ErrAbortHandler)
 	}
-	named := id
+	responseID := id
 	if s.On(Crossed) && n%faultEvery == 1 {
-		named = "someone-else"
+		responseID = "someone-else"
 	}
-	w.Header().Set(chat.HeaderRequestID, named)
+	w.Header().Set(chat.HeaderRequestID, responseID)
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(Response{RequestID: named, Path: r.URL.Path, Echo: string(body)})
+	_ = json.NewEncoder(w).Encode(Response{RequestID: responseID, Path: r.URL.Path, Echo: string(body)})
 }
