--- a/internal/demo/accounts.go
+++ b/internal/demo/accounts.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// accounts are the callers' own accounts of their budgets; with them a refusal can be judged. Amounts are tokens.
+// accounts track the budgets from the callers' side, so that a refusal by a budget can be checked. Amounts are in tokens.
 type accounts struct {
 	mu            sync.Mutex
-	open          map[string]int64 // the most that calls in progress can cost
-	spent         map[string]int64 // the most that ended calls can have cost
+	open          map[string]int64 // maximum cost of the calls in progress
+	spent         map[string]int64 // maximum cost of the calls that have ended
 	falseRefusals int64
 	trueRefusals  int64
 }
@@ -36,7 +36,8 @@
 	}
 }
 
-// recordRefusal judges a refusal: it is false if the deposit covers everything spent, everything open and this call.
+// recordRefusal counts a refusal by a budget. The refusal is false if the deposit covers everything spent and all open
+// calls, this one included.
 func (a *accounts) recordRefusal(c *call) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/demo/audit.go
+++ b/internal/demo/audit.go
@@ -16,7 +16,8 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// audit is what the auditor has found. It trusts no instance: it reads the endpoints' logs, the store and the callers' records.
+// audit holds the auditor's findings. The auditor trusts no instance: it reads the endpoints' logs, the store and the
+// callers' records.
 type audit struct {
 	Overspend    int64
 	DoubleBilled int
@@ -31,7 +32,7 @@
 	Billed       int64
 	Notes        []string
 
-	// crashed: an instance has crashed, so charges may be in the store of which it could not tell any more
+	// crashed means that an instance has crashed. The store may then contain charges that the instance could not report.
 	crashed bool
 }
 
@@ -42,12 +43,13 @@
 	}
 }
 
-// ranPrompts finds what the engines ran for each answer text: how often, and the most that a run cost.
+// promptRuns is the number of engine runs for one response text, and the maximum cost of a run in tokens.
 type promptRuns struct {
 	runs int
 	cost int64
 }
 
+// runsByText returns the engines' runs by the hash of their response text.
 func (f *fleet) runsByText() map[uint64]promptRuns {
 	out := make(map[uint64]promptRuns)
 	for _, e := range f.engines {
@@ -66,7 +68,7 @@
 	return xxhash.Sum64String(strings.Join(engine.Text(p, n), ""))
 }
 
-// runAudit checks every promise.
+// runAudit checks every guarantee.
 func runAudit(ctx context.Context, s *scenario, calls []*call) (*audit, error) {
 	a := &audit{crashed: s.f.hasCrashed()}
 	ran := s.f.runsByText()
@@ -100,6 +102,7 @@
 	}
 }
 
+// hasRun reports whether an endpoint ran a call.
 func (a *audit) hasRun(c *call, ran map[uint64]promptRuns, f *fleet) bool {
 	switch c.kind {
 	case chatStream, chatNonStreaming:
@@ -109,7 +112,7 @@
 	}
 }
 
-// plainRuns is how often the plain services ran a body.
+// plainRuns returns how often the plain services ran a body.
 func (f *fleet) plainRuns(body string) int {
 	n := 0
 	for _, p := range f.plainServices {
@@ -148,10 +151,10 @@
 	}
 }
 
-// bounds are what a budget's bill must lie between.
+// bounds are the limits between which a bill must lie, in tokens.
 type bounds struct{ low, high int64 }
 
-// checkBills compares what the store says was spent with what the callers got and the endpoints ran.
+// checkBills compares the spending in the store with what the callers received and the endpoints ran.
 func (a *audit) checkBills(ctx context.Context, f *fleet, calls []*call, ran map[uint64]promptRuns) error {
 	want := make(map[string]*bounds)
 	charged := f.chargesByID()
@@ -176,9 +179,9 @@
 	return nil
 }
 
-// checkCharges compares what instances told of a call's charges with what it must cost. A call without a charge is unbilled, unless an
-// instance has crashed: one that crashes while it writes charges cannot tell of them, whether the store took them or not. Then
-// checkBudget decides, by the store's sum.
+// checkCharges compares the charges that instances reported for a call with its cost. A call without a charge is
+// unbilled, unless an instance has crashed: an instance that crashes while it writes charges cannot report them, whether
+// the store accepted them or not. In that case checkBudget decides, by the sum in the store.
 func (a *audit) checkCharges(c *call, charged map[string][]int64, low, high int64) {
 	if c.id == "" {
 		return
@@ -199,8 +202,8 @@
 	}
 }
 
-// billBounds is what the call must and may cost: exactly its price if it was answered whole; nothing if it has not run;
-// up to what the endpoint ran otherwise.
+// billBounds returns the minimum and maximum cost of the call: exactly its price if its response was complete, nothing if
+// it has not run, and otherwise at most what the endpoint ran.
 func (c *call) billBounds(ran map[uint64]promptRuns, f *fleet) (low, high int64) {
 	if c.complete {
 		return c.price(), c.price()
@@ -247,14 +250,14 @@
 	return nil
 }
 
-// bill is what the store says of a budget, in tokens.
+// bill is the state of a budget in the store, in tokens.
 type bill struct {
 	spent     int64
-	held      int64 // for runs whose fate nobody knows yet: it is billed or freed once somebody does
+	held      int64 // for runs with an unknown outcome: billed or released once it is known
 	deposited int64
 }
 
-// checkBill judges a budget's bill.
+// checkBill checks a budget's bill against its deposit and its bounds.
 func (a *audit) checkBill(name string, b bill, want bounds) {
 	if b.spent > b.deposited {
 		a.Overspend += b.spent - b.deposited
@@ -274,7 +277,7 @@
 
 const settlePoll = 50 * time.Millisecond
 
-// settle waits until every charge is in the store and no dead holder has escrow, for at most limit.
+// settle waits until every charge is in the store and no crashed holder has escrow, for at most limit.
 func (f *fleet) settle(ctx context.Context, limit time.Duration) bool {
 	deadline := time.Now().Add(limit)
 	for time.Now().Before(deadline) {
@@ -298,7 +301,7 @@
 	return f.countDeadGrants(ctx) == 0
 }
 
-// countDeadGrants counts grants of holders that do not live any more.
+// countDeadGrants counts grants of holders that no longer run. It returns -1 if the store cannot be read.
 func (f *fleet) countDeadGrants(ctx context.Context) int {
 	alive := make(map[string]bool)
 	for _, n := range f.live("") {
--- a/internal/demo/audit_test.go
+++ b/internal/demo/audit_test.go
@@ -6,9 +6,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A demo whose home instance crashed told of unbilled calls on a busy machine. In one run the crashed instance's log says "the instance has
-// crashed: the store's answer was lost" of its last write of charges: the store had taken it, and its sums were right. In another a
-// payment that the crashed instance had sent stayed held ("its run's fate is unknown"), as it must until an operator releases it.
+// Under load, a demo with a crashed home instance reported unbilled calls, for two reasons. In one run the instance
+// crashed before the response to its last write of charges arrived ("the store's answer was lost"). The store had
+// accepted the write, and its sums were right. In another run a payment that the crashed instance had sent stayed held
+// ("its run's fate is unknown"), as it must until an operator releases it.
 func TestAuditOfCrashes(t *testing.T) {
 	call := &call{id: "k-1", kind: payment, complete: true}
 	const price = 40
@@ -26,12 +27,12 @@
 		So(audited(true, bill{spent: price}).Unbilled, ShouldEqual, 0)
 		So(audited(true, bill{}).Unbilled, ShouldEqual, 1)
 	})
-	Convey("What is held for a run of unknown fate may still be billed, not more", t, func() {
+	Convey("Tokens held for a run with an unknown outcome may still be billed, but no more than these", t, func() {
 		So(audited(true, bill{held: price}).Unbilled, ShouldEqual, 0)
 		So(audited(true, bill{held: price - 1}).Unbilled, ShouldEqual, 1)
 		So(audited(false, bill{held: price}).Unbilled, ShouldEqual, 1)
 	})
-	Convey("Nothing excuses a second bill or more than was paid", t, func() {
+	Convey("A second bill, or spending more than the deposit, is a violation also after a crash", t, func() {
 		So(audited(true, bill{spent: 2 * price}).DoubleBilled, ShouldEqual, 1)
 		So(audited(true, bill{spent: 1001}).Overspend, ShouldEqual, 1)
 	})
--- a/internal/demo/caller.go
+++ b/internal/demo/caller.go
@@ -20,7 +20,7 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// callKind is a sort of request that callers make.
+// callKind is a kind of request that callers send.
 type callKind int
 
 const (
@@ -30,7 +30,7 @@
 	payment
 )
 
-// call is one request of a caller with everything that the auditor needs.
+// call is one request of a caller, with everything that the auditor needs.
 type call struct {
 	serial    int
 	kind      callKind
@@ -41,14 +41,14 @@
 	maxTokens int64
 	maxCost   int64
 
-	// How it ended.
+	// The outcome.
 	attempts  int
 	verdicts  []verdict.Verdict
 	code      verdict.Code
 	complete  bool
 	text      string
 	id        string
-	cutByStop bool // a planned stop broke it
+	cutByStop bool // a planned stop interrupted it
 
 	refusedCount int
 	started      time.Time
@@ -63,10 +63,10 @@
 	return c.verdicts[len(c.verdicts)-1]
 }
 
-// refusals is how often the call was refused as not run, with an instance at the other end.
+// refusals returns how often an instance refused the call as not run.
 func (c *call) refusals() int { return c.refusedCount }
 
-// mayHaveRun reports whether any try may have run.
+// mayHaveRun reports whether any attempt may have run.
 func (c *call) mayHaveRun() bool {
 	for _, v := range c.verdicts {
 		if v != verdict.NotRun {
@@ -76,12 +76,12 @@
 	return false
 }
 
-// behavior are faults on the callers' side.
+// behavior is the set of faults on the callers' side.
 type behavior struct {
 	mu                sync.Mutex
-	disconnect        bool // some callers hang up in mid-stream and do not come back
-	retryDisconnected bool // some hang up and ask again with the same key
-	retryElsewhere    bool // and ask in the other zone
+	disconnect        bool // some callers disconnect in mid-stream and do not retry
+	retryDisconnected bool // some callers disconnect and retry with the same key
+	retryElsewhere    bool // callers that disconnected retry in the other zone
 }
 
 func (h *behavior) set(f func(*behavior)) {
@@ -96,7 +96,7 @@
 	return behavior{disconnect: h.disconnect, retryDisconnected: h.retryDisconnected, retryElsewhere: h.retryElsewhere}
 }
 
-// callers make requests until their context ends, and keep a record of each.
+// callers send requests until their context ends, and record each of them.
 type callers struct {
 	f        *fleet
 	seed     uint64
@@ -119,11 +119,11 @@
 	retryPause     = 40 * time.Millisecond
 	callTimeout    = 25 * time.Second
 	maxAttempts    = 40
-	maxRetryAfter  = 2 // seconds that no caller waits for
-	maxRefusals    = 3 // refusals after which a caller comes back another day
+	maxRetryAfter  = 2 // seconds; a caller gives up if Retry-After is at least this long
+	maxRefusals    = 3 // refusals after which a caller gives up
 )
 
-// run makes requests from every zone until ctx ends, then waits for those in progress.
+// run sends requests from every zone until ctx ends, then waits for those in progress.
 func (c *callers) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	for z, zone := range zoneNames {
@@ -199,7 +199,7 @@
 	}
 }
 
-// runCall makes a call, and makes it again with its key while that is allowed and useful.
+// runCall sends a call, and retries it while the verdict and its key allow a retry.
 func (c *callers) runCall(zone string, rng *rand.Rand) {
 	cl := c.newCall(rng)
 	c.accounts.callStarted(cl)
@@ -241,7 +241,8 @@
 	return zoneNames[0]
 }
 
-// pick is the platform's balancer: a live instance of the zone, or of another one.
+// pick acts as the platform's load balancer: it returns a random live instance of the zone, or of any zone if the zone
+// has none.
 func (c *callers) pick(zone string, rng *rand.Rand) *node {
 	live := c.f.live(zone)
 	if len(live) == 0 {
@@ -253,7 +254,7 @@
 	return live[rng.IntN(len(live))]
 }
 
-// attempt makes one attempt. It reports whether another one with the same key makes sense.
+// attempt sends the call once. It reports whether another attempt with the same key makes sense.
 func (c *callers) attempt(ctx context.Context, cl *call, zone string, rng *rand.Rand, disconnect bool) bool {
 	n := c.pick(zone, rng)
 	if n == nil {
@@ -284,7 +285,8 @@
 	return c.readResponse(cl, n, resp, start, disconnect)
 }
 
-// connectionFailed judges a connection that broke: without an answer the fate is unknown, but for one that never came about.
+// connectionFailed records the verdict of a failed connection. A refused connection has not run; after any other failure
+// the outcome is unknown.
 func (c *callers) connectionFailed(cl *call, n *node, err error) bool {
 	if strings.Contains(err.Error(), "connection refused") {
 		cl.verdicts = append(cl.verdicts, verdict.NotRun)
@@ -313,7 +315,7 @@
 		return false
 	}
 	if v == verdict.NotRun && p.RetryAfter >= maxRetryAfter {
-		return false // the caller comes back another day
+		return false // the caller gives up
 	}
 	return v == verdict.NotRun || (cl.key != "" && p.RetryAfter > 0)
 }
@@ -410,7 +412,7 @@
 	return nil
 }
 
-// expectedText is the answer that the call must get.
+// expectedText returns the response text that the call must get.
 func (c *call) expectedText() string {
 	if c.kind == payment || c.kind == lookup {
 		return string(c.body())
@@ -428,7 +430,7 @@
 	return p, engine.Length(p, req.OutputLimit())
 }
 
-// price is what a whole answer costs.
+// price returns the cost of a complete response.
 func (c *call) price() int64 {
 	if c.kind == payment || c.kind == lookup {
 		return c.maxCost
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,4 +1,4 @@
-// Package demo runs a small fleet in one process, breaks it as asked, and audits every promise.
+// Package demo runs a small fleet in one process, injects the selected faults, and audits every guarantee.
 package demo
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/ledgemount/ledgemount/internal/external"
 )
 
-// Config reports what to run.
+// Config configures a run of the demo.
 type Config struct {
 	Duration time.Duration
 	Seed     uint64
@@ -30,7 +30,7 @@
 	Log      io.Writer
 }
 
-// Result is the last line of the demo.
+// Result is the outcome of a run, which the demo prints as its last line.
 type Result struct {
 	Requests      int     `json:"requests"`
 	Answered      int     `json:"answered"`
@@ -53,23 +53,23 @@
 	Held          int64   `json:"held_tokens"`
 	Faults        string  `json:"faults"`
 	Billed        int64   `json:"billed_tokens"`
-	Attempts      float64 `json:"attempts_per_request"` // dispatches to endpoints over requests that reached one
-	ConfigP99MS   float64 `json:"config_p99_ms"`        // from a confirmation to in force everywhere
+	Attempts      float64 `json:"attempts_per_request"` // dispatches to endpoints per request that reached one
+	ConfigP99MS   float64 `json:"config_p99_ms"`        // from a change's confirmation until it is in force everywhere
 	Changes       int     `json:"config_changes"`
-	Settled       bool    `json:"settled"` // everything had reached the store in time
+	Settled       bool    `json:"settled"` // all charges reached the store in time
 	Seed          uint64  `json:"seed"`
 
 	StoreCalls map[external.Duty]external.Calls `json:"store_calls"`
 	Notes      []string                         `json:"notes,omitempty"`
 }
 
-// GuaranteesHeld reports whether every promise was kept.
+// GuaranteesHeld reports whether the run found no violated guarantee, and answered at least one request.
 func (r *Result) GuaranteesHeld() bool {
 	return r.Overspend == 0 && r.DoubleBilled == 0 && r.Unbilled == 0 && r.Lost == 0 && r.Crossed == 0 && r.RanTwice == 0 &&
 		r.NotRunButRan == 0 && r.ConfigReverts == 0 && r.LateNewWork == 0 && r.CutByStop == 0 && r.Answered > 0
 }
 
-// ErrGuaranteeViolated means that a promise was broken.
+// ErrGuaranteeViolated is returned when the audit found a violated guarantee.
 var ErrGuaranteeViolated = errors.New("a promise was broken")
 
 const (
@@ -77,12 +77,12 @@
 	watchInterval  = 5 * time.Millisecond
 	settleTimeout  = 20 * time.Second
 	setUpTimeout   = 10 * time.Second
-	faultStart     = 0.25 // of the duration
-	faultEnd       = 0.7
+	faultStart     = 0.25 // share of the duration after which the faults start
+	faultEnd       = 0.7  // share of the duration after which the faults heal
 	healTimeout    = 20 * time.Second
 )
 
-// Run runs the demo and writes its result. It returns ErrBroken if a promise was broken.
+// Run runs the demo and writes its result. It returns ErrGuaranteeViolated if a guarantee was violated.
 func Run(ctx context.Context, cfg Config) error {
 	chosen, err := selectFaults(cfg.Faults)
 	if err != nil {
@@ -113,6 +113,7 @@
 	return nil
 }
 
+// selectFaults returns the faults with the given names.
 func selectFaults(names []string) ([]fault, error) {
 	known := faults()
 	var out []fault
@@ -126,6 +127,7 @@
 	return out, nil
 }
 
+// runScenario configures the fleet, runs callers, operators and faults, stops the fleet, and audits the run.
 func runScenario(ctx context.Context, cfg Config, s *scenario, chosen []fault) (*Result, error) {
 	setUp, cancelSetUp := context.WithTimeout(ctx, setUpTimeout)
 	defer cancelSetUp()
@@ -163,7 +165,7 @@
 	})
 }
 
-// injectFaults begins the faults, one soon after another, and heals them in the same order.
+// injectFaults starts the faults one after another, waits, and heals them in the same order.
 func injectFaults(ctx context.Context, d time.Duration, s *scenario, chosen []fault) error {
 	if err := sleep(ctx, time.Duration(faultStart*float64(d))); err != nil {
 		return err
@@ -200,6 +202,7 @@
 	}
 }
 
+// buildResult audits the run and completes its result.
 func buildResult(ctx context.Context, s *scenario, res *Result) (*Result, error) {
 	s.callers.mu.Lock()
 	calls := s.callers.calls
@@ -220,6 +223,8 @@
 	return res, nil
 }
 
+// changeLatencyP99 returns the 99th percentile of the time until a change is in force everywhere, and the number of
+// changes measured.
 func (o *operatorClient) changeLatencyP99() (ms float64, n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -231,7 +236,7 @@
 	return float64(at.Microseconds()) / 1000, len(o.latency)
 }
 
-// runsPerRequest is the runs at endpoints for each call that ran.
+// runsPerRequest returns the number of engine runs per chat call that may have run.
 func (f *fleet) runsPerRequest(calls []*call) float64 {
 	runs, ran := 0, 0
 	for _, e := range f.engines {
@@ -248,6 +253,7 @@
 	return float64(runs) / float64(ran)
 }
 
+// storeCalls sums up the instances' calls to the store by duty.
 func (f *fleet) storeCalls() map[external.Duty]external.Calls {
 	out := make(map[external.Duty]external.Calls)
 	for _, n := range f.all() {
@@ -262,7 +268,7 @@
 	return out
 }
 
-// versionWatch looks at the version in force in every instance, again and again: it must never fall.
+// versionWatch polls the configuration version in force in every instance. It counts decreases, which must never happen.
 type versionWatch struct {
 	quit, done chan struct{}
 	reverts    int
--- a/internal/demo/faults.go
+++ b/internal/demo/faults.go
@@ -14,7 +14,7 @@
 	"github.com/ledgemount/ledgemount/internal/standin/plain"
 )
 
-// scenario is what a fault acts on.
+// scenario is the fleet with its callers and its operator, on which faults act.
 type scenario struct {
 	f        *fleet
 	callers  *callers
@@ -25,13 +25,13 @@
 	failedStops int
 }
 
-// drainWindow says from when on an endpoint must not get new work.
+// drainWindow is a time span in which a drained endpoint must not get new work.
 type drainWindow struct {
 	endpoint string
 	from, to time.Time
 }
 
-// fault begins with start and ends with heal; length is the time between them as a share of the demo.
+// fault is a failure that start injects and heal ends.
 type fault struct {
 	start func(ctx context.Context, s *scenario) error
 	heal  func(ctx context.Context, s *scenario) error
@@ -39,7 +39,7 @@
 
 func noAction(context.Context, *scenario) error { return nil }
 
-// faults are the faults by name.
+// faults returns the faults by name.
 func faults() map[string]fault {
 	return map[string]fault{
 		"store-down":              storeFault(kv.Down),
@@ -68,7 +68,7 @@
 	}
 }
 
-// FaultNames lists the faults, sorted.
+// FaultNames returns the sorted names of the faults.
 func FaultNames() []string {
 	out := make([]string, 0, len(faults()))
 	for name := range faults() {
@@ -106,7 +106,7 @@
 	}
 }
 
-// mostReserved picks the instance that holds the most reservations; leastHome the one with the fewest.
+// mostReserved picks the instance that holds the most reservations.
 func mostReserved(nodes []*node) *node {
 	best := nodes[0]
 	for _, n := range nodes[1:] {
@@ -117,6 +117,7 @@
 	return best
 }
 
+// leastReserved picks the instance that holds the fewest reservations.
 func leastReserved(nodes []*node) *node {
 	best := nodes[0]
 	for _, n := range nodes[1:] {
@@ -138,7 +139,7 @@
 	}
 }
 
-// replaceCrashed starts instances until every zone has its number again.
+// replaceCrashed starts instances until every zone has instancesPerZone again.
 func replaceCrashed(_ context.Context, s *scenario) error {
 	for _, zone := range zoneNames {
 		for len(s.f.live(zone)) < instancesPerZone {
@@ -168,7 +169,8 @@
 	return nil
 }
 
-// The faulty endpoint is the first zone's first engine; plain services fail in the first zone.
+// crashEngine crashes or restarts the first zone's first engine, which is the faulty endpoint of all endpoint faults.
+// Plain services fail in the first zone.
 func crashEngine(on bool) func(context.Context, *scenario) error {
 	return func(_ context.Context, s *scenario) error {
 		s.f.engines[0].engine.SetCrash(on)
@@ -193,7 +195,7 @@
 		if d == 0 {
 			return nil
 		}
-		// A lag shows only when something changes: one instance goes as planned, another comes.
+		// A delayed list matters only when something changes: stop one instance gracefully and start another.
 		live := s.f.live(zoneNames[0])
 		if len(live) > 1 {
 			_ = s.f.stop(live[0])
@@ -213,7 +215,7 @@
 	return fault{start: apply(true), heal: apply(false)}
 }
 
-// drainTimeout is how soon after its confirmation a drain must be in force.
+// drainTimeout is the time after its confirmation within which a drain must be in force.
 const drainTimeout = 3 * time.Second
 
 func drain(ctx context.Context, s *scenario) error {
@@ -239,7 +241,7 @@
 	return eris.Wrap(err, "activating")
 }
 
-// rollingStop replaces every instance, one after another, as planned.
+// rollingStop replaces the instances one after another, with graceful stops.
 func rollingStop(_ context.Context, s *scenario) error {
 	for _, n := range s.f.live("") {
 		if err := s.f.startNode(n.zone); err != nil {
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -27,7 +27,7 @@
 	"github.com/ledgemount/ledgemount/internal/standin/plain"
 )
 
-// The demo's intervals: shorter than in earnest, so that faults and recoveries fit into seconds.
+// The demo's intervals are shorter than those in production, so that faults and recoveries fit into seconds.
 const (
 	heartbeatInterval = 100 * time.Millisecond
 	listInterval      = 200 * time.Millisecond
@@ -52,7 +52,7 @@
 
 var zoneNames = []string{"zone-a", "zone-b"}
 
-// node is one running instance with its brake.
+// node is one running instance with its gate.
 type node struct {
 	id   string
 	zone string
@@ -61,7 +61,7 @@
 	done chan struct{}
 
 	mu       sync.Mutex
-	stopping bool // a planned stop has begun
+	stopping bool // a planned stop has started
 	removed  bool
 }
 
@@ -84,7 +84,7 @@
 	return n.stopping
 }
 
-// server is a stand-in behind a listener.
+// engineServer is a stand-in engine behind a listener.
 type engineServer struct {
 	name, zone string
 	engine     *engine.Engine
@@ -108,7 +108,7 @@
 	serial  int
 	charges map[string][]ledger.Charge
 	zoneCut bool
-	crashed bool // an instance has
+	crashed bool // an instance has crashed
 }
 
 func newFleet(log zerolog.Logger) (*fleet, error) {
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// startNode starts an instance and lists it.
+// startNode starts an instance and adds it to the instance list.
 func (f *fleet) startNode(zone string) error {
 	f.mu.Lock()
 	f.serial++
@@ -197,13 +197,14 @@
 	go func() {
 		defer close(n.done)
 		if err := in.Run(context.Background()); err != nil {
-			f.log.Error().Err(err).Str("instance", id).Msg("instance ended")
+			f.log.Error().Err(err).Str("instance", id).Msg("instance stopped with an error")
 		}
 	}()
 	f.list.Set(external.Instance{ID: id, Zone: zone, Addr: in.Peer().Addr, State: external.StateLive})
 	return nil
 }
 
+// billed records a charge that an instance reports.
 func (f *fleet) billed(c ledger.Charge) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -216,7 +217,7 @@
 	return append([]*node(nil), f.nodes...)
 }
 
-// live lists the usable instances of a zone, or of all zones.
+// live returns the usable instances of a zone, or of all zones if zone is empty, sorted by ID.
 func (f *fleet) live(zone string) []*node {
 	var out []*node
 	for _, n := range f.all() {
@@ -244,7 +245,7 @@
 	return f.crashed
 }
 
-// kill crashes an instance; the platform takes it off its list.
+// kill crashes an instance and removes it from the instance list, as the platform does.
 func (f *fleet) kill(n *node) {
 	f.mu.Lock()
 	f.crashed = true
@@ -256,7 +257,7 @@
 	f.list.Remove(n.id)
 }
 
-// stop ends an instance as planned.
+// stop shuts an instance down gracefully, and removes it from the instance list.
 func (f *fleet) stop(n *node) error {
 	n.mark(true, false)
 	f.list.Set(external.Instance{ID: n.id, Zone: n.zone, Addr: n.in.Peer().Addr, State: external.StateLeaving})
--- a/internal/demo/gate.go
+++ b/internal/demo/gate.go
@@ -10,7 +10,8 @@
 	"github.com/ledgemount/ledgemount/internal/step"
 )
 
-// gate stands between an instance and the rest: it can freeze the instance, and cut it from others.
+// gate controls all outside communication of an instance. It can pause or crash the instance, and cut it off from peers
+// or from the store.
 type gate struct {
 	mu       sync.Mutex
 	paused   chan struct{} // closed on resume; nil while the instance runs
@@ -24,7 +25,7 @@
 	return &gate{cutPeer: func(mesh.Peer) bool { return false }, peerAt: peerAt}
 }
 
-// pause freezes the instance at whatever it does next with the outside.
+// pause blocks the instance at its next step or outside call.
 func (g *gate) pause() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -33,7 +34,7 @@
 	}
 }
 
-// kill keeps the instance from doing anything more to the outside, as a crash would.
+// kill makes every later step and outside call of the instance fail, as after a crash.
 func (g *gate) kill() {
 	g.mu.Lock()
 	g.dead = true
@@ -41,7 +42,7 @@
 	g.resume()
 }
 
-// resume lets it go on.
+// resume ends a pause.
 func (g *gate) resume() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -63,7 +64,7 @@
 	g.cutPeer = f
 }
 
-// waitResumed blocks while the instance is frozen.
+// waitResumed blocks while the instance is paused, and fails once it has crashed.
 func (g *gate) waitResumed(ctx context.Context) error {
 	for {
 		g.mu.Lock()
@@ -83,10 +84,10 @@
 	}
 }
 
-// hook is the instance's step hook.
+// hook is the instance's step hook, which blocks while the instance is paused.
 func (g *gate) hook(ctx context.Context, _ step.Step) error { return g.waitResumed(ctx) }
 
-// allowsCallTo reports whether an address may be called.
+// allowsCallTo reports whether the instance may call an address.
 func (g *gate) allowsCallTo(addr string) bool {
 	if g.waitResumed(context.Background()) != nil {
 		return false
@@ -95,7 +96,7 @@
 	return !ok || g.allowsCallFrom(p)
 }
 
-// allowsCallFrom reports whether a peer may call.
+// allowsCallFrom reports whether a peer may call the instance.
 func (g *gate) allowsCallFrom(p mesh.Peer) bool {
 	if g.waitResumed(context.Background()) != nil {
 		return false
@@ -110,7 +111,7 @@
 	errCrashed = errors.New("the instance has crashed")
 )
 
-// gatedTransport is an instance's way to the platform or to endpoints.
+// gatedTransport is an instance's transport to the platform or to endpoints.
 type gatedTransport struct {
 	g        *gate
 	platform bool
--- a/internal/demo/operator.go
+++ b/internal/demo/operator.go
@@ -26,13 +26,13 @@
 	operatorTimeout    = 5 * time.Second
 )
 
-// operatorClient speaks the intent API.
+// operatorClient is a client of the intent API.
 type operatorClient struct {
 	f    *fleet
 	http *http.Client
 
 	mu      sync.Mutex
-	latency []time.Duration // from confirmation to in force everywhere
+	latency []time.Duration // from a change's confirmation until it is in force everywhere
 	changes int
 	races   int
 }
@@ -41,7 +41,7 @@
 	return &operatorClient{f: f, http: &http.Client{Timeout: operatorTimeout}}
 }
 
-// problemError is a refusal of the intent API.
+// problemError is a problem document that an instance returned.
 type problemError struct{ p gateway.Problem }
 
 // Error implements error.
@@ -59,12 +59,12 @@
 	req.Header.Set("Authorization", "Bearer "+operatorKey)
 	resp, err := o.http.Do(req)
 	if err != nil {
-		return eris.Wrap(err, "asking an operator address")
+		return eris.Wrap(err, "sending an operator request")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return eris.Wrap(err, "reading an operator answer")
+		return eris.Wrap(err, "reading an operator response")
 	}
 	if resp.StatusCode != http.StatusOK {
 		var p gateway.Problem
@@ -74,7 +74,8 @@
 	return json.Unmarshal(data, out)
 }
 
-// change plans and confirms an intent at any instance, and again while the outcome is unknown.
+// change plans and confirms an intent, each at the next instance in turn. It repeats the confirmation while the outcome
+// is unknown.
 func (o *operatorClient) change(ctx context.Context, in *intent.Intent) (*intent.Result, error) {
 	n, err := o.nextInstance()
 	if err != nil {
@@ -107,6 +108,7 @@
 	}
 }
 
+// nextInstance returns the live instances in turn.
 func (o *operatorClient) nextInstance() (*node, error) {
 	live := o.f.live("")
 	if len(live) == 0 {
@@ -128,7 +130,7 @@
 	return bigDeposit
 }
 
-// declarations are what the demo begins with.
+// declarations returns the configuration with which the demo starts.
 func (f *fleet) declarations() declare.Declarations {
 	d := declare.Declarations{
 		Zones:     map[string]declare.Zone{},
@@ -197,7 +199,7 @@
 	return nil
 }
 
-// changePeriodically makes a small change now and then, and notes how long it takes to be in force everywhere.
+// changePeriodically makes a small change at each interval, and records the time until it is in force everywhere.
 func (o *operatorClient) changePeriodically(ctx context.Context, every time.Duration) {
 	for i := 0; ; i++ {
 		select {
@@ -213,7 +215,7 @@
 
 const inForceTimeout = 3 * time.Second
 
-// recordLatency waits until a version is in force everywhere and notes how long that took since its confirmation was sent.
+// recordLatency waits until a version is in force everywhere, and records the time since its confirmation was sent.
 func (o *operatorClient) recordLatency(ctx context.Context, start time.Time, version int64) {
 	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
@@ -225,7 +227,8 @@
 	o.latency = append(o.latency, time.Since(start))
 }
 
-// raceOperators lets two operators change the same object at once: one of them must be told of a conflict, or both saw the other's change.
+// raceOperators has two operators change the same object at once. Either one of them gets a conflict, or each has seen
+// the other's change.
 func (o *operatorClient) raceOperators(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		var wg sync.WaitGroup
