--- a/internal/standin/bundle/bundle.go
+++ b/internal/standin/bundle/bundle.go
@@ -1,4 +1,4 @@
-// Package bundle runs all stand-ins together, for trying instances by hand.
+// Package bundle runs all stand-ins together, for manual tests of instances.
 package bundle
 
 import (
@@ -19,24 +19,24 @@
 	"github.com/ledgemount/ledgemount/internal/standin/plain"
 )
 
-// Settings say which stand-ins to run, and where.
+// Settings configure which stand-ins run, and on which addresses.
 type Settings struct {
 	Store     string            `json:"store" validate:"required,hostname_port"`   // TCP host:port of the key-value service
 	List      string            `json:"list" validate:"required,hostname_port"`    // of the instance list
 	Faults    string            `json:"faults" validate:"omitempty,hostname_port"` // of the fault switches: POST /NAME/FAULT/on or /off
-	Instances []ListedInstance  `json:"instances" validate:"dive"`                 // what the list says
+	Instances []ListedInstance  `json:"instances" validate:"dive"`                 // entries of the instance list
 	Engines   map[string]Engine `json:"engines" validate:"dive"`
 	Plain     map[string]Plain  `json:"plain" validate:"dive"`
 }
 
-// ListedInstance is one line of the instance list.
+// ListedInstance is one entry of the instance list.
 type ListedInstance struct {
 	ID   string `json:"id" validate:"required"`
 	Zone string `json:"zone" validate:"required"`
 	Mesh string `json:"mesh" validate:"required,hostname_port"`
 }
 
-// Engine is one model engine.
+// Engine configures one model engine.
 type Engine struct {
 	Listen     string        `json:"listen" validate:"required,hostname_port"`
 	Model      string        `json:"model" validate:"required"`
@@ -45,7 +45,7 @@
 	Capacity   int           `json:"capacity" validate:"min=0"`
 }
 
-// Plain is one plain service.
+// Plain configures one plain service.
 type Plain struct {
 	Listen string        `json:"listen" validate:"required,hostname_port"`
 	Delay  time.Duration `json:"delay"`
@@ -53,7 +53,7 @@
 
 const defaultCapacity = 64
 
-// Decode reads settings; its error lists every fault.
+// Decode decodes and validates settings. Its error lists every invalid setting.
 func Decode(data []byte) (*Settings, error) {
 	var s Settings
 	if err := declare.DecodeStrict(data, &s); err != nil {
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// faults serves the fault switches.
+// faults returns the handler of the fault switches and the engines' logs.
 func (b *Bundle) faults() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /{name}/{fault}/{state}", func(w http.ResponseWriter, r *http.Request) {
@@ -151,6 +151,7 @@
 	return mux
 }
 
+// setFault turns a stand-in's fault on or off, and reports whether a stand-in has that name.
 func (b *Bundle) setFault(name, fault string, on bool) bool {
 	if name == "store" {
 		b.kv.Set(kv.Fault(fault), on)
@@ -171,13 +172,13 @@
 	return ok
 }
 
-// Run waits for ctx and stops the stand-ins.
+// Run waits until ctx ends, and stops the stand-ins.
 func (b *Bundle) Run(ctx context.Context) {
 	<-ctx.Done()
 	b.Close()
 }
 
-// Close stops every stand-in and waits for its listener to end.
+// Close stops every stand-in and waits until its server no longer serves.
 func (b *Bundle) Close() {
 	for _, s := range b.servers {
 		_ = s.Close()
--- a/internal/standin/clock/clock.go
+++ b/internal/standin/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock is a clock that tests and simulations move.
+// Package clock provides a manual clock for tests and simulations.
 package clock
 
 import (
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Clock tells a time that only Advance changes.
+// Clock is a clock whose time changes only by Advance.
 type Clock struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-// New makes a clock that stands at a fixed time.
+// New makes a clock that starts at a fixed time.
 func New() *Clock { return &Clock{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)} }
 
-// Now tells the time.
+// Now returns the clock's time.
 func (c *Clock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-// Advance moves the clock.
+// Advance moves the clock forward by d.
 func (c *Clock) Advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -18,8 +18,8 @@
 	blockBits         = 64
 )
 
-// cache is the engine's prompt cache: the blocks it holds, newest first, and what it has published. The engine's lock
-// guards it.
+// cache is the engine's prompt cache: the cached blocks, most recently used first, and the published cache events. The
+// engine's lock guards it.
 type cache struct {
 	order  *list.List
 	blocks map[uint64]*list.Element
@@ -29,7 +29,8 @@
 
 func newCache() *cache { return &cache{order: list.New(), blocks: make(map[uint64]*list.Element)} }
 
-// use notes that a block was used. gap loses some of the events.
+// use records the use of a block, and evicts the least recently used one if the cache is full. loseEvents drops some of
+// the events.
 func (c *cache) use(block uint64, loseEvents bool) {
 	if el, ok := c.blocks[block]; ok {
 		c.order.MoveToFront(el)
@@ -59,6 +60,7 @@
 	}
 }
 
+// since returns the events after a sequence number.
 func (c *cache) since(after int64) []wire.CacheEvent {
 	out := []wire.CacheEvent{}
 	for _, e := range c.events {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -24,13 +24,13 @@
 
 // The faults.
 const (
-	Crash         Fault = "crash"          // breaks every connection and forgets its streams
+	Crash         Fault = "crash"          // closes every connection and loses its streams
 	Slow          Fault = "slow"           // takes ten times as long
-	Refuse        Fault = "refuse"         // answers 503, has run nothing
-	LateAnswer    Fault = "late-answer"    // sends pieces of an earlier attempt into the stream
-	CrossedAnswer Fault = "crossed-answer" // sends a piece of another request into the stream
-	CacheGap      Fault = "cache-gap"      // loses some of its cache events
-	Truncate      Fault = "truncate"       // some streams end without usage and end marker
+	Refuse        Fault = "refuse"         // responds with 503 and runs nothing
+	LateAnswer    Fault = "late-answer"    // sends chunks of an earlier attempt in the stream
+	CrossedAnswer Fault = "crossed-answer" // sends a chunk of another request in the stream
+	CacheGap      Fault = "cache-gap"      // drops some of its cache events
+	Truncate      Fault = "truncate"       // interrupts some streams before usage and end marker
 )
 
 const (
@@ -40,10 +40,10 @@
 	bytesPerToken = 4
 )
 
-// Notices are what an engine reports of itself in its answers.
+// Notices are the announcements that an engine sends in response headers.
 type Notices struct {
-	Leaving    bool   // in all answers: it takes no new work, and will end
-	RetryAfter string // in answers that turn a request away: for how long it wants no more; empty: it does not say
+	Leaving    bool   // sent in all responses: the engine accepts no new work and will shut down
+	RetryAfter string // sent in rejections: the Retry-After header; not sent if empty
 }
 
 // Run is one line of the engine's log.
@@ -52,7 +52,7 @@
 	Attempt   int
 	Prompt    int64
 	Output    int64  // tokens generated
-	Text      uint64 // hash of the whole text
+	Text      uint64 // hash of the complete text
 	Whole     bool
 	Started   time.Time
 }
@@ -70,7 +70,7 @@
 
 	mu        sync.Mutex
 	notices   Notices
-	rejected  int // requests that it has turned away
+	rejected  int // number of rejected requests
 	fence     int64
 	version   string
 	role      string
@@ -90,10 +90,10 @@
 	return func(e *Engine) { e.firstToken, e.perToken = first, per }
 }
 
-// WithCapacity limits the streams that run together.
+// WithCapacity limits the number of concurrent streams.
 func WithCapacity(n int) Option { return func(e *Engine) { e.capacity = n } }
 
-// WithoutLog makes an engine that keeps no log and forgets streams that have ended, for long runs.
+// WithoutLog makes an engine without a log that also drops streams once they have ended, for long runs.
 func WithoutLog() Option { return func(e *Engine) { e.keepLog = false } }
 
 // SetTimes changes the time to the first token and between tokens of later streams.
@@ -125,7 +125,7 @@
 	return e
 }
 
-// Log returns a copy of what the engine ran.
+// Log returns a copy of the engine's log.
 func (e *Engine) Log() []Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -136,21 +136,21 @@
 	return out
 }
 
-// SetNotices sets what the engine reports of itself in its answers from now on.
+// SetNotices sets the notices that the engine sends in later responses.
 func (e *Engine) SetNotices(n Notices) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.notices = n
 }
 
-// Rejected is the number of requests that the engine has turned away.
+// Rejected returns the number of requests that the engine has rejected.
 func (e *Engine) Rejected() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.rejected
 }
 
-// writeNotices writes the engine's words into the head of an answer.
+// writeNotices writes the engine's notices into a response header, and counts a rejection.
 func (e *Engine) writeNotices(h http.Header, rejected bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -179,6 +179,7 @@
 	return mux
 }
 
+// guard closes the connections of a crashed engine without a response.
 func (e *Engine) guard(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if e.On(Crash) {
@@ -188,7 +189,7 @@
 	}
 }
 
-// SetCrash crashes the engine or brings it back. A crash forgets every stream.
+// SetCrash crashes the engine or restarts it. A crash loses every stream.
 func (e *Engine) SetCrash(on bool) {
 	e.Set(Crash, on)
 	if !on {
@@ -228,6 +229,7 @@
 	e.send(w, r, s, 0)
 }
 
+// admit returns the stream of a request, or the status with which the engine rejects it.
 func (e *Engine) admit(r *http.Request, req *chat.Request, blocks []uint64) (*stream, int) {
 	id := r.Header.Get(chat.HeaderRequestID)
 	attempt, _ := strconv.Atoi(r.Header.Get(chat.HeaderAttempt))
@@ -263,6 +265,7 @@
 	return s, 0
 }
 
+// streamEnded records the result of a generation.
 func (e *Engine) streamEnded(s *stream, output int64, complete bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -290,7 +293,7 @@
 	e.send(w, r, s, offset)
 }
 
-// cancel stops a stream, and keeps a request that has not arrived yet from ever running.
+// cancel stops a stream. If its request has not arrived yet, the engine rejects the request when it arrives.
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	e.mu.Lock()
@@ -316,6 +319,7 @@
 	_ = json.NewEncoder(w).Encode(out)
 }
 
+// order applies an order to the engine, unless the engine has seen a higher fence.
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var in wire.Order
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&in); err != nil {
@@ -338,7 +342,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// send writes the stream from an offset in tokens, as events or as one answer.
+// send writes the stream as events, from an offset in tokens.
 func (e *Engine) send(w http.ResponseWriter, r *http.Request, s *stream, offset int64) {
 	w.Header().Set(chat.HeaderRequestID, s.run.RequestID)
 	w.Header().Set(chat.HeaderAttempt, strconv.Itoa(s.attempt))
@@ -348,7 +352,7 @@
 	_ = rc.Flush()
 	e.injectForeignChunks(w, s)
 	for {
-		from, to, complete, aborted := s.wait(r.Context(), offset) // a cancelled stream counts as aborted
+		from, to, complete, aborted := s.wait(r.Context(), offset) // a cancelled stream is reported as aborted
 		if aborted {
 			panic(http.ErrAbortHandler)
 		}
@@ -374,7 +378,7 @@
 	_ = rc.Flush()
 }
 
-// injectForeignChunks writes pieces that belong to someone else into the stream, if such a fault is on.
+// injectForeignChunks writes chunks of another request or attempt into the stream, if such a fault is on.
 func (e *Engine) injectForeignChunks(w io.Writer, s *stream) {
 	if e.On(CrossedAnswer) && s.number%faultEvery == 0 {
 		c := s.chunk(0)
@@ -390,7 +394,7 @@
 	}
 }
 
-// truncateAt breaks some streams once, in the middle.
+// truncateAt reports whether to interrupt a stream at token i. The fault interrupts some streams once, in the middle.
 func (e *Engine) truncateAt(s *stream, i int64) bool {
 	if !e.On(Truncate) || s.number%faultEvery != 2 || i != s.total/2 {
 		return false
@@ -405,7 +409,7 @@
 	}
 }
 
-// Text is the answer that every engine gives to a prompt: n words drawn from a generator seeded by the prompt.
+// Text returns the response of every engine to a prompt: n words from a random generator that the prompt seeds.
 func Text(prompt []byte, n int64) []string {
 	rng := rand.New(rand.NewPCG(xxhash.Sum64(prompt), 0)) //nolint:gosec // test data
 	out := make([]string, n)
@@ -415,13 +419,13 @@
 	return out
 }
 
-// Length is how many tokens the engines generate for a prompt: between a quarter of the limit and all of it.
+// Length returns how many tokens the engines generate for a prompt: between a quarter of the limit and the limit.
 func Length(prompt []byte, limit int64) int64 {
 	quarter := limit / 4
 	return max(1, quarter+int64(xxhash.Sum64(prompt)%uint64(limit-quarter+1)))
 }
 
-// PromptTokens is how the engines count a prompt.
+// PromptTokens returns the number of tokens that the engines count for a prompt.
 func PromptTokens(prompt []byte) int64 { return int64(len(prompt))/bytesPerToken + 1 }
 
 // Prompt joins the contents of a request's messages.
--- a/internal/standin/engine/stream.go
+++ b/internal/standin/engine/stream.go
@@ -13,7 +13,7 @@
 	"github.com/ledgemount/ledgemount/internal/endpoint/wire"
 )
 
-// stream is one generation; it goes on while nobody reads, so that it can be resumed.
+// stream is one generation. It continues without a reader, so that a reader can resume it.
 type stream struct {
 	engine    *Engine
 	run       *Run
@@ -77,7 +77,7 @@
 	e.streamEnded(s, generated, complete)
 }
 
-// due is how many tokens should exist after a time; a sleeping generator catches up.
+// due returns how many tokens must have been generated after a time. The generator catches up after a long sleep.
 func (s *stream) due(since, per time.Duration) int64 {
 	if per <= 0 {
 		return s.total
@@ -91,7 +91,7 @@
 	return s.completed || s.cancelled || s.aborted
 }
 
-// interrupted reports whether nothing more may be sent.
+// interrupted reports whether the stream was aborted or cancelled before it was complete, so that nothing more is sent.
 func (s *stream) interrupted() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,6 +109,7 @@
 	s.notifyReaders()
 }
 
+// notifyReaders wakes up all waiting readers. The caller must hold the stream's lock.
 func (s *stream) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -121,7 +122,7 @@
 	s.notifyReaders()
 }
 
-// stop ends the generation and waits until it has ended.
+// stop cancels the generation and waits until it has ended.
 func (s *stream) stop() {
 	s.mu.Lock()
 	s.cancelled = true
@@ -136,7 +137,7 @@
 	return wire.Stopped{RequestID: s.run.RequestID, Known: true, Usage: s.usage()}
 }
 
-// wait returns the tokens that are new since offset, and whether they are the last.
+// wait waits for tokens after offset. It returns their range, and whether the stream is complete or was interrupted.
 func (s *stream) wait(ctx context.Context, offset int64) (from, to int64, completed, aborted bool) {
 	for {
 		s.mu.Lock()
--- a/internal/standin/inproc/inproc.go
+++ b/internal/standin/inproc/inproc.go
@@ -1,4 +1,4 @@
-// Package inproc is an HTTP transport that calls handlers in this process, so that tests need no sockets.
+// Package inproc provides an HTTP transport that calls handlers in the same process, so that tests need no sockets.
 package inproc
 
 import (
@@ -10,10 +10,10 @@
 	"sync"
 )
 
-// ErrBroken is what a reader gets when the other side broke the connection.
+// ErrBroken is returned to a reader when the other side closed the connection before the response was complete.
 var ErrBroken = errors.New("the connection broke")
 
-// Transport finds a handler by the host of a request.
+// Transport selects a handler by the host of a request.
 type Transport struct {
 	mu    sync.Mutex
 	hosts map[string]*host
@@ -27,14 +27,14 @@
 // New makes a transport without hosts.
 func New() *Transport { return &Transport{hosts: make(map[string]*host)} }
 
-// Handle adds a host, or replaces it.
+// Handle adds a host or replaces it.
 func (t *Transport) Handle(name string, h http.Handler) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.hosts[name] = &host{handler: h, down: make(chan struct{})}
 }
 
-// SetDown takes a host down: connections break, new ones are refused.
+// SetDown takes a host down: it breaks open connections and refuses new ones.
 func (t *Transport) SetDown(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -60,7 +60,7 @@
 	return !ok || h.isDown()
 }
 
-// RefusedSoon is Refused: a host goes down at once.
+// RefusedSoon returns Refused, because a host goes down at once.
 func (t *Transport) RefusedSoon(ctx context.Context, name string) bool { return t.Refused(ctx, name) }
 
 // RoundTrip implements http.RoundTripper.
@@ -161,7 +161,8 @@
 
 func (w *writer) failed() bool { return w.broken }
 
-// end finishes the response; a panic in the handler breaks the connection, as net/http does.
+// end finishes the response. If the handler panicked with http.ErrAbortHandler, end breaks the connection, as net/http
+// does.
 func (w *writer) end() {
 	if p := recover(); p != nil {
 		if err, ok := p.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
--- a/internal/standin/kv/kv.go
+++ b/internal/standin/kv/kv.go
@@ -20,9 +20,9 @@
 
 // The faults.
 const (
-	Down       Fault = "down"        // refuses every call and breaks watches
-	Slow       Fault = "slow"        // answers late
-	AnswerLost Fault = "answer-lost" // some writes take effect, but the answer never arrives
+	Down       Fault = "down"        // closes the connection of every call, and ends watches
+	Slow       Fault = "slow"        // responds late
+	AnswerLost Fault = "answer-lost" // applies some writes without sending a response
 )
 
 const (
@@ -43,7 +43,7 @@
 	expires time.Time
 }
 
-// Server is the stand-in. It keeps everything in memory.
+// Server is the stand-in. It stores everything in memory.
 type Server struct {
 	standin.Switches[Fault]
 
@@ -68,7 +68,7 @@
 // Option changes a Server.
 type Option func(*Server)
 
-// WithLostEvery makes the AnswerLost fault strike every n-th write.
+// WithLostEvery makes the AnswerLost fault drop the response to every n-th transaction.
 func WithLostEvery(n int64) Option { return func(s *Server) { s.lostEvery = n } }
 
 // New makes an empty service.
@@ -87,13 +87,13 @@
 	return s
 }
 
-// Close ends the service's own work.
+// Close stops the service's background work and its watches.
 func (s *Server) Close() { s.once.Do(func() { close(s.closed) }) }
 
-// Reads is the number of reads taken so far.
+// Reads returns the number of reads served so far.
 func (s *Server) Reads() int64 { return s.reads.Load() }
 
-// Writes is the number of writes taken so far.
+// Writes returns the number of writes served so far.
 func (s *Server) Writes() int64 { return s.writes.Load() }
 
 // Handler serves the gateway's paths.
@@ -107,6 +107,7 @@
 	return mux
 }
 
+// guard applies the Down and Slow faults, and counts the call.
 func (s *Server) guard(count *atomic.Int64, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if s.On(Down) {
@@ -121,7 +122,7 @@
 	}
 }
 
-// closeConnection closes the connection without an answer.
+// closeConnection closes the connection without a response.
 func closeConnection(w http.ResponseWriter) {
 	if hj, ok := w.(http.Hijacker); ok {
 		if conn, _, err := hj.Hijack(); err == nil {
@@ -198,6 +199,7 @@
 	writeJSON(w, etcdstore.TxnResponse{Header: etcdstore.Header{Revision: etcdstore.Int64(rev)}, Succeeded: ok})
 }
 
+// matches reports whether all comparisons of a transaction are true.
 func (s *Server) matches(cs []etcdstore.Compare) bool {
 	for _, c := range cs {
 		if s.records[string(c.Key)].rev != int64(c.ModRevision) {
@@ -219,6 +221,7 @@
 	}
 }
 
+// notify sends a change to the watchers of its key. It drops the change if a watcher's buffer is full.
 func (s *Server) notify(e external.Entry) {
 	for w := range s.watchers {
 		if w.key != e.Key {
@@ -260,7 +263,7 @@
 	writeJSON(w, out)
 }
 
-// expire ends leases, and breaks watches while the service is down.
+// expire removes expired leases and their keys at intervals, until the service is closed.
 func (s *Server) expire() {
 	t := time.NewTicker(leaseInterval)
 	defer t.Stop()
--- a/internal/standin/list/list.go
+++ b/internal/standin/list/list.go
@@ -18,7 +18,7 @@
 	removed bool
 }
 
-// Server is the stand-in. Changes show after its lag.
+// Server is the stand-in. Changes become visible after its lag.
 type Server struct {
 	mu      sync.Mutex
 	lag     time.Duration
@@ -31,7 +31,7 @@
 	return &Server{visible: make(map[string]external.Instance)}
 }
 
-// SetLag makes later changes show only after d.
+// SetLag delays the visibility of later changes by d.
 func (s *Server) SetLag(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,7 +41,7 @@
 // Set adds or changes an instance.
 func (s *Server) Set(inst external.Instance) { s.enqueue(change{inst: inst}) }
 
-// Remove takes an instance off the list.
+// Remove removes an instance from the list.
 func (s *Server) Remove(id string) {
 	s.enqueue(change{inst: external.Instance{ID: id}, removed: true})
 }
@@ -53,6 +53,7 @@
 	s.pending = append(s.pending, c)
 }
 
+// applyDue makes the pending changes that are due visible.
 func (s *Server) applyDue(now time.Time) {
 	remaining := s.pending[:0]
 	for _, c := range s.pending {
--- a/internal/standin/memstore/memstore.go
+++ b/internal/standin/memstore/memstore.go
@@ -1,4 +1,4 @@
-// Package memstore is a external.Store in memory without any wire, for simulations that count calls by the million.
+// Package memstore provides an external.Store in memory without a network, for simulations with millions of calls.
 package memstore
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/ledgemount/ledgemount/internal/external"
 )
 
-// Store implements external.Store. Leases never end and watches never fire.
+// Store implements external.Store. Its leases never expire and its watches never report a change.
 type Store struct {
 	mu      sync.Mutex
 	rev     int64
@@ -22,7 +22,7 @@
 // New makes an empty store.
 func New() *Store { return &Store{records: make(map[string]external.Entry)} }
 
-// SetDown makes every call fail, or lets them through again.
+// SetDown makes reads and writes fail, or succeed again.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +106,7 @@
 	return ch, nil
 }
 
-// ValueSizes returns the largest value under a prefix, and the sum of all, in bytes.
+// ValueSizes returns the size of the largest value under a prefix, and the total size of all of them, in bytes.
 func (s *Store) ValueSizes(prefix string) (largest, total int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -17,17 +17,17 @@
 
 // The faults.
 const (
-	Crash      Fault = "crash"   // runs the call, then breaks the connection
-	Slow       Fault = "slow"    // answers late
-	Refuse     Fault = "refuse"  // answers 503, has run nothing
-	Crossed    Fault = "crossed" // answers with another request's name
+	Crash      Fault = "crash"   // runs the call, then closes the connection without a response
+	Slow       Fault = "slow"    // responds late
+	Refuse     Fault = "refuse"  // responds with 503 and runs nothing
+	Crossed    Fault = "crossed" // responds with another request's ID
 	slowDelay        = 200 * time.Millisecond
 	faultEvery       = 4
 )
 
 const maxBody = 1 << 20
 
-// Response is what the service says to every call.
+// Response is the service's response to every call.
 type Response struct {
 	RequestID string `json:"request_id"`
 	Path      string `json:"path"`
@@ -45,12 +45,12 @@
 	calls int64
 }
 
-// New makes a service that takes delay to answer.
+// New makes a service that responds after delay.
 func New(delay time.Duration) *Service {
 	return &Service{delay: delay, runs: make(map[string]int)}
 }
 
-// Runs returns how often a body was run, under whatever request ids.
+// Runs returns how often a body was run, under any request ID.
 func (s *Service) Runs(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,4 +1,4 @@
-// Package standin has what the platform's stand-ins share: a loopback HTTP server and fault switches.
+// Package standin contains what the stand-ins for the platform's services share: an HTTP server and fault switches.
 package standin
 
 import (
@@ -39,13 +39,13 @@
 	return s, nil
 }
 
-// Addr is the host:port that the server listens on.
+// Addr returns the host:port on which the server listens.
 func (s *Server) Addr() string { return s.lis.Addr().String() }
 
-// URL is the server's base address.
+// URL returns the server's base URL.
 func (s *Server) URL() string { return "http://" + s.Addr() }
 
-// Close stops the server at once and waits until it has ended.
+// Close stops the server at once and waits until it no longer serves.
 func (s *Server) Close() error {
 	err := s.srv.Close()
 	<-s.done
