--- a/internal/bench/balance.go
+++ b/internal/bench/balance.go
@@ -10,15 +10,15 @@
 	"github.com/ledgemount/ledgemount/internal/pool"
 )
 
-// Workload is the seeded work on which policies are compared.
+// Workload describes the seeded workload on which the policies are compared.
 type Workload struct {
 	Engines        int
 	Routers        int
-	Capacity       int     // requests that an engine serves together
-	Load           float64 // share of the engines' capacity that arrives
+	Capacity       int     // requests that an engine serves concurrently
+	Load           float64 // request rate as a share of the engines' capacity
 	Requests       int
 	Prefixes       int // groups of requests that share a prompt prefix
-	CacheSize      int // prefixes that an engine keeps
+	CacheSize      int // prefixes that an engine caches
 	ReportLag      float64
 	EventLag       float64
 	EventLossShare float64 // share of cache events that are lost
@@ -27,7 +27,8 @@
 	Seed           uint64
 }
 
-// DefaultWorkload is a zone of today's larger kind at 85% load, with lagged reports and gappy cache events.
+// DefaultWorkload returns the workload of one of today's larger zones at 85% load, with delayed load reports and some
+// lost cache events.
 func DefaultWorkload() Workload {
 	return Workload{
 		Engines: 52, Routers: 15, Capacity: 16, Load: 0.85, Requests: 60_000, Prefixes: 2_000, CacheSize: 60,
@@ -43,7 +44,7 @@
 	meanTokens   = 120.0
 )
 
-// PolicyResult is how one policy did. Times are in milliseconds.
+// PolicyResult holds the measurements of one policy. Times are in milliseconds.
 type PolicyResult struct {
 	Policy     string  `json:"policy"`
 	FirstP50   float64 `json:"first_token_p50_ms"`
@@ -53,7 +54,7 @@
 	Imbalance  float64 `json:"imbalance"` // busiest engine's requests over the mean
 }
 
-// BalanceTable compares every policy on the same work.
+// BalanceTable compares all policies on the same workload.
 func BalanceTable(w Workload) []PolicyResult {
 	policies := []pool.Chooser[pool.Candidate]{
 		pool.Random{}, pool.PowerOfTwo{}, pool.LeastExpected{}, pool.DefaultChooser(),
@@ -68,13 +69,14 @@
 type simEngine struct {
 	running int
 	queue   []simRequest
-	speed   float64 // times the ordinary times
+	speed   float64 // factor on an ordinary engine's times
 	cache   *list.List
 	keys    map[int]*list.Element
 	served  int
 }
 
-// lookUp reports whether a prefix is cached, and makes it the newest. evicted is the prefix that had to go, or -1.
+// lookUp reports whether a prefix is cached, and makes it the most recently used. evicted is the prefix that was evicted
+// for it, or -1.
 func (e *simEngine) lookUp(prefix, size int) (hit bool, evicted int) {
 	if el, ok := e.keys[prefix]; ok {
 		e.cache.MoveToFront(el)
@@ -98,7 +100,8 @@
 	router  int
 }
 
-// simRouter is what one instance knows: its own requests exactly, the others' as of its last report, caches by guess.
+// simRouter is the view of one instance: the exact number of its own requests, the requests of the other instances as
+// last reported, and an estimate of the engines' caches.
 type simRouter struct {
 	own      []int
 	reported []int // the other routers' requests by engine, as last reported
@@ -107,7 +110,7 @@
 }
 
 type event struct {
-	at  float64
+	at float64
 	fn func(now float64)
 }
 
@@ -173,9 +176,10 @@
 	return s
 }
 
+// at schedules f at a time.
 func (s *simulation) at(t float64, f func(now float64)) { heap.Push(&s.events, event{at: t, fn: f}) }
 
-// rate is how many requests a second make the wanted load.
+// rate returns the requests per second that result in the workload's load.
 func (s *simulation) rate() float64 {
 	var capacity float64
 	for _, e := range s.engines {
@@ -185,7 +189,7 @@
 	return s.w.Load * capacity
 }
 
-// slowdown is how much longer a token takes on a loaded engine.
+// slowdown returns the factor by which load increases the time per token.
 func slowdown(load float64) float64 { return 1 + 0.6*load*load }
 
 func (s *simulation) run() PolicyResult {
@@ -208,7 +212,7 @@
 	return s.result()
 }
 
-// exchangeReports brings the routers' reports to each other.
+// exchangeReports gives every router the current request counts of the others.
 func (s *simulation) exchangeReports() {
 	for _, r := range s.routers {
 		for e := range s.engines {
@@ -259,7 +263,7 @@
 	}
 	token := perToken * e.speed * slowdown(load)
 	s.started++
-	if s.started > s.w.Requests/10 { // the beginning, when nothing is known, does not count
+	if s.started > s.w.Requests/10 { // skip the warm-up, when the routers have no estimates yet
 		s.first = append(s.first, now+first-req.arrived)
 		s.between = append(s.between, token)
 	}
@@ -267,7 +271,7 @@
 	s.at(now+first+req.tokens*token, func(end float64) { s.end(i, req, end) })
 }
 
-// updateEstimate is the router's estimate of an engine's time to the first token without load.
+// updateEstimate updates a router's estimate of an engine's time to the first token without load.
 func (s *simulation) updateEstimate(router, engine int, first, load float64) {
 	r := s.routers[router]
 	sample := first / (1 + load)
@@ -310,7 +314,7 @@
 	}
 }
 
-// quantile reads a quantile off sorted values.
+// quantile returns a quantile of sorted values.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return math.NaN()
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -12,7 +12,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Result is everything that a run measures.
+// Result holds all measurements of a run.
 type Result struct {
 	Routed  *RoutedResult  `json:"routed"`
 	Budget  *BudgetResult  `json:"budget"`
@@ -28,7 +28,8 @@
 	measure func(ctx context.Context, r *Result) error
 }
 
-// sections are the parts of a run, in order: first what is timed, alone; then what is counted.
+// sections returns the parts of a run in order. The timed sections run first and one at a time. The sections that only
+// count follow.
 func sections() []section {
 	return []section{
 		{"routed", func(ctx context.Context, r *Result) (err error) { r.Routed, err = MeasureRouted(ctx); return err }},
@@ -39,7 +40,7 @@
 	}
 }
 
-// Run measures everything, or the sections named.
+// Run measures all sections, or only the named ones.
 func Run(ctx context.Context, only []string) (*Result, error) {
 	start := time.Now()
 	r := &Result{}
@@ -55,7 +56,7 @@
 	return r, nil
 }
 
-// JSON writes the result as one line.
+// JSON writes the result as one line of JSON.
 func (r *Result) JSON(w io.Writer) error {
 	b, err := json.Marshal(r)
 	if err != nil {
@@ -65,7 +66,7 @@
 	return err
 }
 
-// Slopes lists every slope of the result.
+// Slopes returns all slopes of the result.
 func (r *Result) Slopes() []Slope {
 	var out []Slope
 	if r.Routed != nil {
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestFit(t *testing.T) {
-	Convey("A line is found again", t, func() {
+	Convey("The fit finds the line through exact points", t, func() {
 		s := fit("line", "x", "y", 10, []Point{{1, 5}, {2, 7}, {3, 9}, {4, 11}})
 		So(s.Base, ShouldAlmostEqual, 3, 1e-9)
 		So(s.PerX, ShouldAlmostEqual, 2, 1e-9)
@@ -16,7 +16,7 @@
 }
 
 func TestDefaultPolicyIsTheBest(t *testing.T) {
-	Convey("On the seeded work, the default policy's first token beats power of two by a fifth and random by half, at p95", t, func() {
+	Convey("On the seeded workload, the default policy's first token beats power of two by a fifth and random by half, at p95", t, func() {
 		w := DefaultWorkload()
 		w.Requests = 20_000
 		results := BalanceTable(w)
--- a/internal/bench/budget.go
+++ b/internal/bench/budget.go
@@ -14,22 +14,22 @@
 	"github.com/ledgemount/ledgemount/internal/standin/memstore"
 )
 
-// ReferenceBudgets is the number of budgets in the users' letter.
+// ReferenceBudgets is the number of budgets at the reference size, as specified by the users.
 const ReferenceBudgets = 80_000
 
-// BudgetResult is what a holder costs.
+// BudgetResult is the cost of a holder in time and memory.
 type BudgetResult struct {
 	Budgets       int     `json:"budgets"`
 	ReserveNS     float64 `json:"reserve_settle_ns"`
 	ReserveAllocs float64 `json:"reserve_settle_allocs"`
 	RowBytes      float64 `json:"row_bytes"`
 	LargestPage   int     `json:"largest_page_bytes"`
-	StartMS       float64 `json:"first_draw_of_all_ms"` // every budget drawn once by one holder
+	StartMS       float64 `json:"first_draw_of_all_ms"` // one holder draws from every budget once
 	IdleMemory    Slope   `json:"idle_memory"`
 	BusyMemory    Slope   `json:"busy_memory"`
 }
 
-// newHolder makes a holder with a store of n budgets.
+// newHolder makes a holder and a store with n budgets. It also returns the average size of a row in bytes.
 func newHolder(ctx context.Context, n int) (*budget.Home, *memstore.Store, float64, error) {
 	store := memstore.New()
 	row, err := fillPages(ctx, store, n)
@@ -74,7 +74,8 @@
 
 type memoryUse struct{ idle, busy float64 }
 
-// measureMemory draws every budget once and opens a reservation on each. The last size gives the times too.
+// measureMemory draws from every budget once, then opens a reservation on each. It also measures the times; those of the
+// last call remain in res.
 func measureMemory(ctx context.Context, n int, res *BudgetResult) (memoryUse, error) {
 	h, store, row, err := newHolder(ctx, n)
 	if err != nil {
@@ -101,7 +102,7 @@
 	return memoryUse{idle: idle, busy: busy}, err
 }
 
-// requestEach makes one request on every budget, those of a page together, so that few writes serve them.
+// requestEach makes one request on every budget. The requests of a page run concurrently, so that few writes suffice.
 func requestEach(ctx context.Context, h *budget.Home, n int) error {
 	byPage := make(map[uint16][]int)
 	for i := range n {
@@ -133,7 +134,8 @@
 
 const reserveRounds = 100_000
 
-// measureReserve times reserve and settle on random budgets that are drawn already.
+// measureReserve measures the time of a reservation and its settlement on random budgets for which the holder already has
+// a grant.
 func measureReserve(ctx context.Context, h *budget.Home, n int, res *BudgetResult) error {
 	rng := rand.New(rand.NewPCG(1, 1)) //nolint:gosec // a benchmark
 	ids := make([]string, reserveRounds)
--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -11,15 +11,15 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// ReferenceInstancesPerZone is the number of instances in one zone at the letter's size: 380 nodes in 25 zones.
+// ReferenceInstancesPerZone is the number of instances in one zone at the reference size: 380 nodes in 25 zones.
 const ReferenceInstancesPerZone = 15
 
-// ControlResult is what membership and configuration cost one instance.
+// ControlResult is the cost of membership and configuration for one instance.
 type ControlResult struct {
-	CPU       Slope   `json:"cpu_share"`    // of a core, by instances in the zone
-	Bytes     Slope   `json:"bytes_per_s"`  // sent, by instances in the zone
-	Memory    Slope   `json:"memory_bytes"` // of one instance's view and links, by instances in the zone
-	FleetCPU  Slope   `json:"fleet_cpu"`    // of a core, by listed instances in other zones
+	CPU       Slope   `json:"cpu_share"`    // share of a core, by instances in the zone
+	Bytes     Slope   `json:"bytes_per_s"`  // bytes sent, by instances in the zone
+	Memory    Slope   `json:"memory_bytes"` // memory of one instance's view and connections, by instances in the zone
+	FleetCPU  Slope   `json:"fleet_cpu"`    // share of a core, by listed instances in other zones
 	CoreShare float64 `json:"core_share_at_size"`
 }
 
@@ -31,10 +31,11 @@
 
 const (
 	controlTime      = 1500 * time.Millisecond
-	endpointsPerZone = 52 // of one zone at the letter's size
+	endpointsPerZone = 52 // at the reference size
 )
 
-// measureZone is a zone of n instances that beat, and far instances that are only listed.
+// measureZone measures a zone of n instances that exchange heartbeats, with remote instances in other zones that are only
+// listed. The results are per instance.
 func measureZone(n, remote int) (cpuShare, bytesPerS, memory float64, err error) {
 	ca, err := mesh.NewAuthority()
 	if err != nil {
@@ -74,7 +75,7 @@
 		v := member.New(t.Self(), l, t, routers[i], member.WithInFlight(busyEndpoints))
 		wg.Go(func() { _ = v.Run(ctx) })
 	}
-	time.Sleep(time.Second) // let the links stand
+	time.Sleep(time.Second) // until the connections are established
 	startCPU, startBytes, start := cpuTime(), totalBytesSent(ts), time.Now()
 	time.Sleep(controlTime)
 	took := time.Since(start).Seconds()
@@ -83,7 +84,7 @@
 	return cpuShare, bytesPerS, (memoryInUse() - before) / float64(n), nil
 }
 
-// busyEndpoints is a heartbeat's report when every endpoint of the zone is in use.
+// busyEndpoints returns the requests in flight that a heartbeat reports when every endpoint of the zone is in use.
 func busyEndpoints() map[string]int {
 	out := make(map[string]int, endpointsPerZone)
 	for i := range endpointsPerZone {
@@ -92,6 +93,7 @@
 	return out
 }
 
+// totalBytesSent returns the number of bytes that all transports have sent.
 func totalBytesSent(ts []*mesh.Transport) int64 {
 	var n int64
 	for _, t := range ts {
@@ -100,7 +102,7 @@
 	return n
 }
 
-// MeasureControl measures zones of several sizes, and fleets of several sizes around one zone.
+// MeasureControl measures zones of several sizes, and one zone in fleets of several sizes.
 func MeasureControl(context.Context) (*ControlResult, error) {
 	res := &ControlResult{}
 	var cpus, bytes, memory, fleet []Point
--- a/internal/bench/doc.go
+++ b/internal/bench/doc.go
@@ -1,2 +1,2 @@
-// Package bench measures what the system costs and how well it serves.
+// Package bench measures the overhead of the system and the quality of its load balancing.
 package bench
--- a/internal/bench/fit.go
+++ b/internal/bench/fit.go
@@ -2,7 +2,7 @@
 
 import "gonum.org/v1/gonum/stat"
 
-// Point is one measurement of a slope.
+// Point is one measurement.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
@@ -16,12 +16,12 @@
 	Points []Point `json:"points"`
 	Base   float64 `json:"base"`    // y at x = 0
 	PerX   float64 `json:"per_x"`   // y for each x
-	R2     float64 `json:"r2"`      // how well the line fits, at most 1
-	AtSize float64 `json:"at_size"` // y at the size in the letter
-	Size   float64 `json:"size"`    // that size
+	R2     float64 `json:"r2"`      // coefficient of determination, at most 1
+	AtSize float64 `json:"at_size"` // y at the reference size
+	Size   float64 `json:"size"`    // the reference size
 }
 
-// fit fits a line to points and reads it off at a size.
+// fit fits a line to points and evaluates it at a size.
 func fit(name, xUnit, yUnit string, size float64, points []Point) Slope {
 	xs, ys := make([]float64, len(points)), make([]float64, len(points))
 	for i, p := range points {
--- a/internal/bench/fleet.go
+++ b/internal/bench/fleet.go
@@ -9,7 +9,7 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// fixedMembers is a view that never changes.
+// fixedMembers is a view of the fleet that never changes.
 type fixedMembers struct {
 	self mesh.Peer
 	zone []mesh.Peer
@@ -22,7 +22,7 @@
 func (m fixedMembers) Lost(string) bool              { return false }
 func (m fixedMembers) Find(string) (mesh.Peer, bool) { return mesh.Peer{}, false }
 
-// noStopper stops nothing.
+// noStopper is a budget.Stopper that does nothing.
 type noStopper struct{}
 
 // StopRun implements budget.Stopper.
@@ -30,7 +30,7 @@
 	return 0, false, false, nil
 }
 
-// peersOf are the instances of a zone.
+// peersOf returns n instances of a zone.
 func peersOf(zone string, n int) []mesh.Peer {
 	out := make([]mesh.Peer, n)
 	for i := range out {
@@ -46,7 +46,7 @@
 	benchDeposit  = 100_000_000
 )
 
-// fillPages writes n budgets into the store and returns the bytes that a row takes.
+// fillPages writes n budgets to the store and returns the average size of a row in bytes.
 func fillPages(ctx context.Context, store external.Store, n int) (bytesPerRow float64, err error) {
 	pages := make(map[uint16]*budget.Page)
 	for i := range n {
--- a/internal/bench/plot.go
+++ b/internal/bench/plot.go
@@ -18,7 +18,7 @@
 	dirMode    = 0o755
 )
 
-// Plots draws every slope as an SVG file into a directory.
+// Plots writes a plot of every slope as an SVG file to a directory.
 func (r *Result) Plots(dir string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return eris.Wrap(err, "making the directory")
--- a/internal/bench/routed.go
+++ b/internal/bench/routed.go
@@ -17,7 +17,7 @@
 	"github.com/ledgemount/ledgemount/internal/chat"
 )
 
-// RoutedResult compares an instance with the endpoint behind it. Times are in milliseconds.
+// RoutedResult compares streams through an instance with streams directly from the endpoint. Times are in milliseconds.
 type RoutedResult struct {
 	FirstDirectP50 float64 `json:"first_token_direct_p50_ms"`
 	FirstRoutedP50 float64 `json:"first_token_routed_p50_ms"`
@@ -41,7 +41,7 @@
 	callerKey         = "bench-caller"
 )
 
-// caller asks an endpoint or an instance for streams.
+// caller requests streams from an endpoint or an instance.
 type caller struct {
 	http *http.Client
 	base string
@@ -51,7 +51,7 @@
 	return &caller{base: base, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}}}
 }
 
-// timing is how one stream went.
+// timing holds the measurements of one stream.
 type timing struct {
 	first  time.Duration
 	gaps   []time.Duration
@@ -104,7 +104,7 @@
 	return t, eris.New("a stream ended early")
 }
 
-// MeasureRouted compares direct and routed streams in one run, taken in turns.
+// MeasureRouted compares direct and routed streams in one run, in alternation.
 func MeasureRouted(ctx context.Context) (*RoutedResult, error) {
 	b, err := startTestbed()
 	if err != nil {
@@ -122,6 +122,7 @@
 
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
 
+// quantileMillis returns a quantile of a histogram of microseconds, in milliseconds.
 func quantileMillis(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
@@ -139,7 +140,7 @@
 				return eris.Wrap(err, "measuring the first token")
 			}
 			if i < firstTokenRounds/10 {
-				continue // connections and code warm up
+				continue // warm-up of connections and code
 			}
 			_ = side.fh.RecordValue(t.first.Microseconds())
 			for _, g := range t.gaps {
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// measureThroughput lets many streams run at once against an engine that generates as fast as it is read.
+// measureThroughput runs many concurrent streams against an engine that generates tokens without delay.
 func measureThroughput(ctx context.Context, b *testbed, res *RoutedResult) error {
 	b.engine.SetTimes(0, 0)
 	defer b.engine.SetTimes(benchFirstToken, benchPerToken)
@@ -171,6 +172,7 @@
 	return nil
 }
 
+// throughput returns the token rate of concurrent streams, and the CPU time of the process per token in microseconds.
 func throughput(ctx context.Context, c *caller, from int) (tokensPerS, cpuMicros float64, err error) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -197,7 +199,7 @@
 	return float64(total) / took.Seconds(), float64((cpuTime() - startCPU).Microseconds()) / float64(total), err
 }
 
-// measureStreamMemory holds streams open and weighs them: routed, less what the same streams take direct.
+// measureStreamMemory measures the memory of open streams: that of routed streams, minus that of as many direct streams.
 func measureStreamMemory(ctx context.Context, b *testbed, res *RoutedResult) error {
 	b.engine.SetTimes(10*time.Millisecond, 50*time.Millisecond)
 	defer b.engine.SetTimes(benchFirstToken, benchPerToken)
@@ -212,7 +214,7 @@
 	return nil
 }
 
-// memoryOfStreams holds n streams open and returns the memory that they take, in bytes.
+// memoryOfStreams keeps n streams open and returns the memory that they use, in bytes.
 func memoryOfStreams(ctx context.Context, c *caller, n, from int) float64 {
 	before := memoryInUse()
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/bench/store.go
+++ b/internal/bench/store.go
@@ -16,19 +16,19 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// The letter's size, for the store.
+// The reference size, as specified by the users.
 const (
-	ReferenceRequestRate = 920.0 // a second
+	ReferenceRequestRate = 920.0 // requests per second
 	ReferenceZones       = 25
-	instancesPerZone     = 15 // instances
+	instancesPerZone     = 15
 )
 
-// StoreResult is what the store is asked for, by duty.
+// StoreResult is the load on the store by duty.
 type StoreResult struct {
 	Writes              Slope                            `json:"writes_per_s"`
 	Reads               Slope                            `json:"reads_per_s"`
 	Bytes               Slope                            `json:"bytes_written_per_s"`
-	ByDuty              map[external.Duty]external.Calls `json:"by_duty_at_size"` // in the measured time
+	ByDuty              map[external.Duty]external.Calls `json:"by_duty_at_size"` // calls in the measured time
 	Seconds             int                              `json:"measured_s"`
 	WritesByRemoteShare Slope                            `json:"writes_by_away_share"`
 	Refused             int                              `json:"refused"`
@@ -36,14 +36,14 @@
 	Assumptions         string                           `json:"assumed"`
 }
 
-// The simulated traffic: budgets are popular by Zipf's law; the most popular are drawn on from every zone, the others
-// mostly from their own.
+// The simulated traffic. The popularity of budgets follows Zipf's law. The most popular budgets are used from every zone,
+// the others mostly from their own zone.
 const (
 	zipfS              = 1.05
 	zipfV              = 20
-	globalBudgets      = 100  // budgets that are used from every zone
-	defaultRemoteShare = 0.01 // of the others' requests come from any zone
-	tokensPerRequest   = 348  // 320,000 tokens a second over 920 requests
+	globalBudgets      = 100  // number of budgets that are used from every zone
+	defaultRemoteShare = 0.01 // share of the other budgets' requests that come from any zone
+	tokensPerRequest   = 348  // 320,000 tokens per second at 920 requests per second
 	reservedTokens     = 1_000
 	warmUpSeconds      = 30
 	measuredSeconds    = 20
@@ -54,7 +54,7 @@
 const assumptions = "Zipf s=1.05 v=20 over 80,000 budgets; the first 100 from every zone, the others from their own zone but for 1%; " +
 	"15 instances a zone, 4 of them holders; every budget used in its zone before; 30 s of traffic to warm, 20 s counted"
 
-// storeSim is every holder of the fleet on one store, without the wires.
+// storeSim simulates all holders of the fleet on one store, without a network.
 type storeSim struct {
 	clock       *clock.Clock
 	store       *external.Meter
@@ -65,7 +65,7 @@
 	zipf        *rand.Zipf
 	requests    int
 	rejected    int
-	remoteShare float64 // share of requests that come from a foreign zone
+	remoteShare float64 // share of the other budgets' requests that come from any zone
 }
 
 func newStoreSim(ctx context.Context, zones, budgets int, remoteShare float64) (*storeSim, error) {
@@ -81,7 +81,7 @@
 	}
 	times := budget.DefaultTimes()
 	times.Flush, times.Beat = flushInterval, refreshInterval
-	times.Dead = time.Hour // nobody dies here
+	times.Dead = time.Hour // no holder crashes in the simulation
 	for z := range zones {
 		peers := peersOf(fmt.Sprintf("z%02d", z), instancesPerZone)
 		s.zones = append(s.zones, peers)
@@ -93,7 +93,7 @@
 	return s, nil
 }
 
-// simulateSecond plays one simulateSecond of traffic.
+// simulateSecond simulates one second of traffic.
 func (s *storeSim) simulateSecond(ctx context.Context, requests int) error {
 	step := time.Second / time.Duration(max(requests, 1))
 	for range requests {
@@ -108,6 +108,7 @@
 	return nil
 }
 
+// request makes one request of a random budget, from a zone that the budget's popularity decides.
 func (s *storeSim) request(ctx context.Context) error {
 	rank := int(s.zipf.Uint64()) //nolint:gosec // below the number of budgets
 	zone := rank % len(s.zones)
@@ -122,8 +123,8 @@
 	return s.reserveAndSettle(ctx, fmt.Sprintf("r-%d", s.requests), rank, zone, s.zones[zone][s.rng.IntN(instancesPerZone)])
 }
 
-// requestAtBothHomes makes a request of a budget at both of its homes: that of the zone, and that of requests which the zone's home
-// serves itself.
+// requestAtBothHomes makes one request at each of a budget's two homes: the zone's home, and the home of requests that
+// the zone's home serves itself.
 func (s *storeSim) requestAtBothHomes(ctx context.Context, req string, rank int, client mesh.Peer) error {
 	zone := rank % len(s.zones)
 	if err := s.reserveAndSettle(ctx, req, rank, zone, client); err != nil {
@@ -133,6 +134,7 @@
 	return s.reserveAndSettle(ctx, req+"-own", rank, zone, home)
 }
 
+// reserveAndSettle makes one request of a budget at its home. It counts a request that was rejected as not run.
 func (s *storeSim) reserveAndSettle(ctx context.Context, req string, rank, zone int, client mesh.Peer) error {
 	id := budgetID(rank)
 	peers := s.zones[zone]
@@ -150,6 +152,7 @@
 	return h.Settle(ctx, budget.SettleReq{Request: req, Budget: id, Run: req, Holder: h.Holder(), Tokens: tokensPerRequest})
 }
 
+// totalCalls adds up the calls of all duties.
 func totalCalls(calls map[external.Duty]external.Calls) (out external.Calls) {
 	for _, c := range calls {
 		out.Writes += c.Writes
@@ -159,7 +162,7 @@
 	return out
 }
 
-// storeRun is what one simulation has counted.
+// storeRun holds the counts of one simulation.
 type storeRun struct {
 	calls       map[external.Duty]external.Calls
 	refused     int
@@ -179,13 +182,13 @@
 	return storeRun{calls: calls, refused: s.rejected, largestPage: largest}, nil
 }
 
-// MeasureStore counts the calls of the fleet's holders at several request rates.
+// MeasureStore counts the holders' calls to the store at several request rates and several shares of remote requests.
 func MeasureStore(ctx context.Context) (*StoreResult, error) {
 	res := &StoreResult{Seconds: measuredSeconds, Assumptions: assumptions}
 	var writes, reads, bytes []Point
 	rates := []float64{230, 460, 690, ReferenceRequestRate}
 	runs := make([]storeRun, len(rates))
-	shares := []float64{0, 0.05, 0.1} // and awayShare, which the runs by rate have
+	shares := []float64{0, 0.05, 0.1} // defaultRemoteShare is covered by the runs by rate
 	remoteRuns := make([]storeRun, len(shares))
 	var g errgroup.Group
 	for i, share := range shares {
@@ -221,8 +224,8 @@
 	return res, nil
 }
 
-// requestEveryBudget makes one request for every budget in its own zone, as hours of traffic would have, and lets the holders
-// write what follows.
+// requestEveryBudget makes one request for every budget in its own zone, as hours of traffic would, and then ticks the
+// holders until they have written the results.
 func (s *storeSim) requestEveryBudget(ctx context.Context) error {
 	type group struct {
 		page uint16
@@ -233,7 +236,7 @@
 		g := group{budget.PageOf(budgetID(rank)), rank % len(s.zones)}
 		byPage[g] = append(byPage[g], rank)
 	}
-	for _, ranks := range byPage { // together, so that few writes serve them
+	for _, ranks := range byPage { // concurrent requests on a page need few writes
 		var g errgroup.Group
 		for _, rank := range ranks {
 			s.requests++
@@ -254,7 +257,7 @@
 	return nil
 }
 
-// measure warms the holders and returns the calls of the time after.
+// measure warms up the holders, then returns the calls to the store in the measured time.
 func (s *storeSim) measure(ctx context.Context, rate int) (map[external.Duty]external.Calls, error) {
 	if err := s.requestEveryBudget(ctx); err != nil {
 		return nil, err
--- a/internal/bench/testbed.go
+++ b/internal/bench/testbed.go
@@ -30,8 +30,8 @@
 	startupWait     = 1500 * time.Millisecond
 )
 
-// testbed is one engine, the platform's stand-ins and two instances on loopback. Two, so that the budget's holder is
-// another process than the serving instance, as it is in earnest.
+// testbed consists of one engine, the platform's stand-ins and two instances on loopback. There are two instances so that
+// the budget's holder is not the serving instance, as in production.
 type testbed struct {
 	engine     *engine.Engine
 	kv         *kv.Server
@@ -91,7 +91,7 @@
 	return instance.New(&set)
 }
 
-// applyConfig plans and confirms the bed's configuration.
+// applyConfig plans and confirms the testbed's configuration.
 func (b *testbed) applyConfig() error {
 	in := intent.Intent{
 		Apply: declare.Declarations{
@@ -129,7 +129,7 @@
 	req.Header.Set("Authorization", "Bearer "+benchOperator)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return eris.Wrap(err, "asking an instance")
+		return eris.Wrap(err, "sending a request to an instance")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
--- a/internal/bench/usage.go
+++ b/internal/bench/usage.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// cpuTime is the processor time that this process has used.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime() time.Duration {
 	var ru syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &ru) != nil {
@@ -15,7 +15,7 @@
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano())
 }
 
-// memoryInUse is the memory in use after a collection, in bytes, with the stacks of goroutines.
+// memoryInUse returns the heap and the goroutine stacks in use after a garbage collection, in bytes.
 func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
