--- a/internal/bench/routed.go
+++ b/internal/bench/routed.go
@@ -106,14 +106,14 @@
 
 // MeasureRouted compares direct and routed streams in one run, in alternation.
 func MeasureRouted(ctx context.Context) (*RoutedResult, error) {
-	b, err := startTestbed()
+	tb, err := startTestbed()
 	if err != nil {
 		return nil, err
 	}
-	defer b.close()
+	defer tb.close()
 	res := &RoutedResult{}
 	for _, measure := range []func(context.Context, *testbed, *RoutedResult) error{measureFirstToken, measureThroughput, measureStreamMemory} {
-		if err := measure(ctx, b, res); err != nil {
+		if err := measure(ctx, tb, res); err != nil {
 			return nil, err
 		}
 	}
@@ -127,8 +127,8 @@
 	return float64(h.ValueAtQuantile(q)) / 1000
 }
 
-func measureFirstToken(ctx context.Context, b *testbed, res *RoutedResult) error {
-	direct, routed := newCaller(b.engineURL), newCaller(b.callersURL)
+func measureFirstToken(ctx context.Context, tb *testbed, res *RoutedResult) error {
+	direct, routed := newCaller(tb.engineURL), newCaller(tb.callersURL)
 	fd, fr, gd, gr := histogram(), histogram(), histogram(), histogram()
 	for i := range firstTokenRounds {
 		for _, side := range []struct {
@@ -156,15 +156,15 @@
 }
 
 // measureThroughput runs many concurrent streams against an engine that generates tokens without delay.
-func measureThroughput(ctx context.Context, b *testbed, res *RoutedResult) error {
-	b.engine.SetTimes(0, 0)
-	defer b.engine.SetTimes(benchFirstToken, benchPerToken)
+func measureThroughput(ctx context.Context, tb *testbed, res *RoutedResult) error {
+	tb.engine.SetTimes(0, 0)
+	defer tb.engine.SetTimes(benchFirstToken, benchPerToken)
 	var cpuDirect, cpuRouted float64
 	var err error
-	if res.TokensDirect, cpuDirect, err = throughput(ctx, newCaller(b.engineURL), 10_000); err != nil {
+	if res.TokensDirect, cpuDirect, err = throughput(ctx, newCaller(tb.engineURL), 10_000); err != nil {
 		return err
 	}
-	if res.TokensRouted, cpuRouted, err = throughput(ctx, newCaller(b.callersURL), 20_000); err != nil {
+	if res.TokensRouted, cpuRouted, err = throughput(ctx, newCaller(tb.callersURL), 20_000); err != nil {
 		return err
 	}
 	res.TokenShare = res.TokensRouted / res.TokensDirect
@@ -200,14 +200,14 @@
 }
 
 // measureStreamMemory measures the memory of open streams: that of routed streams, minus that of as many direct streams.
-func measureStreamMemory(ctx context.Context, b *testbed, res *RoutedResult) error {
-	b.engine.SetTimes(10*time.Millisecond, 50*time.Millisecond)
-	defer b.engine.SetTimes(benchFirstToken, benchPerToken)
+func measureStreamMemory(ctx context.Context, tb *testbed, res *RoutedResult) error {
+	tb.engine.SetTimes(10*time.Millisecond, 50*time.Millisecond)
+	defer tb.engine.SetTimes(benchFirstToken, benchPerToken)
 	sizes := []int{100, 200, 400, 800}
 	points := make([]Point, 0, len(sizes))
 	for i, n := range sizes {
-		direct := memoryOfStreams(ctx, newCaller(b.engineURL), n, 100_000*(i+1))
-		routed := memoryOfStreams(ctx, newCaller(b.callersURL), n, 1_000_000*(i+1))
+		direct := memoryOfStreams(ctx, newCaller(tb.engineURL), n, 100_000*(i+1))
+		routed := memoryOfStreams(ctx, newCaller(tb.callersURL), n, 1_000_000*(i+1))
 		points = append(points, Point{float64(n), routed - direct})
 	}
 	res.StreamMemory = fit("memory of an instance", "open streams", "bytes", 920.0/380*6.4, points)
--- a/internal/bench/testbed.go
+++ b/internal/bench/testbed.go
@@ -43,18 +43,18 @@
 }
 
 func startTestbed() (*testbed, error) {
-	b := &testbed{engine: engine.New(benchModel, engine.WithTimes(benchFirstToken, benchPerToken), engine.WithCapacity(100_000), engine.WithoutLog()), kv: kv.New()}
+	tb := &testbed{engine: engine.New(benchModel, engine.WithTimes(benchFirstToken, benchPerToken), engine.WithCapacity(100_000), engine.WithoutLog()), kv: kv.New()}
 	var urls []string
 	l := list.New()
-	for _, h := range []http.Handler{b.engine.Handler(), b.kv.Handler(), l.Handler()} {
+	for _, h := range []http.Handler{tb.engine.Handler(), tb.kv.Handler(), l.Handler()} {
 		s, err := standin.Serve("127.0.0.1:0", h)
 		if err != nil {
 			return nil, err
 		}
-		b.servers = append(b.servers, s)
+		tb.servers = append(tb.servers, s)
 		urls = append(urls, s.URL())
 	}
-	b.engineURL = urls[0]
+	tb.engineURL = urls[0]
 	ca, err := mesh.NewAuthority()
 	if err != nil {
 		return nil, err
@@ -69,12 +69,12 @@
 			defer close(done)
 			_ = in.Run(context.Background())
 		}()
-		b.instances, b.done = append(b.instances, in), append(b.done, done)
+		tb.instances, tb.done = append(tb.instances, in), append(tb.done, done)
 		l.Set(external.Instance{ID: id, Zone: "zone", Addr: in.Peer().Addr, State: external.StateLive})
 	}
-	b.callersURL = "http://" + b.instances[0].CallersAddr()
+	tb.callersURL = "http://" + tb.instances[0].CallersAddr()
 	time.Sleep(startupWait)
-	return b, b.applyConfig()
+	return tb, tb.applyConfig()
 }
 
 func startInstance(ca *mesh.Authority, id, store, list string) (*instance.Instance, error) {
@@ -92,13 +92,13 @@
 }
 
 // applyConfig plans and confirms the testbed's configuration.
-func (b *testbed) applyConfig() error {
+func (tb *testbed) applyConfig() error {
 	in := intent.Intent{
 		Apply: declare.Declarations{
 			Zones: map[string]declare.Zone{"zone": {Region: "region"}},
 			Pools: map[string]declare.Pool{"bench": {Kind: declare.KindEngine, Model: benchModel}},
 			Endpoints: map[string]declare.Endpoint{
-				"engine": {Zone: "zone", URL: b.engineURL, Pool: "bench", State: declare.StateActive, Capacity: 50_000, Checks: true},
+				"engine": {Zone: "zone", URL: tb.engineURL, Pool: "bench", State: declare.StateActive, Capacity: 50_000, Checks: true},
 			},
 			Classes: map[string]declare.Class{
 				"c": {Priority: 1, DeadlineMS: 60_000, FirstTokenMS: 880, BetweenTokensMS: 36, Objective: 0.95},
@@ -110,19 +110,19 @@
 		Budgets: map[string]declare.Budget{"budget": {Customer: "customer", Deposits: map[string]int64{"opening": 1 << 45}}},
 	}
 	var p intent.Plan
-	if err := b.post("/v1/intents", in, &p); err != nil {
+	if err := tb.post("/v1/intents", in, &p); err != nil {
 		return err
 	}
 	var r intent.Result
-	return b.post("/v1/plans/"+p.ID+"/confirm", struct{}{}, &r)
+	return tb.post("/v1/plans/"+p.ID+"/confirm", struct{}{}, &r)
 }
 
-func (b *testbed) post(path string, in, out any) error {
+func (tb *testbed) post(path string, in, out any) error {
 	data, err := json.Marshal(in)
 	if err != nil {
 		return eris.Wrap(err, "encoding")
 	}
-	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+b.instances[0].OperatorsAddr()+path, bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+tb.instances[0].OperatorsAddr()+path, bytes.NewReader(data))
 	if err != nil {
 		return eris.Wrap(err, "making a request")
 	}
@@ -139,13 +139,13 @@
 	return json.Unmarshal(body, out)
 }
 
-func (b *testbed) close() {
-	for i, in := range b.instances {
+func (tb *testbed) close() {
+	for i, in := range tb.instances {
 		in.Kill()
-		<-b.done[i]
+		<-tb.done[i]
 	}
-	for _, s := range b.servers {
+	for _, s := range tb.servers {
 		_ = s.Close()
 	}
-	b.kv.Close()
+	tb.kv.Close()
 }
--- a/internal/demo/audit.go
+++ b/internal/demo/audit.go
@@ -281,7 +281,7 @@
 func (f *fleet) settle(ctx context.Context, limit time.Duration) bool {
 	deadline := time.Now().Add(limit)
 	for time.Now().Before(deadline) {
-		if f.settled(ctx) {
+		if f.isSettled(ctx) {
 			return true
 		}
 		time.Sleep(settlePoll)
@@ -289,7 +289,7 @@
 	return false
 }
 
-func (f *fleet) settled(ctx context.Context) bool {
+func (f *fleet) isSettled(ctx context.Context) bool {
 	if f.kv.On(kv.Down) {
 		return false
 	}
--- a/internal/demo/caller.go
+++ b/internal/demo/caller.go
@@ -84,16 +84,16 @@
 	retryElsewhere    bool // callers that disconnected retry in the other zone
 }
 
-func (h *behavior) set(f func(*behavior)) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	f(h)
+func (b *behavior) set(f func(*behavior)) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	f(b)
 }
 
-func (h *behavior) get() behavior {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return behavior{disconnect: h.disconnect, retryDisconnected: h.retryDisconnected, retryElsewhere: h.retryElsewhere}
+func (b *behavior) get() behavior {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return behavior{disconnect: b.disconnect, retryDisconnected: b.retryDisconnected, retryElsewhere: b.retryElsewhere}
 }
 
 // callers send requests until their context ends, and record each of them.
@@ -203,18 +203,18 @@
 func (c *callers) runCall(zone string, rng *rand.Rand) {
 	cl := c.newCall(rng)
 	c.accounts.callStarted(cl)
-	h := c.behavior.get()
-	disconnect := (h.disconnect || h.retryDisconnected) && cl.kind == chatStream && rng.IntN(3) == 0
+	b := c.behavior.get()
+	disconnect := (b.disconnect || b.retryDisconnected) && cl.kind == chatStream && rng.IntN(3) == 0
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	for cl.attempts < maxAttempts && cl.refusals() < maxRefusals && ctx.Err() == nil {
 		cl.attempts++
 		retry := c.attempt(ctx, cl, zone, rng, disconnect && cl.attempts == 1)
 		if disconnect && cl.attempts == 1 && cl.lastVerdict() != verdict.NotRun {
-			if cl.key == "" || !h.retryDisconnected {
+			if cl.key == "" || !b.retryDisconnected {
 				break
 			}
-			if h.retryElsewhere {
+			if b.retryElsewhere {
 				zone = otherZone(zone)
 			}
 			continue
--- a/internal/demo/faults.go
+++ b/internal/demo/faults.go
@@ -59,9 +59,9 @@
 		"endpoint-truncate":       engineFault(engine.Truncate, plain.Crash),
 		"cache-events-gap":        engineFault(engine.CacheGap, ""),
 		"list-lag":                {start: delayList(2 * time.Second), heal: delayList(0)},
-		"caller-disconnect":       callerFault(func(h *behavior, on bool) { h.disconnect = on }),
-		"caller-retry":            callerFault(func(h *behavior, on bool) { h.retryDisconnected = on }),
-		"caller-retry-other-zone": callerFault(func(h *behavior, on bool) { h.retryDisconnected, h.retryElsewhere = on, on }),
+		"caller-disconnect":       callerFault(func(b *behavior, on bool) { b.disconnect = on }),
+		"caller-retry":            callerFault(func(b *behavior, on bool) { b.retryDisconnected = on }),
+		"caller-retry-other-zone": callerFault(func(b *behavior, on bool) { b.retryDisconnected, b.retryElsewhere = on, on }),
 		"operator-race":           {start: noAction, heal: noAction},
 		"drain":                   {start: drain, heal: activate},
 		"rolling-stop":            {start: rollingStop, heal: noAction},
@@ -205,10 +205,10 @@
 	}
 }
 
-func callerFault(set func(h *behavior, on bool)) fault {
+func callerFault(set func(b *behavior, on bool)) fault {
 	apply := func(on bool) func(context.Context, *scenario) error {
 		return func(_ context.Context, s *scenario) error {
-			s.callers.behavior.set(func(h *behavior) { set(h, on) })
+			s.callers.behavior.set(func(b *behavior) { set(b, on) })
 			return nil
 		}
 	}
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -103,12 +103,12 @@
 	plainServers  map[string]*standin.Server
 	ca            *mesh.Authority
 
-	mu      sync.Mutex
-	nodes   []*node
-	serial  int
-	charges map[string][]ledger.Charge
-	zoneCut bool
-	crashed bool // an instance has crashed
+	mu         sync.Mutex
+	nodes      []*node
+	serial     int
+	charges    map[string][]ledger.Charge
+	zoneCut    bool
+	anyCrashed bool // an instance has crashed
 }
 
 func newFleet(log zerolog.Logger) (*fleet, error) {
@@ -242,13 +242,13 @@
 func (f *fleet) hasCrashed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.crashed
+	return f.anyCrashed
 }
 
 // kill crashes an instance and removes it from the instance list, as the platform does.
 func (f *fleet) kill(n *node) {
 	f.mu.Lock()
-	f.crashed = true
+	f.anyCrashed = true
 	f.mu.Unlock()
 	n.mark(false, true)
 	n.gate.kill()
--- a/internal/demo/gate.go
+++ b/internal/demo/gate.go
@@ -15,7 +15,7 @@
 type gate struct {
 	mu       sync.Mutex
 	paused   chan struct{} // closed on resume; nil while the instance runs
-	dead     bool
+	crashed  bool
 	cutStore bool
 	cutPeer  func(p mesh.Peer) bool
 	peerAt   func(addr string) (mesh.Peer, bool)
@@ -37,7 +37,7 @@
 // kill makes every later step and outside call of the instance fail, as after a crash.
 func (g *gate) kill() {
 	g.mu.Lock()
-	g.dead = true
+	g.crashed = true
 	g.mu.Unlock()
 	g.resume()
 }
@@ -68,9 +68,9 @@
 func (g *gate) waitResumed(ctx context.Context) error {
 	for {
 		g.mu.Lock()
-		ch, dead := g.paused, g.dead
+		ch, crashed := g.paused, g.crashed
 		g.mu.Unlock()
-		if dead {
+		if crashed {
 			return errCrashed
 		}
 		if ch == nil {
--- a/internal/matrix/cell_test.go
+++ b/internal/matrix/cell_test.go
@@ -242,7 +242,7 @@
 		}
 	}()
 	a := c.fleet.send(ctx, n, c.kind, disconnect)
-	if (ctx.Err() != nil || n.isDead()) && !a.complete && a.verdict != verdict.NotRun {
+	if (ctx.Err() != nil || n.isCrashed()) && !a.complete && a.verdict != verdict.NotRun {
 		return callResult{verdict: verdict.MayHaveRun, retryable: true} // the caller has given up, or the instance has crashed
 	}
 	return a
@@ -349,7 +349,7 @@
 func (f *testFleet) aliveHolders() map[string]bool {
 	out := make(map[string]bool)
 	for _, n := range f.nodes {
-		if !n.isDead() {
+		if !n.isCrashed() {
 			out[n.home.Holder()] = true
 		}
 	}
--- a/internal/matrix/chatedge_test.go
+++ b/internal/matrix/chatedge_test.go
@@ -52,7 +52,7 @@
 
 func TestChatEdgeNotices(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("On the chat edge", t, func() {
+		Convey("On the chat API", t, func() {
 			f := newFleet(t)
 			n, a, b := f.nodes[0], f.engines["zone-a"], f.engines["zone-b"]
 
@@ -98,7 +98,7 @@
 // retry arrives with a new ID. Without quarantine, one such prompt can crash every endpoint.
 func TestChatEdgeQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("On the chat edge, a request that has crashed three endpoints is quarantined, and other requests are not", t, func() {
+		Convey("On the chat API, a request that has crashed three endpoints is quarantined, and other requests are not", t, func() {
 			const crashPrompt = "the prompt that no endpoint outlives"
 			f := newFleet(t)
 			n := f.nodes[0]
--- a/internal/matrix/fleet_test.go
+++ b/internal/matrix/fleet_test.go
@@ -122,7 +122,7 @@
 
 func (f *testFleet) anyAliveIn(zone string) bool {
 	for _, n := range f.nodes {
-		if n.peer.Zone == zone && !n.isDead() {
+		if n.peer.Zone == zone && !n.isCrashed() {
 			return true
 		}
 	}
@@ -245,7 +245,7 @@
 	f.onStep = hook
 }
 
-func (f *testFleet) looksAlive(n *node) bool {
+func (f *testFleet) appearsAlive(n *node) bool {
 	f.mu.Lock()
 	listLag := f.listLag
 	f.mu.Unlock()
@@ -263,7 +263,8 @@
 	settleTimeout = 2 * time.Second
 )
 
-// tickAll runs the background work of every running instance. It does not wait for an instance that is paused meanwhile.
+// tickAll runs the background work of every running instance. It waits at most tickTimeout for each, since an instance
+// may be paused meanwhile.
 func (f *testFleet) tickAll(ctx context.Context) {
 	for _, n := range f.nodes {
 		done := n.tick(ctx)
@@ -332,7 +333,7 @@
 func (f *testFleet) settled(ctx context.Context) bool {
 	holders := make(map[string]bool)
 	for _, n := range f.nodes {
-		if n.isDead() {
+		if n.isCrashed() {
 			continue
 		}
 		holders[n.home.Holder()] = true
--- a/internal/matrix/node_test.go
+++ b/internal/matrix/node_test.go
@@ -34,16 +34,16 @@
 	ticking sync.Mutex
 
 	mu       sync.Mutex
-	dead     bool
+	crashed  bool
 	paused   chan struct{}
 	cutStore bool
 	leaving  bool
 }
 
-func (n *node) isDead() bool {
+func (n *node) isCrashed() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.dead
+	return n.crashed
 }
 
 func (n *node) isPaused() bool {
@@ -53,15 +53,15 @@
 }
 
 // running reports whether the instance has neither crashed nor been paused.
-func (n *node) running() bool { return !n.isDead() && !n.isPaused() }
+func (n *node) running() bool { return !n.isCrashed() && !n.isPaused() }
 
 // waitResumed blocks while the instance is paused, and fails once it has crashed.
 func (n *node) waitResumed() error {
 	for {
 		n.mu.Lock()
-		dead, ch := n.dead, n.paused
+		crashed, ch := n.crashed, n.paused
 		n.mu.Unlock()
-		if dead {
+		if crashed {
 			return errCrashed
 		}
 		if ch == nil {
@@ -73,7 +73,7 @@
 
 func (n *node) crash() {
 	n.mu.Lock()
-	n.dead = true
+	n.crashed = true
 	if n.paused != nil {
 		close(n.paused)
 		n.paused = nil
@@ -174,11 +174,11 @@
 }
 
 func (m members) Zone() []mesh.Peer {
-	return m.peers(func(o *node) bool { return o.peer.Zone == m.n.peer.Zone && m.n.fleet.looksAlive(o) && !o.isLeaving() })
+	return m.peers(func(o *node) bool { return o.peer.Zone == m.n.peer.Zone && m.n.fleet.appearsAlive(o) && !o.isLeaving() })
 }
 
 func (m members) Fleet() []mesh.Peer {
-	return m.peers(func(o *node) bool { return m.n.fleet.looksAlive(o) && !o.isLeaving() })
+	return m.peers(func(o *node) bool { return m.n.fleet.appearsAlive(o) && !o.isLeaving() })
 }
 
 func (m members) Find(who string) (mesh.Peer, bool) {
@@ -194,7 +194,7 @@
 func (m members) Alive(who string) bool {
 	for _, o := range m.n.fleet.nodes {
 		if o.peer.Who() == who {
-			return o == m.n || m.n.fleet.looksAlive(o)
+			return o == m.n || m.n.fleet.appearsAlive(o)
 		}
 	}
 	return false
