--- a/internal/demo/audit_test.go
+++ b/internal/demo/audit_test.go
@@ -7,9 +7,9 @@
 )
 
 // Under load, a demo with a crashed home instance reported unbilled calls, for two reasons. In one run the instance
-// crashed before the response to its last write of charges arrived ("the store's answer was lost"). The store had
-// accepted the write, and its sums were right. In another run a payment that the crashed instance had sent stayed held
-// ("its run's fate is unknown"), as it must until an operator releases it.
+// crashed before the store's response to its last write of charges arrived. The store had accepted the write, and its
+// sums were right. In another run the reservation of a payment that the crashed instance had sent stayed held, because
+// the outcome of its run was unknown. It must stay held until an operator releases it.
 func TestAuditOfCrashes(t *testing.T) {
 	call := &call{id: "k-1", kind: payment, complete: true}
 	const price = 40
