--- a/internal/bench/budget.go
+++ b/internal/bench/budget.go
@@ -14,22 +14,22 @@
 	"github.com/ledgemount/ledgemount/internal/standin/memstore"
 )
 
-// LetterBudgets is the number of budgets in the users' letter.
-const LetterBudgets = 80_000
+// ReferenceBudgets is the number of budgets at the reference size, as specified by the users.
+const ReferenceBudgets = 80_000
 
-// BudgetResult is what a holder costs.
+// BudgetResult is the cost of a holder in time and memory.
 type BudgetResult struct {
 	Budgets       int     `json:"budgets"`
 	ReserveNS     float64 `json:"reserve_settle_ns"`
 	ReserveAllocs float64 `json:"reserve_settle_allocs"`
 	RowBytes      float64 `json:"row_bytes"`
 	LargestPage   int     `json:"largest_page_bytes"`
-	StartMS       float64 `json:"first_draw_of_all_ms"` // every budget drawn once by one holder
+	StartMS       float64 `json:"first_draw_of_all_ms"` // one holder draws from every budget once
 	IdleMemory    Slope   `json:"idle_memory"`
 	BusyMemory    Slope   `json:"busy_memory"`
 }
 
-// newHolder makes a holder with a store of n budgets.
+// newHolder makes a holder and a store with n budgets. It also returns the average size of a row in bytes.
 func newHolder(ctx context.Context, n int) (*budget.Home, *memstore.Store, float64, error) {
 	store := memstore.New()
 	row, err := fillPages(ctx, store, n)
@@ -57,9 +57,9 @@
 
 // MeasureBudget measures reservations, settlements and memory of a holder.
 func MeasureBudget(ctx context.Context) (*BudgetResult, error) {
-	res := &BudgetResult{Budgets: LetterBudgets}
+	res := &BudgetResult{Budgets: ReferenceBudgets}
 	var idle, busy []Point
-	for _, n := range []int{10_000, 20_000, 40_000, LetterBudgets} {
+	for _, n := range []int{10_000, 20_000, 40_000, ReferenceBudgets} {
 		p, err := measureMemory(ctx, n, res)
 		if err != nil {
 			return nil, err
@@ -67,42 +67,43 @@
 		idle = append(idle, Point{float64(n), p.idle})
 		busy = append(busy, Point{float64(n), p.busy})
 	}
-	res.IdleMemory = fit("memory of a holder, idle accounts", "accounts", "bytes", LetterBudgets, idle)
-	res.BusyMemory = fit("memory of a holder, one open reservation each", "accounts", "bytes", LetterBudgets, busy)
+	res.IdleMemory = fit("memory of a holder, idle accounts", "accounts", "bytes", ReferenceBudgets, idle)
+	res.BusyMemory = fit("memory of a holder, one open reservation each", "accounts", "bytes", ReferenceBudgets, busy)
 	return res, nil
 }
 
-type memoryPoint struct{ idle, busy float64 }
+type memoryUse struct{ idle, busy float64 }
 
-// measureMemory draws every budget once and opens a reservation on each. The last size gives the times too.
-func measureMemory(ctx context.Context, n int, res *BudgetResult) (memoryPoint, error) {
+// measureMemory draws from every budget once, then opens a reservation on each. It also measures the times; those of the
+// last call remain in res.
+func measureMemory(ctx context.Context, n int, res *BudgetResult) (memoryUse, error) {
 	h, store, row, err := newHolder(ctx, n)
 	if err != nil {
-		return memoryPoint{}, err
+		return memoryUse{}, err
 	}
-	before := inUse() - storeBytes(store)
+	before := memoryInUse() - storeBytes(store)
 	start := time.Now()
-	if err := touchEach(ctx, h, n); err != nil {
-		return memoryPoint{}, err
+	if err := requestEach(ctx, h, n); err != nil {
+		return memoryUse{}, err
 	}
 	res.StartMS = float64(time.Since(start).Milliseconds())
 	h.Tick(ctx)
-	idle := inUse() - storeBytes(store) - before
+	idle := memoryInUse() - storeBytes(store) - before
 	for i := range n {
 		if err := reserve(ctx, h, fmt.Sprintf("busy-%d", i), i); err != nil {
-			return memoryPoint{}, err
+			return memoryUse{}, err
 		}
 	}
-	busy := inUse() - storeBytes(store) - before
+	busy := memoryInUse() - storeBytes(store) - before
 	res.RowBytes = row
-	res.LargestPage, _ = store.Largest(budget.PagePrefix)
+	res.LargestPage, _ = store.ValueSizes(budget.PagePrefix)
 	err = measureReserve(ctx, h, n, res)
 	runtime.KeepAlive(h)
-	return memoryPoint{idle: idle, busy: busy}, err
+	return memoryUse{idle: idle, busy: busy}, err
 }
 
-// touchEach makes one request on every budget, those of a page together, so that few writes serve them.
-func touchEach(ctx context.Context, h *budget.Home, n int) error {
+// requestEach makes one request on every budget. The requests of a page run concurrently, so that few writes suffice.
+func requestEach(ctx context.Context, h *budget.Home, n int) error {
 	byPage := make(map[uint16][]int)
 	for i := range n {
 		p := budget.PageOf(budgetID(i))
@@ -127,13 +128,14 @@
 }
 
 func storeBytes(s *memstore.Store) float64 {
-	_, total := s.Largest("")
+	_, total := s.ValueSizes("")
 	return float64(total)
 }
 
 const reserveRounds = 100_000
 
-// measureReserve times reserve and settle on random budgets that are drawn already.
+// measureReserve measures the time of a reservation and its settlement on random budgets for which the holder already has
+// a grant.
 func measureReserve(ctx context.Context, h *budget.Home, n int, res *BudgetResult) error {
 	rng := rand.New(rand.NewPCG(1, 1)) //nolint:gosec // a benchmark
 	ids := make([]string, reserveRounds)
--- a/internal/demo/audit.go
+++ b/internal/demo/audit.go
@@ -16,7 +16,8 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// audit is what the auditor has found. It trusts no instance: it reads the endpoints' logs, the store and the callers' records.
+// audit holds the auditor's findings. The auditor trusts no instance: it reads the endpoints' logs, the store and the
+// callers' records.
 type audit struct {
 	Overspend    int64
 	DoubleBilled int
@@ -31,25 +32,26 @@
 	Billed       int64
 	Notes        []string
 
-	// crashed: an instance has crashed, so charges may be in the store of which it could not tell any more
+	// crashed means that an instance has crashed. The store may then contain charges that the instance could not report.
 	crashed bool
 }
 
 func (a *audit) note(format string, args ...any) {
-	const most = 20
-	if len(a.Notes) < most {
+	const maxNotes = 20
+	if len(a.Notes) < maxNotes {
 		a.Notes = append(a.Notes, fmt.Sprintf(format, args...))
 	}
 }
 
-// ranPrompts finds what the engines ran for each answer text: how often, and the most that a run cost.
-type ranPrompt struct {
+// promptRuns is the number of engine runs for one response text, and the maximum cost of a run in tokens.
+type promptRuns struct {
 	runs int
 	cost int64
 }
 
-func (f *fleet) ranByText() map[uint64]ranPrompt {
-	out := make(map[uint64]ranPrompt)
+// runsByText returns the engines' runs by the hash of their response text.
+func (f *fleet) runsByText() map[uint64]promptRuns {
+	out := make(map[uint64]promptRuns)
 	for _, e := range f.engines {
 		for _, r := range e.engine.Log() {
 			p := out[r.Text]
@@ -66,10 +68,10 @@
 	return xxhash.Sum64String(strings.Join(engine.Text(p, n), ""))
 }
 
-// runAudit checks every promise.
-func runAudit(ctx context.Context, s *scene, calls []*call) (*audit, error) {
+// runAudit checks every guarantee.
+func runAudit(ctx context.Context, s *scenario, calls []*call) (*audit, error) {
 	a := &audit{crashed: s.f.hasCrashed()}
-	ran := s.f.ranByText()
+	ran := s.f.runsByText()
 	a.checkAnswers(calls, ran, s.f)
 	a.checkPayments(calls, s.f)
 	a.checkDrains(s)
@@ -79,40 +81,41 @@
 	return a, nil
 }
 
-func (a *audit) checkAnswers(calls []*call, ran map[uint64]ranPrompt, f *fleet) {
+func (a *audit) checkAnswers(calls []*call, ran map[uint64]promptRuns, f *fleet) {
 	for _, c := range calls {
 		if len(c.verdicts) == 0 {
 			a.Lost++
 			a.note("lost: call %d has no verdict", c.serial)
 		}
-		if c.whole && c.text != c.expected() {
+		if c.complete && c.text != c.expectedText() {
 			a.Crossed++
 			a.note("crossed: call %d got another answer", c.serial)
 		}
-		if c.cut {
+		if c.cutByStop {
 			a.CutByStop++
 			a.note("cut: call %d was broken by a planned stop", c.serial)
 		}
-		if !c.everRan() && a.ranAnyway(c, ran, f) {
+		if !c.mayHaveRun() && a.hasRun(c, ran, f) {
 			a.NotRunButRan++
 			a.note("not run: call %d (%s) ran all the same", c.serial, c.id)
 		}
 	}
 }
 
-func (a *audit) ranAnyway(c *call, ran map[uint64]ranPrompt, f *fleet) bool {
+// hasRun reports whether an endpoint ran a call.
+func (a *audit) hasRun(c *call, ran map[uint64]promptRuns, f *fleet) bool {
 	switch c.kind {
-	case chatStream, chatWhole:
+	case chatStream, chatNonStreaming:
 		return ran[textHash(c)].runs > 0
 	default:
 		return f.plainRuns(string(c.body())) > 0
 	}
 }
 
-// plainRuns is how often the plain services ran a body.
+// plainRuns returns how often the plain services ran a body.
 func (f *fleet) plainRuns(body string) int {
 	n := 0
-	for _, p := range f.plains {
+	for _, p := range f.plainServices {
 		n += p.Runs(body)
 	}
 	return n
@@ -130,7 +133,7 @@
 	}
 }
 
-func (a *audit) checkDrains(s *scene) {
+func (a *audit) checkDrains(s *scenario) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, d := range s.drains {
@@ -148,11 +151,11 @@
 	}
 }
 
-// bounds are what a budget's bill must lie between.
+// bounds are the limits between which a bill must lie, in tokens.
 type bounds struct{ low, high int64 }
 
-// checkBills compares what the store says was spent with what the callers got and the endpoints ran.
-func (a *audit) checkBills(ctx context.Context, f *fleet, calls []*call, ran map[uint64]ranPrompt) error {
+// checkBills compares the spending in the store with what the callers received and the endpoints ran.
+func (a *audit) checkBills(ctx context.Context, f *fleet, calls []*call, ran map[uint64]promptRuns) error {
 	want := make(map[string]*bounds)
 	charged := f.chargesByID()
 	for _, c := range calls {
@@ -167,7 +170,7 @@
 		a.checkCharges(c, charged, low, high)
 	}
 	for i := range customers {
-		for k := range budgetsPerClient {
+		for k := range budgetsPerCustomer {
 			if err := a.checkBudget(ctx, f, budgetName(i, k), depositOf(i, k), want[budgetName(i, k)]); err != nil {
 				return err
 			}
@@ -176,9 +179,9 @@
 	return nil
 }
 
-// checkCharges compares what instances told of a call's charges with what it must cost. A call without a charge is unbilled, unless an
-// instance has crashed: one that crashes while it writes charges cannot tell of them, whether the store took them or not. Then
-// checkBudget decides, by the store's sum.
+// checkCharges compares the charges that instances reported for a call with its cost. A call without a charge is
+// unbilled, unless an instance has crashed: an instance that crashes while it writes charges cannot report them, whether
+// the store accepted them or not. In that case checkBudget decides, by the sum in the store.
 func (a *audit) checkCharges(c *call, charged map[string][]int64, low, high int64) {
 	if c.id == "" {
 		return
@@ -188,7 +191,7 @@
 		a.DoubleBilled++
 		a.note("double: call %d (%s) has %d charges", c.serial, c.id, len(bills))
 	}
-	if c.whole && len(bills) == 0 && !a.crashed {
+	if c.complete && len(bills) == 0 && !a.crashed {
 		a.Unbilled++
 		a.note("unbilled: call %d (%s) was answered whole", c.serial, c.id)
 	}
@@ -199,20 +202,20 @@
 	}
 }
 
-// billBounds is what the call must and may cost: exactly its price if it was answered whole; nothing if it has not run;
-// up to what the endpoint ran otherwise.
-func (c *call) billBounds(ran map[uint64]ranPrompt, f *fleet) (low, high int64) {
-	if c.whole {
+// billBounds returns the minimum and maximum cost of the call: exactly its price if its response was complete, nothing if
+// it has not run, and otherwise at most what the endpoint ran.
+func (c *call) billBounds(ran map[uint64]promptRuns, f *fleet) (low, high int64) {
+	if c.complete {
 		return c.price(), c.price()
 	}
-	if !c.everRan() {
+	if !c.mayHaveRun() {
 		return 0, 0
 	}
 	if c.kind == payment || c.kind == lookup {
 		if f.plainRuns(string(c.body())) > 0 {
-			return 0, c.need
+			return 0, c.maxCost
 		}
-		return 0, c.need // a call that may have run is billed
+		return 0, c.maxCost // a call that may have run is billed
 	}
 	return 0, ran[textHash(c)].cost
 }
@@ -243,19 +246,19 @@
 	}
 	a.Billed += v.Spent
 	a.Held += held
-	a.compare(name, bill{spent: v.Spent, held: held, deposited: deposited}, *want)
+	a.checkBill(name, bill{spent: v.Spent, held: held, deposited: deposited}, *want)
 	return nil
 }
 
-// bill is what the store says of a budget, in tokens.
+// bill is the state of a budget in the store, in tokens.
 type bill struct {
 	spent     int64
-	held      int64 // for runs whose fate nobody knows yet: it is billed or freed once somebody does
+	held      int64 // for runs with an unknown outcome: billed or released once it is known
 	deposited int64
 }
 
-// compare judges a budget's bill.
-func (a *audit) compare(name string, b bill, want bounds) {
+// checkBill checks a budget's bill against its deposit and its bounds.
+func (a *audit) checkBill(name string, b bill, want bounds) {
 	if b.spent > b.deposited {
 		a.Overspend += b.spent - b.deposited
 		a.note("overspend: budget %s spent %d of %d", name, b.spent, b.deposited)
@@ -274,11 +277,11 @@
 
 const settlePoll = 50 * time.Millisecond
 
-// settle waits until every charge is in the store and no dead holder has escrow, for at most limit.
+// settle waits until every charge is in the store and no crashed holder has escrow, for at most limit.
 func (f *fleet) settle(ctx context.Context, limit time.Duration) bool {
 	deadline := time.Now().Add(limit)
 	for time.Now().Before(deadline) {
-		if f.settled(ctx) {
+		if f.isSettled(ctx) {
 			return true
 		}
 		time.Sleep(settlePoll)
@@ -286,7 +289,7 @@
 	return false
 }
 
-func (f *fleet) settled(ctx context.Context) bool {
+func (f *fleet) isSettled(ctx context.Context) bool {
 	if f.kv.On(kv.Down) {
 		return false
 	}
@@ -295,11 +298,11 @@
 			return false
 		}
 	}
-	return f.deadGrants(ctx) == 0
+	return f.countDeadGrants(ctx) == 0
 }
 
-// deadGrants counts grants of holders that do not live any more.
-func (f *fleet) deadGrants(ctx context.Context) int {
+// countDeadGrants counts grants of holders that no longer run. It returns -1 if the store cannot be read.
+func (f *fleet) countDeadGrants(ctx context.Context) int {
 	alive := make(map[string]bool)
 	for _, n := range f.live("") {
 		alive[n.in.Home().Holder()] = true
@@ -329,18 +332,18 @@
 	return n
 }
 
-func countVerdicts(calls []*call) (whole, notRun, mayHave, refusedBudget int) {
+func countVerdicts(calls []*call) (complete, notRun, mayHave, refusedBudget int) {
 	for _, c := range calls {
 		switch {
-		case c.whole:
-			whole++
-		case c.code == verdict.CodeBudgetExhausted && !c.everRan():
+		case c.complete:
+			complete++
+		case c.code == verdict.CodeBudgetExhausted && !c.mayHaveRun():
 			refusedBudget++
-		case !c.everRan():
+		case !c.mayHaveRun():
 			notRun++
 		default:
 			mayHave++
 		}
 	}
-	return whole, notRun, mayHave, refusedBudget
+	return complete, notRun, mayHave, refusedBudget
 }
--- a/internal/demo/operator.go
+++ b/internal/demo/operator.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	customers        = 6
-	budgetsPerClient = 4
-	bigDeposit       = 5_000_000
-	smallDeposit     = 9_000 // used up within the demo
-	operatorTimeout  = 5 * time.Second
+	customers          = 6
+	budgetsPerCustomer = 4
+	bigDeposit         = 5_000_000
+	smallDeposit       = 9_000 // used up within the demo
+	operatorTimeout    = 5 * time.Second
 )
 
-// operatorClient speaks the intent API.
+// operatorClient is a client of the intent API.
 type operatorClient struct {
 	f    *fleet
 	http *http.Client
 
 	mu      sync.Mutex
-	latency []time.Duration // from confirmation to in force everywhere
+	latency []time.Duration // from a change's confirmation until it is in force everywhere
 	changes int
 	races   int
 }
@@ -41,7 +41,7 @@
 	return &operatorClient{f: f, http: &http.Client{Timeout: operatorTimeout}}
 }
 
-// problemError is a refusal of the intent API.
+// problemError is a problem document that an instance returned.
 type problemError struct{ p gateway.Problem }
 
 // Error implements error.
@@ -59,12 +59,12 @@
 	req.Header.Set("Authorization", "Bearer "+operatorKey)
 	resp, err := o.http.Do(req)
 	if err != nil {
-		return eris.Wrap(err, "asking an operator address")
+		return eris.Wrap(err, "sending an operator request")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return eris.Wrap(err, "reading an operator answer")
+		return eris.Wrap(err, "reading an operator response")
 	}
 	if resp.StatusCode != http.StatusOK {
 		var p gateway.Problem
@@ -74,9 +74,10 @@
 	return json.Unmarshal(data, out)
 }
 
-// change plans and confirms an intent at any instance, and again while the outcome is unknown.
+// change plans and confirms an intent, each at the next instance in turn. It repeats the confirmation while the outcome
+// is unknown.
 func (o *operatorClient) change(ctx context.Context, in *intent.Intent) (*intent.Result, error) {
-	n, err := o.any()
+	n, err := o.nextInstance()
 	if err != nil {
 		return nil, err
 	}
@@ -85,14 +86,14 @@
 		return nil, err
 	}
 	for {
-		if n, err = o.any(); err != nil {
+		if n, err = o.nextInstance(); err != nil {
 			return nil, err
 		}
 		var res intent.Result
 		sent := time.Now()
 		err := o.post(ctx, n, "/v1/plans/"+p.ID+"/confirm", struct{}{}, &res)
 		if err == nil && (res.State == intent.StateAccepted || res.State == intent.StateUnchanged) {
-			o.note(ctx, sent, res.Version)
+			o.recordLatency(ctx, sent, res.Version)
 			return &res, nil
 		}
 		var pe *problemError
@@ -107,7 +108,8 @@
 	}
 }
 
-func (o *operatorClient) any() (*node, error) {
+// nextInstance returns the live instances in turn.
+func (o *operatorClient) nextInstance() (*node, error) {
 	live := o.f.live("")
 	if len(live) == 0 {
 		return nil, eris.New("no instance is up")
@@ -128,7 +130,7 @@
 	return bigDeposit
 }
 
-// declarations are what the demo begins with.
+// declarations returns the configuration with which the demo starts.
 func (f *fleet) declarations() declare.Declarations {
 	d := declare.Declarations{
 		Zones:     map[string]declare.Zone{},
@@ -150,7 +152,7 @@
 	for _, zone := range zoneNames {
 		d.Zones[zone] = declare.Zone{Region: "demo"}
 		d.Endpoints[zone+"-portal"] = declare.Endpoint{
-			Zone: zone, URL: f.plainS[zone].URL(), Pool: poolPlain, State: declare.StateActive, Capacity: 200,
+			Zone: zone, URL: f.plainServers[zone].URL(), Pool: poolPlain, State: declare.StateActive, Capacity: 200,
 		}
 	}
 	for _, e := range f.engines {
@@ -167,10 +169,10 @@
 	return d
 }
 
-func firstIntent(d declare.Declarations) *intent.Intent {
+func initialIntent(d declare.Declarations) *intent.Intent {
 	in := &intent.Intent{Note: "the demo's beginning", Apply: d, Budgets: map[string]declare.Budget{}}
 	for i := range customers {
-		for k := range budgetsPerClient {
+		for k := range budgetsPerCustomer {
 			in.Budgets[budgetName(i, k)] = declare.Budget{
 				Customer: customerName(i), Deposits: map[string]int64{"opening": depositOf(i, k)},
 			}
@@ -181,14 +183,14 @@
 
 // setUp plans and confirms the first declarations and waits until they are in force everywhere.
 func (o *operatorClient) setUp(ctx context.Context) error {
-	res, err := o.change(ctx, firstIntent(o.f.declarations()))
+	res, err := o.change(ctx, initialIntent(o.f.declarations()))
 	if err != nil {
 		return eris.Wrap(err, "declaring the demo")
 	}
-	return o.await(ctx, res.Version, o.f.live(""))
+	return o.awaitVersion(ctx, res.Version, o.f.live(""))
 }
 
-func (o *operatorClient) await(ctx context.Context, version int64, nodes []*node) error {
+func (o *operatorClient) awaitVersion(ctx context.Context, version int64, nodes []*node) error {
 	for _, n := range nodes {
 		if err := n.in.Feed().Await(ctx, version); err != nil {
 			return eris.Wrapf(err, "instance %s", n.id)
@@ -197,8 +199,8 @@
 	return nil
 }
 
-// keepChanging makes a small change now and then, and notes how long it takes to be in force everywhere.
-func (o *operatorClient) keepChanging(ctx context.Context, every time.Duration) {
+// changePeriodically makes a small change at each interval, and records the time until it is in force everywhere.
+func (o *operatorClient) changePeriodically(ctx context.Context, every time.Duration) {
 	for i := 0; ; i++ {
 		select {
 		case <-ctx.Done():
@@ -211,13 +213,13 @@
 	}
 }
 
-const forceLimit = 3 * time.Second
+const inForceTimeout = 3 * time.Second
 
-// note waits until a version is in force everywhere and notes how long that took since its confirmation was sent.
-func (o *operatorClient) note(ctx context.Context, start time.Time, version int64) {
-	ctx, cancel := context.WithTimeout(ctx, forceLimit)
+// recordLatency waits until a version is in force everywhere, and records the time since its confirmation was sent.
+func (o *operatorClient) recordLatency(ctx context.Context, start time.Time, version int64) {
+	ctx, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
-	if o.await(ctx, version, o.f.live("")) != nil {
+	if o.awaitVersion(ctx, version, o.f.live("")) != nil {
 		return
 	}
 	o.mu.Lock()
@@ -225,8 +227,9 @@
 	o.latency = append(o.latency, time.Since(start))
 }
 
-// race lets two operators change the same object at once: one of them must be told of a conflict, or both saw the other's change.
-func (o *operatorClient) race(ctx context.Context) {
+// raceOperators has two operators change the same object at once. Either one of them gets a conflict, or each has seen
+// the other's change.
+func (o *operatorClient) raceOperators(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		var wg sync.WaitGroup
 		for k := range 2 {
--- a/internal/intent/intent_test.go
+++ b/internal/intent/intent_test.go
@@ -43,7 +43,7 @@
 
 func newPlanner(t *testing.T) (*Service, *kv.Server, *etcdstore.Client) {
 	t.Helper()
-	server := kv.New(kv.WithLost(1))
+	server := kv.New(kv.WithLostEvery(1))
 	t.Cleanup(server.Close)
 	transport := inproc.New()
 	transport.Handle("store", server.Handler())
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -17,18 +17,18 @@
 
 // The faults.
 const (
-	Crash      Fault = "crash"   // runs the call, then breaks the connection
-	Slow       Fault = "slow"    // answers late
-	Refuse     Fault = "refuse"  // answers 503, has run nothing
-	Crossed    Fault = "crossed" // answers with another request's name
+	Crash      Fault = "crash"   // runs the call, then closes the connection without a response
+	Slow       Fault = "slow"    // responds late
+	Refuse     Fault = "refuse"  // responds with 503 and runs nothing
+	Crossed    Fault = "crossed" // responds with another request's ID
 	slowDelay        = 200 * time.Millisecond
 	faultEvery       = 4
 )
 
 const maxBody = 1 << 20
 
-// Answer is what the service says to every call.
-type Answer struct {
+// Response is the service's response to every call.
+type Response struct {
 	RequestID string `json:"request_id"`
 	Path      string `json:"path"`
 	Echo      string `json:"echo"`
@@ -40,17 +40,17 @@
 
 	delay time.Duration
 
-	mu   sync.Mutex
-	runs map[string]int
-	n    int64
+	mu    sync.Mutex
+	runs  map[string]int
+	calls int64
 }
 
-// New makes a service that takes delay to answer.
+// New makes a service that responds after delay.
 func New(delay time.Duration) *Service {
 	return &Service{delay: delay, runs: make(map[string]int)}
 }
 
-// Runs returns how often a body was run, under whatever request ids.
+// Runs returns how often a body was run, under any request ID.
 func (s *Service) Runs(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,8 +61,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[body]++
-	s.n++
-	return s.n
+	s.calls++
+	return s.calls
 }
 
 // ServeHTTP implements http.Handler.
@@ -85,11 +85,11 @@
 	if s.On(Crash) && n%faultEvery == 0 {
 		panic(http.ErrAbortHandler)
 	}
-	named := id
+	responseID := id
 	if s.On(Crossed) && n%faultEvery == 1 {
-		named = "someone-else"
+		responseID = "someone-else"
 	}
-	w.Header().Set(chat.HeaderRequestID, named)
+	w.Header().Set(chat.HeaderRequestID, responseID)
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(Answer{RequestID: named, Path: r.URL.Path, Echo: string(body)})
+	_ = json.NewEncoder(w).Encode(Response{RequestID: responseID, Path: r.URL.Path, Echo: string(body)})
 }
