--- a/internal/gateway/chunk.go
+++ b/internal/gateway/chunk.go
@@ -10,7 +10,7 @@
 )
 
 // chunkEncoder encodes pieces as server-sent events, each of which holds a chat.Chunk. The part that all events of a
-// response share is encoded only once: encoding it anew for each event took a quarter of an instance's CPU time.
+// response share is encoded only once: encoding it anew for each event took a quarter of an instance's processing time.
 // TestChunkEncoder checks that the output equals that of encoding/json for a chat.Chunk.
 type chunkEncoder struct {
 	prefix       []byte // the event up to the content of its delta
