--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -189,7 +189,7 @@
 // noticeHandler returns a function that applies the notice in the endpoint's response header to the pool.
 func (j *job) noticeHandler(t targets.Target) endpoint.NoticeFunc {
 	return func(notice pool.Notice, status int) {
-		t.Lease.ObserveNotice(notice, pool.Answer{Request: j.id, Status: status})
+		t.Lease.ObserveNotice(notice, pool.ResponseInfo{Request: j.id, Status: status})
 		if status < http.StatusMultipleChoices {
 			t.Lease.Accepted()
 		}
--- a/internal/load/limits_test.go
+++ b/internal/load/limits_test.go
@@ -92,7 +92,7 @@
 		f.arrivals = append(f.arrivals, f.now)
 		notice.Limit = f.rate
 	}
-	lease.ObserveNotice(notice, pool.Answer{})
+	lease.ObserveNotice(notice, pool.ResponseInfo{})
 	lease.Done(pool.EndGood)
 }
 
--- a/internal/pool/cascade_test.go
+++ b/internal/pool/cascade_test.go
@@ -130,14 +130,14 @@
 		_, _ = fmt.Sscanf(lease.Endpoint().ID, "e-%d", &i)
 		if c.running[i] >= c.capacity(i) || (c.forcedRest == i && c.at < c.forcedRestUntil) {
 			c.rejected++
-			lease.ObserveNotice(Notice{Rest: c.rest, Limit: c.announcedLimit(i)}, Answer{})
+			lease.ObserveNotice(Notice{Rest: c.rest, Limit: c.announcedLimit(i)}, ResponseInfo{})
 			lease.Done(EndBusy)
 			continue
 		}
 		c.running[i]++
 		c.after(cascadeHeadDelay, func() {
 			lease.Accepted()
-			lease.ObserveNotice(Notice{Limit: c.announcedLimit(i)}, Answer{})
+			lease.ObserveNotice(Notice{Limit: c.announcedLimit(i)}, ResponseInfo{})
 		})
 		c.after(cascadeDuration, func() {
 			c.running[i]--
--- a/internal/pool/health.go
+++ b/internal/pool/health.go
@@ -151,7 +151,7 @@
 			m.window = m.window.shrunk(now, m.open, l.policy.BusyDecrease)
 		}
 	case EndMoved:
-		l.observe(m, Notice{Moved: true}, Answer{})
+		l.observe(m, Notice{Moved: true}, ResponseInfo{})
 	case EndUnsent:
 		s.returnPermit()
 	case EndNeutral:
--- a/internal/pool/limits.go
+++ b/internal/pool/limits.go
@@ -31,7 +31,7 @@
 func WithLeases() Option { return func(l *Pool) { l.leased = true } }
 
 // observeLimit applies the limit that a response names, or its absence. The caller holds mu.
-func (l *Pool) observeLimit(s *Lease, r limit.Rate, a Answer) {
+func (l *Pool) observeLimit(s *Lease, r limit.Rate, info ResponseInfo) {
 	m := s.member
 	if !r.IsSet() && (m.announced == nil || !m.announced.limits.active) {
 		return
@@ -45,7 +45,7 @@
 	x.receivedUnixMilli = l.wall().UnixMilli()
 	x.limits.direct.Observe(r, s.picked, now)
 	x.limits.known.Observe(r, s.picked, now)
-	l.limitChanged(m, x, before, NoticeTaken{Endpoint: m.Endpoint, Answer: a, Age: now.Sub(m.recordAt)})
+	l.limitChanged(m, x, before, NoticeTaken{Endpoint: m.Endpoint, Response: info, Age: now.Sub(m.recordAt)})
 }
 
 // limitChanged reports that a limit takes effect, changes or ends. The caller holds mu.
--- a/internal/pool/limits_test.go
+++ b/internal/pool/limits_test.go
@@ -36,7 +36,7 @@
 		p := newNoticePool()
 		lease := p.lease()
 		p.clock.pass(time.Second)
-		lease.ObserveNotice(two, Answer{Request: "r", Status: 200})
+		lease.ObserveNotice(two, ResponseInfo{Request: "r", Status: 200})
 		lease.Done(EndGood)
 
 		Convey("gets that rate from a single instance even as the only endpoint, and is reported once", func() {
@@ -76,7 +76,7 @@
 		Convey("is subject to a rest as well: neither bound cancels the other", func() {
 			p.clock.pass(time.Second)
 			rejected := p.lease()
-			rejected.ObserveNotice(Notice{Rest: 3 * time.Second, Limit: two.Limit}, Answer{})
+			rejected.ObserveNotice(Notice{Rest: 3 * time.Second, Limit: two.Limit}, ResponseInfo{})
 			rejected.Done(EndBusy)
 			So(p.countTaken(2900*time.Millisecond), ShouldEqual, 0)
 			So(p.countTaken(10*time.Second), ShouldBeBetween, 15, 21)
@@ -95,14 +95,14 @@
 			So(p.countTaken(time.Second), ShouldEqual, 100)
 		})
 		Convey("keeps its limit after a response to a request that was sent before the limit was named", func() {
-			lease.ObserveNotice(Notice{}, Answer{})
+			lease.ObserveNotice(Notice{}, ResponseInfo{})
 			So(p.takes(), ShouldBeFalse)
 		})
 		Convey("has no limit any more once a later response names none, which is reported", func() {
 			p.clock.pass(time.Second)
 			later := p.lease()
 			p.clock.pass(time.Second)
-			later.ObserveNotice(Notice{}, Answer{})
+			later.ObserveNotice(Notice{}, ResponseInfo{})
 			later.Done(EndGood)
 			So(p.countTaken(time.Second), ShouldEqual, 100)
 			So(p.ended, ShouldResemble, []NoticeEnd{NoticeLifted})
@@ -136,7 +136,7 @@
 		p := newNoticePool()
 		first, second := p.lease(), p.lease()
 		p.clock.pass(time.Second)
-		first.ObserveNotice(two, Answer{})
+		first.ObserveNotice(two, ResponseInfo{})
 		So(second.StillValid(), ShouldBeFalse)
 		p.clock.pass(time.Second)
 		So(second.StillValid(), ShouldBeTrue)
@@ -152,7 +152,7 @@
 		for range 100 {
 			lease := p.Pick(Query{Service: "s", Affinity: "a"})
 			So(lease, ShouldNotBeNil)
-			lease.ObserveNotice(Notice{Limit: limit.PerSecond(0)}, Answer{})
+			lease.ObserveNotice(Notice{Limit: limit.PerSecond(0)}, ResponseInfo{})
 			lease.Done(EndGood)
 			if lease.Endpoint().ID == "f" {
 				So(lease.Exclusion(), ShouldBeIn, ExcludedLimited, NotExcluded)
--- a/internal/pool/notice.go
+++ b/internal/pool/notice.go
@@ -17,8 +17,8 @@
 	Limit   limit.Rate    // rate that it accepts from all instances together; not named: it announces none
 }
 
-// Answer identifies the response that carried a notice.
-type Answer struct {
+// ResponseInfo identifies the response that carried a notice.
+type ResponseInfo struct {
 	Request string // the request's ID
 	Status  int
 }
@@ -27,7 +27,7 @@
 type NoticeTaken struct {
 	Endpoint Endpoint // its record
 	Notice   Notice
-	Answer   Answer
+	Response ResponseInfo
 	FromPeer bool          // another instance received it
 	Age      time.Duration // of the record
 }
@@ -54,7 +54,7 @@
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (n NoticeTaken) MarshalZerologObject(e *zerolog.Event) {
 	e.Str("word", n.Notice.Name()).Str("endpoint", n.Endpoint.Run()).Str("service", n.Endpoint.Service).Bool("told", n.FromPeer).
-		Str("request", n.Answer.Request).Int("status", n.Answer.Status).Int64("rest_ms", n.Notice.Rest.Milliseconds()).
+		Str("request", n.Response.Request).Int("status", n.Response.Status).Int64("rest_ms", n.Notice.Rest.Milliseconds()).
 		Float64("limit", n.Notice.Limit.PerSecond()).Bool("record_draining", n.Endpoint.Draining).Int64("record_age_ms", n.Age.Milliseconds())
 }
 
@@ -122,17 +122,17 @@
 
 // ObserveNotice applies what the endpoint announces in a response. The absence of a limit counts too: it may lift an
 // earlier one.
-func (s *Lease) ObserveNotice(n Notice, a Answer) {
+func (s *Lease) ObserveNotice(n Notice, info ResponseInfo) {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	if n.Leaving || n.Moved || n.Rest > 0 {
-		s.pool.observe(s.member, n, a)
+		s.pool.observe(s.member, n, info)
 	}
-	s.pool.observeLimit(s, n.Limit, a)
+	s.pool.observeLimit(s, n.Limit, info)
 }
 
 // observe applies a notice that this instance has received itself. The caller holds mu.
-func (l *Pool) observe(m *member, n Notice, a Answer) {
+func (l *Pool) observe(m *member, n Notice, info ResponseInfo) {
 	x := l.announcedBy(m.Endpoint)
 	if x == nil {
 		return
@@ -149,7 +149,7 @@
 		m.window = m.window.shrunk(now, m.open, l.policy.RestDecrease)
 	}
 	if changed {
-		l.onNotice(NoticeTaken{Endpoint: m.Endpoint, Notice: n, Answer: a, Age: now.Sub(m.recordAt)})
+		l.onNotice(NoticeTaken{Endpoint: m.Endpoint, Notice: n, Response: info, Age: now.Sub(m.recordAt)})
 	}
 }
 
--- a/internal/pool/notice_test.go
+++ b/internal/pool/notice_test.go
@@ -56,12 +56,12 @@
 		lease := p.lease()
 		So(p.Len(), ShouldEqual, 1)
 		p.clock.pass(time.Second)
-		lease.ObserveNotice(leaving, Answer{Request: "r", Status: 200})
+		lease.ObserveNotice(leaving, ResponseInfo{Request: "r", Status: 200})
 		lease.Done(EndGood)
 		So(p.takes(), ShouldBeFalse)
 		So(p.Len(), ShouldEqual, 0)
 		So(lease.ProcessState(), ShouldEqual, ProcessLeaving)
-		So(p.notices, ShouldResemble, []NoticeTaken{{Endpoint: p.record(0, false), Notice: leaving, Answer: Answer{Request: "r", Status: 200}, Age: time.Second}})
+		So(p.notices, ShouldResemble, []NoticeTaken{{Endpoint: p.record(0, false), Notice: leaving, Response: ResponseInfo{Request: "r", Status: 200}, Age: time.Second}})
 
 		Convey("also if its record reports it ready again: alone, in a list, removed and added again, or with a start not reported before", func() {
 			for _, update := range []func(){
@@ -81,7 +81,7 @@
 		})
 
 		Convey("announces it again without another report", func() {
-			lease.ObserveNotice(leaving, Answer{})
+			lease.ObserveNotice(leaving, ResponseInfo{})
 			So(len(p.notices), ShouldEqual, 1)
 		})
 
@@ -108,7 +108,7 @@
 			p.Put(p.record(900, false))
 			So(p.takes(), ShouldBeTrue)
 			So(p.ended, ShouldResemble, []NoticeEnd{NoticeRestarted})
-			lease.ObserveNotice(leaving, Answer{})
+			lease.ObserveNotice(leaving, ResponseInfo{})
 			So(p.takes(), ShouldBeTrue)
 		})
 
@@ -132,7 +132,7 @@
 			again := p.lease()
 			So(p.ended, ShouldResemble, []NoticeEnd{NoticeExpired})
 			So(p.takes(), ShouldBeFalse)
-			again.ObserveNotice(leaving, Answer{})
+			again.ObserveNotice(leaving, ResponseInfo{})
 			again.Done(EndGood)
 			So(p.takes(), ShouldBeFalse)
 			So(len(p.notices), ShouldEqual, 2)
@@ -148,8 +148,8 @@
 
 	Convey("A request that is not sent yet is invalid once its endpoint leaves, rests, drains, restarts, is removed or is evacuated", t, func() {
 		for _, end := range []func(*noticePool, *Lease){
-			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Leaving: true}, Answer{}) },
-			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Rest: time.Second}, Answer{}) },
+			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Leaving: true}, ResponseInfo{}) },
+			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Rest: time.Second}, ResponseInfo{}) },
 			func(p *noticePool, _ *Lease) { p.Put(p.record(7, true)) },
 			func(p *noticePool, _ *Lease) { p.Put(p.record(8, false)) },
 			func(p *noticePool, _ *Lease) { p.Remove("e") },
@@ -169,7 +169,7 @@
 	Convey("An instance reports which endpoints have announced to it that they leave", t, func() {
 		p, other := newNoticePool(), newNoticePool()
 		So(p.Leaving(), ShouldBeEmpty)
-		p.lease().ObserveNotice(Notice{Leaving: true}, Answer{})
+		p.lease().ObserveNotice(Notice{Leaving: true}, ResponseInfo{})
 		p.clock.pass(2 * time.Second)
 		reported := p.Leaving()
 		So(reported, ShouldResemble, Leaving{p.byID["e"].key(): 2 * time.Second})
@@ -222,7 +222,7 @@
 	Convey("An endpoint that has asked for rest gets nothing meanwhile, even as the only one", t, func() {
 		p := newNoticePool()
 		first, second := p.lease(), p.lease()
-		first.ObserveNotice(Notice{Rest: 3 * time.Second}, Answer{Status: 503})
+		first.ObserveNotice(Notice{Rest: 3 * time.Second}, ResponseInfo{Status: 503})
 		first.Done(EndBusy)
 		p.clock.pass(time.Second)
 		So(p.takes(), ShouldBeFalse)
@@ -231,10 +231,10 @@
 		So(second.ProcessState(), ShouldEqual, ProcessRunning)
 
 		Convey("the longest of the times that it asks for counts, and is reported once", func() {
-			second.ObserveNotice(Notice{Rest: time.Second}, Answer{})
+			second.ObserveNotice(Notice{Rest: time.Second}, ResponseInfo{})
 			p.clock.pass(1900 * time.Millisecond)
 			So(p.takes(), ShouldBeFalse)
-			second.ObserveNotice(Notice{Rest: time.Second}, Answer{})
+			second.ObserveNotice(Notice{Rest: time.Second}, ResponseInfo{})
 			p.clock.pass(900 * time.Millisecond)
 			So(p.takes(), ShouldBeFalse)
 			So(len(p.notices), ShouldEqual, 1)
@@ -278,7 +278,7 @@
 	Convey("Instances that receive the notice at the same time return at different times", t, func() {
 		p := newNoticePool()
 		p.random = func(n int) int { return n - 1 }
-		p.lease().ObserveNotice(Notice{Rest: 10 * time.Second}, Answer{})
+		p.lease().ObserveNotice(Notice{Rest: 10 * time.Second}, ResponseInfo{})
 		p.clock.pass(10*time.Second + 900*time.Millisecond)
 		So(p.takes(), ShouldBeFalse)
 		p.clock.pass(100 * time.Millisecond)
@@ -291,7 +291,7 @@
 		for range 2 {
 			lease := p.lease()
 			rest := map[string]time.Duration{"e": 4 * time.Second, "f": time.Second}[lease.Endpoint().ID]
-			lease.ObserveNotice(Notice{Rest: rest}, Answer{})
+			lease.ObserveNotice(Notice{Rest: rest}, ResponseInfo{})
 		}
 		So(p.Availability(Query{Service: "s"}), ShouldResemble, Availability{Rest: time.Second})
 		So(p.Availability(Query{Service: "none"}), ShouldResemble, Availability{})
@@ -333,11 +333,11 @@
 				open = append(open[:i], open[i+1:]...)
 				run := lease.Endpoint().StartedAt
 				if rapid.Bool().Draw(t, "leaving") {
-					lease.ObserveNotice(Notice{Leaving: true}, Answer{})
+					lease.ObserveNotice(Notice{Leaving: true}, ResponseInfo{})
 					leaving[run] = clock.at.Add(leavingTTL)
 				} else {
 					rest := time.Duration(rapid.IntRange(1, 3000).Draw(t, "rest")) * time.Millisecond
-					lease.ObserveNotice(Notice{Rest: rest}, Answer{})
+					lease.ObserveNotice(Notice{Rest: rest}, ResponseInfo{})
 					if until := clock.at.Add(rest); until.After(resting[run]) {
 						resting[run] = until
 					}
--- a/internal/pool/return_test.go
+++ b/internal/pool/return_test.go
@@ -22,7 +22,7 @@
 				p := New("a", WithNow(clock.now), WithOwners(fleetMember{place: i, size: instances}))
 				p.Put(Endpoint{ID: "e-1", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: slots})
 				lease := p.Pick(Query{Service: "s"})
-				lease.ObserveNotice(Notice{Rest: rest}, Answer{})
+				lease.ObserveNotice(Notice{Rest: rest}, ResponseInfo{})
 				lease.Done(EndBusy)
 				pools = append(pools, p)
 			}
--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -274,7 +274,7 @@
 	wd.received()
 	reading := j.core.Dialect.Read(j.req, res)
 	if reading.Genuine || (reading.NotRun && !reading.Moved) {
-		lease.ObserveNotice(reading.Notice, pool.Answer{Request: j.req.ID, Status: res.Status})
+		lease.ObserveNotice(reading.Notice, pool.ResponseInfo{Request: j.req.ID, Status: res.Status})
 	}
 	if reading.Genuine && res.Status < http.StatusInternalServerError {
 		lease.Accepted()
