--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -129,7 +129,7 @@
 func (j *job) attempt(ctx context.Context) error {
 	t, ok := j.g.targets.Pick(j.pool, j.blocks, j.tried)
 	if !ok {
-		return j.noEndpoint(j.g.targets.Opens(j.pool))
+		return j.noEndpoint(j.g.targets.Availability(j.pool))
 	}
 	defer t.Lease.Done(pool.EndNeutral)
 	j.tried = append(j.tried, t.ID)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -107,7 +107,7 @@
 // checkAvailability rejects a request immediately if no endpoint of its pool accepts it now. A pool that is merely full
 // does not count: the request waits at the gate.
 func (j *job) checkAvailability() error {
-	if o := j.g.targets.Opens(j.pool); !o.Open && !o.Full {
+	if o := j.g.targets.Availability(j.pool); !o.Open && !o.Full {
 		return j.noEndpoint(o)
 	}
 	return nil
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -137,8 +137,8 @@
 	return Target{}, false
 }
 
-// Opens reports whether any endpoint of a pool accepts a request now.
-func (t *Targets) Opens(name string) pool.Availability {
+// Availability reports whether any endpoint of a pool accepts a request now.
+func (t *Targets) Availability(name string) pool.Availability {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var o pool.Availability
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -63,7 +63,7 @@
 				So(pick(), ShouldNotBeNil)
 			}
 			So(pick(), ShouldBeNil)
-			So(tgts.Opens("p"), ShouldResemble, pool.Availability{Full: true})
+			So(tgts.Availability("p"), ShouldResemble, pool.Availability{Full: true})
 			share = 2
 			So(tgts.Capacity("p"), ShouldEqual, 8)
 		})
