--- a/internal/limit/division.go
+++ b/internal/limit/allocator.go
@@ -9,7 +9,7 @@
 
 // Durations and thresholds of the allocation.
 const (
-	// offerDuration is how long an instance does without its own share after it has offered it. This is longer than the
+	// offerDuration is how long an instance does not use its own share after it has offered it. This is longer than the
 	// share can be in use elsewhere: claimLifetime at each of the instances that pass it on, then LeaseDuration, and the
 	// transit time of the messages.
 	offerDuration = 5 * time.Second
@@ -17,25 +17,25 @@
 	claimLifetime = 800 * time.Millisecond
 	// LeaseDuration is how long a granted rate may be used.
 	LeaseDuration = 1500 * time.Millisecond
-	// hysteresis is the factor by which the demand of others must be higher for a lease to move to them: an instance
-	// that receives a new lease starts with an empty bucket.
+	// hysteresis is the factor by which the demand of another instance must be higher than that of a lease holder for
+	// the lease to move to it: an instance that receives a new lease starts with an empty bucket.
 	hysteresis = 1.5
 )
 
-// SettleTime is how long a restarted instance has no share: the previous process may have offered it.
+// SettleTime is how long a restarted instance has no share of its own: its previous process may have offered it.
 const SettleTime = offerDuration
 
 // Claim is what an instance, or a group of instances, reports about one endpoint.
 type Claim struct {
 	Demand float64 // requests per second that it would send there
-	Offer  float64 // requests per second of its share, which it offers for some seconds
+	Offer  float64 // requests per second of its own share that it offers for some seconds
 }
 
 // Grant is the rate that is granted for a Claim.
 type Grant struct {
 	Limit       float64 // under which it is granted, in requests per second
 	PerSecond   float64
-	For         time.Duration // since the claim was sent
+	For         time.Duration // counted from when the claim was sent
 	Holders     int           // number of instances among which it may be divided
 	FleetDemand float64       // requests per second of all instances for the service of the endpoint
 	Partial     bool          // other instances with requests were granted nothing
@@ -122,8 +122,8 @@
 	return Claim{Demand: clamp(c.Demand), Offer: clamp(c.Offer)}
 }
 
-// Aggregate returns the claims to send to another instance on behalf of all claimants. It offers all their shares,
-// unless these are leased, or are still offered to a different instance for some seconds.
+// Aggregate returns the claims to send to another instance on behalf of all claimants. It offers all their shares to
+// that instance, unless this one has granted leases from them, or a previous offer to a different instance still counts.
 func (a *Allocator) Aggregate(to string, now time.Time) Claims {
 	a.lastAggregate = now
 	if now.Before(a.grantedUntil) || (to != a.upstream && now.Before(a.offeredUntil)) {
@@ -210,8 +210,8 @@
 	return now.Before(a.offeredUntil) || now.Sub(a.lastAggregate) < claimLifetime
 }
 
-// grantable returns what this instance may grant, and until when: its lease from upstream if it is subordinate,
-// otherwise the shares that were offered to it.
+// grantable returns the rate that this instance may grant, and until when: its lease from upstream if it is
+// subordinate, otherwise the sum of the shares that were offered to it.
 func (a *Allocator) grantable(s *allocation, r Rate, now time.Time) Lease {
 	until := now.Add(LeaseDuration)
 	if a.subordinate(now) {
@@ -263,17 +263,17 @@
 	}
 	return Grant{
 		Limit: available.limit, PerSecond: max(0, min(available.perSecond*mine/sum, available.perSecond-others)), For: available.until.Sub(now),
-		Holders: instancesOf(list, c), FleetDemand: available.fleetDemand, Partial: available.partial || partial,
+		Holders: instanceCount(list, c), FleetDemand: available.fleetDemand, Partial: available.partial || partial,
 	}
 }
 
-// leaseHolder is a claimant that receives a lease, and the number of instances among which it may divide it.
+// leaseHolder is a claimant that receives a lease, with the number of instances among which it may divide the lease.
 type leaseHolder struct {
 	claimant  *claimant
 	instances int
 }
 
-func instancesOf(list []leaseHolder, c *claimant) int {
+func instanceCount(list []leaseHolder, c *claimant) int {
 	i := slices.IndexFunc(list, func(h leaseHolder) bool { return h.claimant == c })
 	return list[i].instances
 }
--- a/internal/limit/division_test.go
+++ b/internal/limit/allocator_test.go
@@ -76,7 +76,8 @@
 	return !b.dead && !s.cutZones[[2]int{min(a.zone, b.zone), max(a.zone, b.zone)}]
 }
 
-// upstream returns the instance to which n sends its claims, or nil.
+// upstream returns the instance to which n sends its claims: the first reachable instance before it in its zone, or
+// else the first reachable instance of an earlier zone. It returns nil if there is none, so that n leads the fleet.
 func (s *sim) upstream(n *simNode) *simNode {
 	for _, x := range s.nodes {
 		if x == n {
@@ -96,7 +97,9 @@
 	return nil
 }
 
-func (n *simNode) part(now time.Time, settle time.Duration) float64 {
+// evenShare returns the fraction of the limit that is the instance's own share. A restarted instance has none for the
+// duration of settle.
+func (n *simNode) evenShare(now time.Time, settle time.Duration) float64 {
 	if n.restarted && now.Sub(n.startedAt) < settle {
 		return 0
 	}
@@ -104,7 +107,7 @@
 }
 
 func (n *simNode) rates(s *sim) map[uint32]Rate {
-	if n.part(s.now, LeaseDuration) == 0 {
+	if n.evenShare(s.now, LeaseDuration) == 0 {
 		return nil
 	}
 	return map[uint32]Rate{simEndpoint: s.limit}
@@ -112,7 +115,7 @@
 
 // exchange performs the exchange that an instance makes twice a second.
 func (s *sim) exchange(n *simNode) {
-	n.allocator.SetLocal(Claims{simEndpoint: {Demand: n.demand, Offer: n.part(s.now, SettleTime) * s.limit.Bound()}}, s.now)
+	n.allocator.SetLocal(Claims{simEndpoint: {Demand: n.demand, Offer: n.evenShare(s.now, SettleTime) * s.limit.Bound()}}, s.now)
 	if up := s.upstream(n); up != nil {
 		claims := n.allocator.Aggregate(up.name, s.now)
 		if s.rng.Float64() >= s.lossRate {
@@ -199,8 +202,8 @@
 	SoMsg(name, float64(len(s.sent)), ShouldBeGreaterThanOrEqualTo, math.Floor(0.8*rate*length.Seconds()))
 }
 
-// Under partitions, lost messages, crashes and restarts in any order, the rates that are granted at a time never exceed
-// the limit.
+// The rates that are granted at any time never exceed the limit, whatever the order of partitions, lost messages,
+// crashes and restarts.
 func TestDivisionUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -219,7 +222,7 @@
 	})
 }
 
-// injectFault injects or repairs a fault now and then.
+// injectFault injects or repairs a fault at random times, or changes the demand of an instance.
 func (s *sim) injectFault() {
 	if s.rng.Float64() > simStep.Seconds() { // one per second on average
 		return
--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -23,8 +23,8 @@
 // PerSecond returns the rate, in requests per second.
 func (l Lease) PerSecond() float64 { return l.perSecond }
 
-// rateUnder returns the rate of the lease if the limit is not the one under which it was granted: a lower limit
-// applies at once.
+// rateUnder returns the rate of the lease under the current limit. If that is lower than the limit under which the
+// lease was granted, the rate is reduced in proportion at once. A higher limit does not raise it.
 func (l Lease) rateUnder(r Rate) float64 {
 	if l.limit <= 0 {
 		return 0
@@ -39,7 +39,7 @@
 	level          float64 // requests, as of at
 	at             time.Time
 	availableSince time.Time // since when a request may be sent; zero: none may
-	lastSent       time.Time // when the last request was sent
+	lastSent       time.Time
 }
 
 // Set replaces the lease.
@@ -86,12 +86,14 @@
 // any other session takes its place.
 const unusedAfter = 500 * time.Millisecond
 
-// Underused reports whether the instance should send any of its requests to the endpoint, since one may be sent that
-// no session uses. This concerns partial leases only: the sessions of the few instances that hold one have fewer
-// requests for the endpoint than those of all instances. The rate of such requests is at most the even share of the
-// endpoint, so that a high limit attracts none; evenShare is that fraction of all requests for the service. Without
-// this, one endpoint of hundreds would receive almost no requests, and no instance would discover that it accepts
-// more again.
+// Underused reports whether the instance should send any of its requests to the endpoint, because one has been
+// available for some time and no session of the endpoint has used it. This concerns partial leases only: the sessions
+// of the few instances that hold one have fewer requests for the endpoint than those of all instances. Without this,
+// one endpoint of hundreds would receive almost no requests, and no instance would discover that it accepts more
+// again.
+//
+// evenShare is the fraction of all requests for the service that the endpoint would receive if they were distributed
+// evenly. The instances together send such requests at no higher rate than that, so that a high limit attracts none.
 func (b *Bucket) Underused(r Rate, evenShare float64, now time.Time) bool {
 	if !b.lease.partial || !b.Has(r, now) || now.Sub(b.availableSince) < unusedAfter {
 		return false
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,12 +1,12 @@
 // Package limit keeps the requests that all instances together send to an endpoint within the rate that the endpoint
 // announces in its responses.
 //
-// An overloaded endpoint announces a few requests per second for all instances. Each of six or three hundred
-// instances sends it a part of its requests, so their sum may exceed a limit that no single instance exceeds. The
-// rate is therefore divided like a budget. Each instance has an even share. An Allocator offers it to
-// another instance for some seconds, and that instance leases the offered shares to the instances that have requests.
-// A share is in use at one instance at any time, also during network partitions, across restarts, and while two
-// instances both believe that they divide the limit. Tests: TestAllocator here, TestEndpointLimit in
+// An overloaded endpoint announces a limit of a few requests per second for all instances together. In a fleet of six
+// or of three hundred instances, each sends a part of the endpoint's requests, so their sum may exceed a limit that no
+// single instance exceeds. The rate is therefore divided like a budget. Each instance has an even share. An Allocator
+// offers it to another instance for some seconds, and that instance leases the offered shares to the instances that
+// have requests. A share is in use at one instance at any time, also during network partitions, across restarts, and
+// while two instances both assume that they divide the limit. Tests: TestAllocator here, TestEndpointLimit in
 // platform/endtoend.
 package limit
 
@@ -65,12 +65,12 @@
 	return PerSecond(x), true
 }
 
-// State is the observed limit of one run of an endpoint's process. Responses arrive in any order, and other instances
-// report older ones.
+// State is the observed limit of one run of an endpoint's process. It allows for responses that arrive in any order,
+// and for reports of other instances about older responses.
 type State struct {
 	rate        Rate
 	announcedAt time.Time // when a response header last announced it
-	omittedAt   time.Time // when the last request was sent whose response announced none
+	omittedAt   time.Time // when the last request was sent whose response announced no limit
 }
 
 // Active reports whether the limit is in force.
@@ -130,8 +130,9 @@
 	}
 }
 
-// NewState returns the state that another instance reports: the last announced rate and when it was announced, and
-// when a request was sent whose response announced none. A zero time means never.
+// NewState returns a state that another instance has reported. r is the last announced rate, and announcedAt is when it
+// was announced. omittedAt is when the last request was sent whose response announced no limit. A zero time means
+// never.
 func NewState(r Rate, announcedAt, omittedAt time.Time) State {
 	return State{rate: r, announcedAt: announcedAt, omittedAt: omittedAt}
 }
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -31,7 +31,7 @@
 		{"negative infinity", []string{"-Inf"}, Rate{}},
 		{"a number out of range", []string{"1e400"}, Rate{}},
 		{"a word", []string{"soon"}, Rate{}},
-		{"a unit", []string{"3/s"}, Rate{}},
+		{"a number with a unit", []string{"3/s"}, Rate{}},
 		{"a decimal comma", []string{"1,3"}, Rate{}},
 	} {
 		Convey("A header with "+c.name, t, func() { So(FromHeader(c.values), ShouldResemble, c.want) })
--- a/internal/load/digest.go
+++ b/internal/load/digest.go
@@ -14,7 +14,7 @@
 	flowScale = 1000 // units of a flow of one per second
 	maxLines  = 300  // endpoints in a digest; those with the least load are left out
 
-	maxAge = 24 * time.Hour // of an announcement; a greater age cannot be right
+	maxAge = 24 * time.Hour // of an announcement; a greater age counts as invalid
 )
 
 // line is the load of one or more instances at one endpoint.
@@ -32,9 +32,9 @@
 type digest struct {
 	Lines     []line `cbor:"1,keyasint,omitempty"`
 	Piggyback []byte `cbor:"2,keyasint,omitempty"` // data of a Piggyback
-	// Leaving lists endpoints that have announced in responses that they are leaving; older builds ignore the field
+	// Leaving lists endpoints that have announced in responses that they are leaving. Older builds ignore the field.
 	Leaving []leaving `cbor:"3,keyasint,omitempty"`
-	// Limits, Claims and Grants report the limits of endpoints and divide them; older builds ignore these fields too
+	// Limits reports the limits of endpoints; Claims and Grants divide them. Older builds ignore these fields too.
 	Limits []announcedLimit `cbor:"4,keyasint,omitempty"`
 	Claims []claim          `cbor:"5,keyasint,omitempty"`
 	Grants []grant          `cbor:"6,keyasint,omitempty"`
@@ -90,7 +90,7 @@
 	return out
 }
 
-// subtract returns lines without parts, which are the contribution of one instance to them.
+// subtract returns lines less parts, which are the contribution of one instance to them. No figure becomes negative.
 func subtract(lines, parts []line) []line {
 	if len(parts) == 0 {
 		return lines
@@ -110,7 +110,7 @@
 	return out
 }
 
-// weight is roughly how much a line matters for picks.
+// weight returns a rough measure of how much a line influences the choice of endpoints.
 func (l line) weight() int { return (l.Open+l.Silent)*flowScale + l.Harm + l.Failed }
 
 func roundThousandths(perSecond float64) int { return int(math.Round(perSecond * flowScale)) }
--- a/internal/load/limits.go
+++ b/internal/load/limits.go
@@ -125,19 +125,19 @@
 
 func fromThousandths(thousandths int64) float64 { return float64(thousandths) / flowScale }
 
-// maxExchangeAge is how old the last exchange of this instance may be while it grants rates. After a longer stall, the
-// claims that it receives may have been sent long before.
+// maxExchangeAge is the maximum age of this instance's last exchange at which it grants rates. After a longer stall of
+// the process, the claims that it receives may have been sent long before.
 const maxExchangeAge = 3 * exchangeInterval
 
-// updateClaims refreshes the claims of this instance, and the limits that it may grant shares of.
+// updateClaims refreshes the claims of this instance, and the limits of which it may grant shares.
 func (x *Exchange) updateClaims() {
 	now := x.now()
 	limited := x.pool.Limited()
-	part := x.dir.EvenShare(limit.SettleTime)
+	evenShare := x.dir.EvenShare(limit.SettleTime)
 	rates, claims := make(map[uint32]limit.Rate, len(limited)), make(limit.Claims, len(limited))
 	for key, l := range limited {
 		rates[key] = l.Rate
-		claims[key] = limit.Claim{Demand: l.Demand, Offer: part * l.Rate.Bound()}
+		claims[key] = limit.Claim{Demand: l.Demand, Offer: evenShare * l.Rate.Bound()}
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -149,8 +149,8 @@
 	x.allocator.SetLocal(claims, now)
 }
 
-// claimsFor returns the claims to send to another instance, for this instance and for those that send their claims to
-// it.
+// claimsFor returns the claims to send to another instance, on behalf of this instance and of those that send their
+// claims to it.
 func (x *Exchange) claimsFor(to string) []claim {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/load/limits_test.go
+++ b/internal/load/limits_test.go
@@ -26,15 +26,15 @@
 // response.
 type limitedFleet struct {
 	testFleet
-	list            []mesh.Peer
-	rate            limit.Rate
-	arrivals        []time.Time // requests at the first endpoint
-	asked, rejected int
-	lastTurn        []int // by instance: the interval of its last exchange
+	list                []mesh.Peer
+	rate                limit.Rate
+	arrivals            []time.Time // requests at the first endpoint
+	requested, rejected int
+	lastInterval        []int // number of the interval of the last exchange, by instance
 }
 
 func newLimitedFleet(ctx context.Context, instances int, rate float64) *limitedFleet {
-	f := &limitedFleet{testFleet: testFleet{net: meshtest.New(), now: time.Unix(1_000_000, 0)}, rate: limit.PerSecond(rate), lastTurn: make([]int, instances)}
+	f := &limitedFleet{testFleet: testFleet{net: meshtest.New(), now: time.Unix(1_000_000, 0)}, rate: limit.PerSecond(rate), lastInterval: make([]int, instances)}
 	started := false
 	clock := func() time.Time {
 		if !started {
@@ -61,28 +61,28 @@
 	return f
 }
 
-// run sends perSecond requests a second in total through the given instances for a duration, while all instances
+// run sends perSecond requests per second in total through the given instances for a duration, while all instances
 // exchange loads.
 func (f *limitedFleet) run(ctx context.Context, d time.Duration, perSecond float64, callers ...int) {
 	due := 0.0
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(limitStep) {
 		for i, x := range f.nodes {
 			phase := time.Duration(i%int(exchangeInterval/limitStep)) * limitStep
-			if turn := int(f.now.Add(-phase).UnixNano() / int64(exchangeInterval)); turn != f.lastTurn[i] {
-				f.lastTurn[i] = turn
+			if interval := int(f.now.Add(-phase).UnixNano() / int64(exchangeInterval)); interval != f.lastInterval[i] {
+				f.lastInterval[i] = interval
 				x.Sync(ctx)
 			}
 		}
 		for due += perSecond * limitStep.Seconds(); due >= 1; due-- {
-			f.asked++
-			f.sendRequest(f.pools[callers[f.asked%len(callers)]])
+			f.requested++
+			f.sendRequest(f.pools[callers[f.requested%len(callers)]])
 		}
 	}
 }
 
-// sendRequest sends one request, which is answered at once.
+// sendRequest sends one request, which the endpoint answers at once.
 func (f *limitedFleet) sendRequest(p *pool.Pool) {
-	lease := p.Pick(pool.Query{Service: "models", Affinity: fmt.Sprint(f.asked)})
+	lease := p.Pick(pool.Query{Service: "models", Affinity: fmt.Sprint(f.requested)})
 	if lease == nil {
 		f.rejected++
 		return
@@ -96,8 +96,8 @@
 	lease.Done(pool.EndGood)
 }
 
-// peak returns the greatest number of requests that the first endpoint received in any window since a moment, and
-// their total since then.
+// peak returns the greatest number of requests that the first endpoint received in any window after since, and their
+// total after since.
 func (f *limitedFleet) peak(since time.Time) (peak, total int) {
 	first := 0
 	for i, t := range f.arrivals {
@@ -120,7 +120,8 @@
 	return out
 }
 
-// The instances' requests together stay within an endpoint's limit, whose shares are granted with the load exchange.
+// The requests of all instances together stay within the limit of an endpoint. Its shares are claimed and granted with
+// the load exchange.
 func TestLimits(t *testing.T) {
 	for _, instances := range []int{3, 6, 30, 300} {
 		for _, c := range []struct {
@@ -142,7 +143,7 @@
 	f := newLimitedFleet(ctx, instances, rate)
 	f.run(ctx, limitSettle, load, callers...)
 	since := f.now
-	play := func(phase string, cut func(from, to mesh.Peer) bool) (got int) {
+	runPhase := func(phase string, cut func(from, to mesh.Peer) bool) (got int) {
 		start := f.now
 		f.net.SetCut(cut)
 		f.run(ctx, length, load, callers...)
@@ -154,12 +155,12 @@
 		return got
 	}
 	none := func(_, _ mesh.Peer) bool { return false }
-	So(float64(play("connected", none)), ShouldBeGreaterThanOrEqualTo, 0.5*rate*length.Seconds())
-	play("one availability zone is isolated", func(from, to mesh.Peer) bool { return (from.Zone == "c") != (to.Zone == "c") })
-	play("connected again", none)
-	play("every instance is isolated", func(_, _ mesh.Peer) bool { return true })
-	play("connected again", none)
-	So(float64(play("connected for some time", none)), ShouldBeGreaterThanOrEqualTo, 0.5*rate*length.Seconds())
+	So(float64(runPhase("connected", none)), ShouldBeGreaterThanOrEqualTo, 0.5*rate*length.Seconds())
+	runPhase("one availability zone is isolated", func(from, to mesh.Peer) bool { return (from.Zone == "c") != (to.Zone == "c") })
+	runPhase("connected again", none)
+	runPhase("every instance is isolated", func(_, _ mesh.Peer) bool { return true })
+	runPhase("connected again", none)
+	So(float64(runPhase("connected for some time", none)), ShouldBeGreaterThanOrEqualTo, 0.5*rate*length.Seconds())
 
 	f.rate = limit.Rate{}
 	f.run(ctx, 4*time.Second, load, callers...)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,9 +1,9 @@
 // Package load exchanges the load of endpoints among the instances of a fleet.
 //
-// An instance sees only its own requests, which in a large fleet are a small part of what runs at an endpoint. Each
+// An instance observes only its own requests, which in a large fleet are a small part of what runs at an endpoint. Each
 // instance reports its load to one other instance (the leader of its availability zone in a large fleet) and receives
 // the load of all others in response. Zone leaders exchange the sums of their availability zones. The figures are
-// hints: picks work without them, and figures that are too old count as unknown.
+// hints: the pool can pick endpoints without them, and figures that are too old count as unknown.
 package load
 
 import (
@@ -26,10 +26,10 @@
 const KindZone mesh.Kind = "load.zone"
 
 const (
-	exchangeInterval = 500 * time.Millisecond // a stream lasts some seconds, and each exchange costs a message
+	exchangeInterval = 500 * time.Millisecond // short compared with a stream of some seconds; each exchange costs a message
 	exchangeTimeout  = 250 * time.Millisecond // for one exchange
-	reportLifetime   = pool.PeerLoadsTTL      // a report counts for this long
-	summaryLifetime  = exchangeInterval / 2   // a summary is recomputed after this
+	reportLifetime   = pool.PeerLoadsTTL      // how long a report counts
+	summaryLifetime  = exchangeInterval / 2   // how long a summary is used before it is recomputed
 )
 
 // report is the state of endpoints as observed by one or more instances.
@@ -57,12 +57,12 @@
 	at     time.Time
 }
 
-// summary is the load at this instance and at all instances that report to it, as it is sent to many of them. It is
-// computed once for all recipients, and the part of a recipient is subtracted from it: computed separately for each
-// recipient, it took the leader of a large availability zone most of its processor time.
+// summary is the load of this instance and of all instances and zones that report to it. It is computed once for all
+// recipients, and the contribution of a recipient is subtracted for that recipient. Computing a separate sum for each
+// recipient took the leader of a large availability zone most of its processor time.
 type summary struct {
 	lines    []line
-	included map[string][]line // by instance that reports to this one
+	included map[string][]line // contributions to lines, by instance that reports to this one
 	at       time.Time
 }
 
@@ -239,8 +239,9 @@
 	x.summary = summary{lines: packLoads(sum), included: included, at: x.now()}
 }
 
-// announcements returns what endpoints have announced to this instance, or to any other instance except one. It is
-// small and never cached: an announcement must not return to an instance that has discarded it. The caller holds mu.
+// announcements returns what endpoints have announced to this instance, or to any other instance except one. The result
+// is small and never cached: an instance that has withdrawn an announcement must not receive it back. The caller holds
+// mu.
 func (x *Exchange) announcements(except string) report {
 	out := report{leaving: make(pool.Leaving), limits: make(pool.Limits)}
 	add := func(r report) {
@@ -259,8 +260,8 @@
 	return x.reply(from, d, pack(x.zoneReport(), x.now())), nil
 }
 
-// reply handles the piggybacked data of a received digest, and completes the response with the data for its sender
-// and with the rates that are granted to it.
+// reply handles the piggybacked data of a received digest. It adds the piggybacked data for the sender, and the rates
+// that are granted to it, to the response.
 func (x *Exchange) reply(from mesh.Peer, d, out digest) digest {
 	x.piggyback.Receive(from.ID, d.Piggyback)
 	out.Piggyback, out.Grants = x.piggyback.Payload(from.ID), x.grantsFor(from.ID, d.Claims)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -14,8 +14,8 @@
 	"github.com/ledgemount/ledgemount/internal/pool"
 )
 
-// testFleet is two instances in each of two availability zones, which know the same endpoints. If the fleet is large,
-// the first instance of each zone is its leader.
+// testFleet has two instances in each of two availability zones, and all of them have the same endpoints. If the fleet
+// is large, the first instance of each zone is its leader.
 type testFleet struct {
 	net   *meshtest.Net
 	now   time.Time
