--- a/internal/load/formats_test.go
+++ b/internal/load/formats_test.go
@@ -6,7 +6,7 @@
 	"github.com/ledgemount/ledgemount/internal/compat/formattest"
 )
 
-// Encodings that instances of other builds read or have written.
+// TestFormats checks the encodings that instances of other builds read or have written.
 func TestFormats(t *testing.T) {
 	formattest.Check[digest](t, "digest")
 }
--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -1,9 +1,9 @@
 // Package quarantine recognizes requests that crash the endpoints that run them, and keeps them from crashing more.
 //
-// A request that crashes the process of its endpoint comes back: its caller sends it again, with another ID, to any
-// instance. Each of its runs aborts everything else that the endpoint was running. Instances therefore record the
-// runs during which an endpoint crashed, by the content of the request and not by its ID. They report these runs to
-// each other, and no longer run a request under which several endpoints have crashed in a row.
+// A request that crashes the process of its endpoint usually returns: its caller sends it again, with another ID, to
+// any instance. Each crash aborts everything else that the endpoint was running. Instances therefore record the runs
+// during which an endpoint crashed, by the content of the request and not by its ID. They report these runs to each
+// other, and no longer run a request if several endpoints in a row have crashed while they ran it.
 package quarantine
 
 import (
@@ -12,8 +12,8 @@
 	"encoding/hex"
 )
 
-// Digest identifies a request by its content and its customer, whatever its ID. It is a part of a SHA-256 sum: a
-// caller cannot make two requests with the same digest, and the body cannot be recovered from it.
+// Digest identifies a request by its content and its customer, regardless of its ID. It is a part of a SHA-256 sum: a
+// caller cannot make two requests with the same digest, and the body cannot be recovered from the digest.
 type Digest [16]byte
 
 // Of returns the digest of a request. customer is the one whose key was used; target is the path and query as the
--- a/internal/quarantine/fuzz_test.go
+++ b/internal/quarantine/fuzz_test.go
@@ -8,7 +8,7 @@
 )
 
 // FuzzUpdate looks for messages of other instances, and values of the store, that crash the process or are accepted
-// although they cannot be right.
+// although they are invalid.
 func FuzzUpdate(f *testing.F) {
 	tracker := New()
 	tracker.RecordCrash(crashing, "north", Crash{Run: "e-0", Began: time.Now().Add(-time.Second), Ended: time.Now()})
--- a/internal/quarantine/share.go
+++ b/internal/quarantine/replicator.go
@@ -33,17 +33,17 @@
 // records.
 type update struct {
 	Hello   bool     `cbor:"1,keyasint,omitempty"` // the sender has received nothing yet and requests all records
-	Seq     uint64   `cbor:"2,keyasint,omitempty"` // of the last of Records
-	Ack     uint64   `cbor:"3,keyasint,omitempty"` // the last Seq that the sender has received
+	Seq     uint64   `cbor:"2,keyasint,omitempty"` // sequence number of the last of Records
+	Ack     uint64   `cbor:"3,keyasint,omitempty"` // last Seq that the sender has received
 	Records []report `cbor:"4,keyasint,omitempty"`
 }
 
 // peerState is the progress of the exchange with another instance.
 type peerState struct {
-	seen     bool
-	received uint64 // the last Seq that it has sent
-	owesAck  bool   // received is not acknowledged yet
-	acked    uint64 // the last Seq of this instance that it has acknowledged
+	seen     bool   // a message of it has been received
+	received uint64 // last Seq that was received from it
+	owesAck  bool   // this instance has not acknowledged received yet
+	acked    uint64 // last Seq of this instance that it has acknowledged
 }
 
 // Replicator is the service that replicates crash records among the instances of a fleet.
@@ -58,7 +58,7 @@
 
 	mu            sync.Mutex
 	peers         map[string]*peerState
-	dirty         bool
+	dirty         bool // there are changes to write to the store
 	storeRestored bool // the store was restored, and may lack records of this instance
 }
 
@@ -107,7 +107,7 @@
 	}
 }
 
-// ScheduleSave requests a write to the store: what this instance has decided must outlive the fleet.
+// ScheduleSave requests a write to the store, so that a decision of this instance survives a restart of all instances.
 func (r *Replicator) ScheduleSave() {
 	r.mu.Lock()
 	r.dirty = true
@@ -142,7 +142,7 @@
 	}
 }
 
-// onStoreRestored notes that the store was restored. It is called while the Epochs is locked.
+// onStoreRestored records that the store was restored. It is called while the Epochs is locked.
 func (r *Replicator) onStoreRestored(external.Restoration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -166,8 +166,8 @@
 	}
 }
 
-// loadAtStart reads the store once, when the fleet has been discovered or after pollInterval. In a large fleet only
-// leaders do so: the others receive the records from them.
+// loadAtStart reads the store once, as soon as the fleet has been discovered, or after pollInterval. In a large fleet
+// only leaders do so, and the other instances receive the records from them.
 func (r *Replicator) loadAtStart(ctx context.Context) {
 	select {
 	case <-r.dir.Discovered():
@@ -180,8 +180,8 @@
 	}
 }
 
-// isolated reports whether records of other instances can arrive through the store only. A small fleet observes the
-// store in any case.
+// isolated reports whether records of other instances can arrive only through the store. The instances of a small fleet
+// watch the store in any case.
 func (r *Replicator) isolated() bool {
 	return r.dir.Large() && (r.dir.LeadersUnreachable() || (r.dir.Leads() && r.dir.NotifyTargetUnreachable()))
 }
@@ -257,9 +257,9 @@
 	}
 }
 
-// push sends recent changes at once: to all instances of a small fleet; in a large one to the leader of the
-// availability zone, and from a leader to those of the other zones. If one of them cannot be reached, the records are
-// written to the store.
+// push sends recent changes at once. In a small fleet, it sends them to all instances. In a large fleet, it sends them
+// to the leader of the availability zone, or, if this instance is the leader, to the leaders of the other zones. If one
+// of the receivers cannot be reached, the records are written to the store.
 func (r *Replicator) push(ctx context.Context) {
 	var g sync.WaitGroup
 	var mu sync.Mutex
@@ -330,8 +330,8 @@
 	return e, eris.Wrap(err, "reading quarantined requests")
 }
 
-// save writes unsaved changes to the store and reports whether there were any. If other instances write too, their
-// records are merged and written along.
+// save writes unsaved changes to the store and reports whether there were any. Records that other instances have
+// written meanwhile are merged first.
 func (r *Replicator) save(ctx context.Context) bool {
 	r.mu.Lock()
 	pending := r.dirty
--- a/internal/quarantine/share_test.go
+++ b/internal/quarantine/replicator_test.go
@@ -15,7 +15,7 @@
 	"github.com/ledgemount/ledgemount/internal/peers/peerstest"
 )
 
-// testFleet is some instances of a fleet, two in each availability zone, that replicate crash records.
+// testFleet is a fleet with two instances in each availability zone, which replicate crash records.
 type testFleet struct {
 	ctx     context.Context //nolint:containedctx // of the test
 	net     *meshtest.Net
@@ -110,7 +110,7 @@
 			}
 			So(f.quarantining(), ShouldResemble, []int{0, 1, 2, 3})
 
-			Convey("also on an instance that restarts, by reports of others, and after it has sent a report itself", func() {
+			Convey("also on a restarted instance, which receives the records of the others, even if it has sent a record itself", func() {
 				f.restart(3)
 				f.nodes[3].tracker.RecordCrash(Of("north", "GET", "h", "/", nil), "north", Crash{Run: "x", Began: f.now, Ended: f.now})
 				f.exchange()
@@ -119,7 +119,7 @@
 				So(f.quarantining(), ShouldResemble, []int{0, 1, 2, 3})
 			})
 
-			Convey("also after a loss of power of all instances, by the store", func() {
+			Convey("also after a power failure of all instances, through the store", func() {
 				for i := range f.nodes {
 					f.restart(i)
 					f.nodes[i].load(f.ctx)
@@ -127,7 +127,7 @@
 				So(f.quarantining(), ShouldResemble, []int{0, 1, 2, 3})
 			})
 
-			Convey("until a run of it ends well on any instance", func() {
+			Convey("until a run of it succeeds on any instance", func() {
 				f.nodes[2].tracker.RecordSuccess(crashing)
 				f.push(2)
 				f.exchange()
@@ -145,14 +145,14 @@
 			f.exchange()
 			f.crash(0)
 			f.push(0)
-			n, _ := f.nodes[1].nextUpdate(f.peers[0].ID)
-			So(n.Records, ShouldBeEmpty)
+			u, _ := f.nodes[1].nextUpdate(f.peers[0].ID)
+			So(u.Records, ShouldBeEmpty)
 			f.nodes[1].receive(f.peers[0].ID, update{Hello: true})
-			n, _ = f.nodes[1].nextUpdate(f.peers[0].ID)
-			So(len(n.Records), ShouldEqual, 1)
+			u, _ = f.nodes[1].nextUpdate(f.peers[0].ID)
+			So(len(u.Records), ShouldEqual, 1)
 		})
 
-		Convey("make disconnected instances quarantine it, by the store", func() {
+		Convey("make disconnected instances quarantine it, through the store", func() {
 			f := newTestFleet(4, 99)
 			f.net.SetCut(func(_, _ mesh.Peer) bool { return true })
 			for i := range 3 {
--- a/internal/quarantine/report.go
+++ b/internal/quarantine/report.go
@@ -60,9 +60,9 @@
 	return true
 }
 
-// merge adds a received report. age is how long ago it was encoded, and window is how far apart observations of one
-// crash may be. from is the instance that sent it, or empty for the store. advanced reports whether the report has a
-// later generation, which means that a run ended well.
+// merge adds a received report. age is the time since it was encoded, and window is the time within which two
+// observations count as the same crash. from is the instance that sent it, or empty for the store. advanced reports
+// whether the report has a later generation, which means that a run was successful.
 func (t *Tracker) merge(rep report, from string, age, window time.Duration) (advanced bool) {
 	if !rep.valid() {
 		return false
@@ -118,14 +118,15 @@
 	return &Change{Digest: r.digest, Customer: r.customer, Quarantined: true, Crashes: slices.Clone(r.crashes), Local: !rep.Quarantined}
 }
 
-// lastSeq returns the number of the last change.
+// lastSeq returns the sequence number of the last change.
 func (t *Tracker) lastSeq() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.seq
 }
 
-// forgetSource notes that an instance has restarted: it has lost the records that it sent before.
+// forgetSource handles the restart of an instance. The instance has lost the records that it sent before, so they are
+// sent back to it.
 func (t *Tracker) forgetSource(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -136,9 +137,9 @@
 	}
 }
 
-// changedSince encodes the records that have changed after seq, in the order of their changes, and returns the number
-// of the last one. It leaves out what the receiver itself has sent: otherwise each member of an availability zone
-// would send its leader everything that it has received from it.
+// changedSince encodes the records that have changed after seq, in the order of their changes, and returns the sequence
+// number of the last one. It leaves out records that the receiver itself has sent: otherwise each member of an
+// availability zone would send back to its leader all records that it has received from the leader.
 func (t *Tracker) changedSince(seq uint64, to string) ([]report, uint64) {
 	now := t.now()
 	t.mu.Lock()
@@ -174,8 +175,8 @@
 	return len(t.records) > 0
 }
 
-// packSnapshot encodes the records that are to outlive all instances: first the quarantined requests, then those that
-// were updated last.
+// packSnapshot encodes the records to store, so that they outlive all instances. It prefers quarantined requests, and
+// then the records that were updated last.
 func (t *Tracker) packSnapshot(wall time.Time) ([]byte, error) {
 	now := t.now()
 	t.mu.Lock()
@@ -200,8 +201,9 @@
 	return raw, eris.Wrap(err, "encoding quarantined requests")
 }
 
-// mergeSnapshot adds the records of the store. The wall clock may step by seconds, so observations of one crash may
-// be further apart there. A negative age, or one beyond the duration of a quarantine, counts as zero.
+// mergeSnapshot adds the records of the store. Their ages are determined by the wall clock, which may step by seconds,
+// so observations of the same crash may be further apart than in reports of instances. A negative age, or one beyond
+// the duration of a quarantine, counts as zero.
 func (t *Tracker) mergeSnapshot(raw []byte, wall time.Time) error {
 	var s snapshot
 	if err := cbor.Unmarshal(raw, &s); err != nil {
@@ -217,5 +219,5 @@
 	return nil
 }
 
-// storedCrashWindow is sameCrashWindow for times of the wall clock.
+// storedCrashWindow replaces sameCrashWindow for times of the wall clock.
 const storedCrashWindow = 10 * time.Second
--- a/internal/quarantine/memory.go
+++ b/internal/quarantine/tracker.go
@@ -22,29 +22,29 @@
 	crashWeight      = 2
 	streamedWeight   = 1
 	quarantineWeight = 3 * crashWeight
-	// maxOverlapWeight is the most that the runs that overlap with one that counts add in total: if many endpoints crash
+	// maxOverlapWeight limits the total weight of the runs that overlap with a run that counts: if many endpoints crash
 	// at the same moment, the cause is not one request that several callers send.
 	maxOverlapWeight = 2
-	// noRetryWeight is the weight of two crashes in a row. From there on, an instance runs the request once at a time
-	// and does not retry it.
+	// noRetryWeight is the weight of two crashes in a row. From this weight on, an instance runs the request only once at
+	// a time and does not retry it.
 	noRetryWeight = 2 * crashWeight
 )
 
 const (
-	// sameCrashWindow is how far apart two instances may observe the same crash. A crashed endpoint takes a second or
-	// more to come back.
+	// sameCrashWindow is the time within which two observations count as the same crash. A crashed endpoint takes a
+	// second or more to restart.
 	sameCrashWindow = time.Second
-	// clockSlack is how far times reported by other instances may be off: the transit time of a message.
+	// clockSlack is the tolerance for times that other instances report: the transit time of a message.
 	clockSlack = 20 * time.Millisecond
 
 	// DefaultDuration is how long a request is quarantined after its last crash, before it is tried once more. Endpoints
-	// with faulty software are replaced within minutes; each failed try crashes one more.
+	// with faulty software are replaced within minutes; each failed try crashes another endpoint.
 	DefaultDuration = 10 * time.Minute
-	expiryFactor    = 3 // a record expires after so many durations without an update
-	maxDoublings    = 3 // times that the duration doubles, once for each failed try
+	expiryFactor    = 3 // a record expires after this many quarantine durations without an update
+	maxDoublings    = 3 // the duration doubles with each failed try, at most this often
 
 	maxRecords         = 4096 // of some 300 bytes each
-	maxCustomerRecords = 512  // per customer, so that many different requests of one do not evict those of others
+	maxCustomerRecords = 512  // so that many different requests of one customer do not evict those of others
 	maxCrashes         = 16   // per request
 )
 
@@ -52,19 +52,19 @@
 type record struct {
 	digest   Digest
 	customer string
-	// gen counts the successful runs after a suspicion; each of them resets the record
+	// gen counts the successful runs of the request while it was under suspicion; each of them resets the record
 	gen           uint32
-	crashes       []Crash // ordered by the time of the crash
-	quarantinedAt time.Time
-	probes        int // failed tries after the quarantine had expired
+	crashes       []Crash   // ordered by the time of the crash
+	quarantinedAt time.Time // zero: not quarantined
+	probes        int       // failed tries after the quarantine had expired
 	updatedAt     time.Time
 	seq           uint64
 	from          string // instance that sent the complete record and need not receive it; empty: none did
-	running       int    // current runs on this instance that began under suspicion
+	running       int    // current runs on this instance that were under suspicion when they began
 }
 
-// weight sums up the crashes: those of consecutive runs, each of which began after the previous crash, and a limited
-// weight for those of overlapping runs.
+// weight returns the total weight of the crashes. Crashes of consecutive runs, each of which began after the previous
+// crash, count in full. The total weight of the others, which ran concurrently, is limited.
 func (r *record) weight() int {
 	total, overlap := 0, 0
 	var last time.Time
@@ -106,8 +106,8 @@
 // Decisions of a Tracker.
 const (
 	Run    Decision = iota // it may run
-	Wait                   // another run is in progress, after two crashes in a row
-	Refuse                 // it crashed several endpoints
+	Wait                   // it crashed two endpoints in a row, and another run of it is in progress
+	Refuse                 // it is quarantined, since it crashed several endpoints
 )
 
 // Change reports that a request is quarantined from now on, or no longer.
@@ -145,7 +145,7 @@
 func WithDuration(d time.Duration) Option { return func(t *Tracker) { t.duration = d } }
 
 // WithProber sets a function that reports whether this instance is the one that tries a request again when its
-// quarantine has expired. If no instance does so for another duration, all may.
+// quarantine has expired. If no instance has done so after another quarantine duration, all may.
 func WithProber(f func(Digest) bool) Option { return func(t *Tracker) { t.prober = f } }
 
 // OnChange sets a function that is called when a request is quarantined or released.
@@ -177,8 +177,8 @@
 	return t.customers[customer] > 0
 }
 
-// Enter decides on an incoming request, and after what time its caller may retry if it does not run. A request that
-// may run must be followed by a call of Leave.
+// Enter decides whether an incoming request may run. If not, it also returns the time after which the caller may retry.
+// When a request that may run has ended, Leave must be called.
 func (t *Tracker) Enter(d Digest) (Decision, time.Duration) {
 	now := t.now()
 	t.mu.Lock()
@@ -200,7 +200,7 @@
 	return Run, 0
 }
 
-// Leave ends a run that Enter has admitted.
+// Leave records the end of a run that Enter has admitted.
 func (t *Tracker) Leave(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -217,7 +217,7 @@
 	return r != nil && !r.quarantinedAt.IsZero() && t.now().Before(r.quarantinedAt.Add(t.durationOf(r)))
 }
 
-// NoRetry reports whether the instance must not retry a request, so that only its caller may send it again.
+// NoRetry reports whether the instance must not retry a request itself. Its caller may still send it again.
 func (t *Tracker) NoRetry(d Digest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -244,7 +244,7 @@
 	t.onUpdate()
 }
 
-// RecordSuccess records a run that ended well. It resets what was known about the request, on all instances.
+// RecordSuccess records a successful run. It resets the record of the request, on all instances.
 func (t *Tracker) RecordSuccess(d Digest) {
 	now := t.now()
 	t.mu.Lock()
@@ -297,8 +297,8 @@
 	return r
 }
 
-// evict removes the least recently updated record if there are too many: one of the customer if the customer has too
-// many, else any. Quarantined requests are removed last. The caller holds mu.
+// evict removes the least recently updated record if there are too many. If the customer has too many, it removes one
+// of the customer's records. Quarantined requests are removed last. The caller holds mu.
 func (t *Tracker) evict(customer string) {
 	ofCustomer := t.customers[customer] >= maxCustomerRecords
 	if !ofCustomer && len(t.records) < maxRecords {
@@ -353,8 +353,8 @@
 	}
 }
 
-// evaluate quarantines a request if its crashes weigh enough. The caller holds mu and has done nothing but add
-// crashes.
+// evaluate quarantines a request if its crashes weigh enough. The caller holds mu and has just added a single crash,
+// and changed nothing else.
 func (t *Tracker) evaluate(r *record, now time.Time, local bool) *Change {
 	t.countSuspects(r, len(r.crashes) > 1 || !r.quarantinedAt.IsZero(), true)
 	t.markChanged(r, now)
--- a/internal/quarantine/memory_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -26,7 +26,7 @@
 
 var crashing = Of("north", "POST", "api.example", "/draft/x", []byte("crashes"))
 
-// crash records a run of the crashing request that begins now and crashes its endpoint after a while.
+// crash records a run of the crashing request that begins now and crashes its endpoint 80 ms later.
 func (tt *testTracker) crash(endpoint string, streamed bool) {
 	began := tt.now
 	tt.now = tt.now.Add(80 * time.Millisecond)
@@ -48,9 +48,9 @@
 		for _, c := range []string{"north", "south"} {
 			for _, target := range []string{"/draft/x", "/draft/x?a=1", "/draft/y"} {
 				for _, body := range []string{"", "crashes", "crashes2"} {
-					p := Of(c, "POST", "api.example", target, []byte(body))
-					So(seen[p], ShouldBeEmpty)
-					seen[p] = c + target + body
+					digest := Of(c, "POST", "api.example", target, []byte(body))
+					So(seen[digest], ShouldBeEmpty)
+					seen[digest] = c + target + body
 				}
 			}
 		}
@@ -112,7 +112,7 @@
 			So(tt.enter(), ShouldEqual, Refuse)
 		})
 
-		Convey("lets a request run once at a time, and only its caller retry it, after two crashes", func() {
+		Convey("runs a request only once at a time after two crashes, and leaves retries to its caller", func() {
 			tt.crash("e-0", false)
 			So(tt.NoRetry(crashing), ShouldBeFalse)
 			tt.crash("e-1", false)
@@ -124,7 +124,7 @@
 			So(tt.enter(), ShouldEqual, Run)
 		})
 
-		Convey("releases a request after a run that ends well, also from quarantine", func() {
+		Convey("releases a request after a successful run, also from quarantine", func() {
 			for i := range 3 {
 				tt.crash(fmt.Sprintf("e-%d", i), false)
 			}
@@ -136,7 +136,7 @@
 			So(tt.enter(), ShouldEqual, Run)
 		})
 
-		Convey("tries a request once more when its quarantine has expired, on one instance, and then extends the quarantine", func() {
+		Convey("tries a request once more on one instance when its quarantine has expired, and extends the quarantine after a crash", func() {
 			for i := range 3 {
 				tt.crash(fmt.Sprintf("e-%d", i), false)
 			}
