--- a/internal/relay/core.go
+++ b/internal/relay/core.go
@@ -32,8 +32,8 @@
 	Dialect Dialect
 }
 
-// Core serves requests. The only state that it keeps beyond a request is which requests coincided with the exit of an
-// endpoint's process, and the delays that rejected callers were given.
+// Core serves requests. Beyond the requests in progress, its only state is which requests were running when the process
+// of their endpoint exited, and the retry slots that rejected callers were assigned.
 type Core struct {
 	Deps
 	now           func() time.Time
@@ -64,15 +64,15 @@
 // OnOutcome sets the function that is called with the outcome of each request.
 func OnOutcome(f func(Outcome)) Option { return func(c *Core) { c.onOutcome = f } }
 
-// OnDelayedExit sets the function that is called if the exit of an endpoint's process is detected after the outcome of
-// the request was reported.
+// OnDelayedExit sets the function that is called if the exit of an endpoint's process is detected only after the outcome
+// of the interrupted request was reported.
 func OnDelayedExit(f func(DelayedExit)) Option { return func(c *Core) { c.onDelayedExit = f } }
 
-// WithQuarantine replaces the record of requests that may make endpoints exit. By default, each Core has a separate one.
-func WithQuarantine(m *quarantine.Tracker) Option { return func(c *Core) { c.suspects = m } }
+// WithQuarantine sets the tracker of requests that may crash endpoints. By default, each Core has a separate one.
+func WithQuarantine(t *quarantine.Tracker) Option { return func(c *Core) { c.suspects = t } }
 
-// OnDial sets the function that is called with the time that a new connection to an endpoint took to be established, and
-// the endpoint's availability zone.
+// OnDial sets the function that is called for each new connection to an endpoint. It receives the endpoint's
+// availability zone, and the time that the connection took to be established or to fail.
 func OnDial(f func(zone string, took time.Duration)) Option {
 	return func(c *Core) { c.onDial = f }
 }
@@ -134,9 +134,9 @@
 	return 0
 }
 
-// Serve processes a request and writes the response to out. If it returns an error, no response has been started, and
-// the caller must be sent the error; if the error matches ErrBroken, the response has been started but cannot be
-// completed.
+// Serve processes a request and writes the response to out. If it returns an error that matches ErrBroken, the response
+// has been started but cannot be completed. After any other error, no response has been started, and the caller must be
+// sent the error.
 func (c *Core) Serve(ctx context.Context, req *Request, out Sink) error {
 	j := &job{core: c, req: req, out: out, tried: make(map[string]bool)}
 	j.outcome.Request = req
@@ -159,21 +159,21 @@
 	service     *route.Service
 	customer    *route.Customer
 	reservation *escrow.Reservation
-	deadline    time.Time // from the caller's deadline and the route's timeout; zero: none
-
-	tried       map[string]bool
-	attempts    int
-	failedDials int
-	opening     pool.Availability // availability of endpoints as last queried
-	mayHaveRun  bool              // an endpoint may have run the request
-	headerSent  bool              // the response header has been sent to the caller
-	events      int64
-	lastEventAt time.Time // when the last event was received
+	deadline    time.Time // the earlier one of the caller's deadline and the route's timeout; zero: none
+
+	tried        map[string]bool
+	attempts     int
+	failedDials  int
+	availability pool.Availability // availability of endpoints as last queried
+	mayHaveRun   bool              // an endpoint may have run the request
+	headerSent   bool              // the response header has been sent to the caller
+	events       int64
+	lastEventAt  time.Time // when the last event was received
 	// billInFull is set if the caller received a response that is not a stream, whose tokens cannot be counted.
 	billInFull      bool
 	lastEventID     string // ID of the last event that was forwarded
 	cachedDigest    *quarantine.Digest
-	suspectAdmitted bool // the request is under suspicion and was admitted
+	suspectAdmitted bool // the request was admitted although it is under suspicion
 }
 
 func (j *job) run(ctx context.Context) error {
@@ -261,8 +261,8 @@
 	return err
 }
 
-// settle bills the tokens of the prompt and those that were sent to the caller. A request for which the caller received
-// no token is not billed.
+// settle bills the tokens of the prompt and those that were sent to the caller. A request is not billed if the caller
+// received no token.
 func (j *job) settle() {
 	used := int64(0)
 	switch {
@@ -299,7 +299,7 @@
 	j.core.onOutcome(*o)
 }
 
-// lateness compares a response that has been started with the latency targets of its route.
+// lateness returns which latency target of its route a response missed. A response that was not started missed none.
 func (j *job) lateness() Lateness {
 	switch {
 	case !j.headerSent || j.route == nil:
--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -20,10 +20,10 @@
 	resultDone       result = iota // the caller has received a complete response
 	resultUnsent                   // the endpoint could not be reached, so nothing was sent
 	resultNotRun                   // the endpoint reports that it did not run the request
-	resultFailed                   // the endpoint responded with a server error; the response is kept
+	resultFailed                   // the endpoint responded with a server error, and the response is stored
 	resultBroken                   // the request may have run; its response is lost or incomplete
 	resultCallerLeft               // the caller disconnected, or does not accept the response
-	resultWithdrawn                // nothing was sent: the endpoint has announced meanwhile that it accepts no work
+	resultWithdrawn                // nothing was sent, because the endpoint no longer accepts the request
 )
 
 // failedResponse is a response with a server error. The caller gets it if no other attempt succeeds.
@@ -83,7 +83,7 @@
 	q := j.query()
 	lease := j.core.Pool.Pick(q)
 	if lease == nil {
-		j.opening = j.core.Pool.Availability(q)
+		j.availability = j.core.Pool.Availability(q)
 		return nil
 	}
 	j.tried[lease.Endpoint().ID] = true
@@ -92,21 +92,21 @@
 
 // checkEndpoints rejects a request that no endpoint accepts now, before tokens are reserved for it.
 func (j *job) checkEndpoints() error {
-	if j.opening = j.core.Pool.Availability(j.query()); j.opening.Open {
+	if j.availability = j.core.Pool.Availability(j.query()); j.availability.Open {
 		return nil
 	}
 	return j.noEndpoint()
 }
 
 // noEndpoint returns the error for a request that no endpoint accepts. If the endpoints have asked for a back-off, the
-// caller may retry when the first of them is available again, plus a random delay: otherwise all callers that were
-// rejected in the meantime would retry at the same moment.
+// caller may retry a random delay after the first of them is available again. Without the random delay, all callers that
+// were rejected in the meantime would retry at the same moment.
 func (j *job) noEndpoint() error {
-	backoff := j.opening.Rest
+	backoff := j.availability.Rest
 	switch {
-	case j.opening.Full:
+	case j.availability.Full:
 		return refuse(verdict.CodeEndpointRefused, "the endpoints have as much as they bear", retryAfterShort)
-	case j.opening.Limited:
+	case j.availability.Limited:
 		return refuse(verdict.CodeEndpointLimit, "the endpoints have had as many requests as they say that they take", j.nextRetry())
 	case backoff <= 0:
 		return refuse(verdict.CodeNoEndpoint, "no endpoint takes work or can be reached", retryAfterLong)
@@ -115,9 +115,10 @@
 	return refuse(verdict.CodeNoEndpoint, "all endpoints that take work have asked for rest", backoff+time.Duration(spread))
 }
 
-// nextRetry returns the delay until this caller's retry slot at endpoints that accept only a few requests per second.
+// nextRetry returns the delay until the retry slot that is assigned to this caller, if the endpoints accept only a few
+// requests per second.
 func (j *job) nextRetry() time.Duration {
-	return j.core.retrySlots.next(j.service.Name, j.opening.Rate, j.core.now()) + time.Duration(j.core.random()*float64(retryAfterLong))
+	return j.core.retrySlots.next(j.service.Name, j.availability.Rate, j.core.now()) + time.Duration(j.core.random()*float64(retryAfterLong))
 }
 
 // maxSpread limits the random delay of callers that were rejected while all endpoints asked for a back-off.
@@ -303,8 +304,8 @@
 // maxBuffered is the size in bytes up to which a response is read completely before it is forwarded.
 const maxBuffered = 256 << 10
 
-// relayBuffered forwards a response that is not a stream. It returns a server error instead of forwarding it, because the
-// request may still be retried.
+// relayBuffered forwards a response that is not a stream, after it has read up to maxBuffered bytes of it. It returns a
+// server error instead of forwarding it, because the request may still be retried.
 func (j *job) relayBuffered(res *upstream.Response, wd *watchdog) (result, *failedResponse) {
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxBuffered))
 	wd.received()
--- a/internal/relay/exits.go
+++ b/internal/relay/exits.go
@@ -11,8 +11,8 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// exitProber determines whether an endpoint's process has exited. Requests that are interrupted at the same endpoint at the
-// same time share one probe.
+// exitProber determines whether an endpoint's process has exited. Requests that are interrupted at the same endpoint at
+// the same time share one probe.
 type exitProber struct{ inFlight singleflight.Group }
 
 // probe calls f once for all concurrent calls of the same kind and address.
@@ -21,9 +21,9 @@
 	return exited.(bool) //nolint:forcetypeassert // the function above returns nothing else
 }
 
-// endpointExited reports whether the endpoint of an interrupted attempt has exited. An endpoint whose planned stop is known
-// does not count. If a first probe does not detect an exit, further probes run in the background, and onDelayed is called
-// if one of them does.
+// endpointExited reports whether the endpoint of an interrupted attempt has exited. The exit of an endpoint that is known
+// to be leaving does not count. If a first probe does not detect an exit, further probes run in the background, and
+// onDelayed is called if one of them detects it.
 func (j *job) endpointExited(lease *pool.Lease, onDelayed func()) bool {
 	switch lease.ProcessState() {
 	case pool.ProcessLeaving:
@@ -44,24 +44,24 @@
 	return false
 }
 
-// recordExit reports whether the endpoint of an interrupted attempt has exited, and records the exit for the quarantine.
-// events reports whether the attempt had forwarded events.
+// recordExit reports whether the endpoint of an interrupted attempt has exited, and records the exit in the quarantine
+// tracker. events states whether the attempt had forwarded events.
 func (j *job) recordExit(lease *pool.Lease, began time.Time, events bool) bool {
 	digest, customer, endpoint := j.digest(), j.outcome.Customer, lease.Endpoint()
 	j.outcome.Digest = digest.String()
-	end := quarantine.Crash{Run: endpoint.Run(), Began: began, Ended: j.core.now(), Streamed: events}
+	crash := quarantine.Crash{Run: endpoint.Run(), Began: began, Ended: j.core.now(), Streamed: events}
 	exited := j.endpointExited(lease, func() {
-		j.core.suspects.RecordCrash(digest, customer, end)
+		j.core.suspects.RecordCrash(digest, customer, crash)
 		j.core.onDelayedExit(DelayedExit{Digest: digest.String(), Endpoint: endpoint.ID})
 	})
 	if exited {
-		j.core.suspects.RecordCrash(digest, customer, end)
+		j.core.suspects.RecordCrash(digest, customer, crash)
 	}
 	return exited
 }
 
-// checkQuarantine rejects a request during whose runs several endpoints have exited, before tokens are reserved for it.
-// Each further run might interrupt all other requests at its endpoint.
+// checkQuarantine rejects a request if several endpoints have exited while they ran it. It does so before tokens are
+// reserved for the request. Each further run might interrupt all other requests at its endpoint.
 func (j *job) checkQuarantine() error {
 	if !j.core.suspects.Suspects(j.outcome.Customer) {
 		return nil
@@ -103,20 +103,21 @@
 	return j.giveUp(ctx, failure, resultBroken)
 }
 
-// onlyCallerMayRetry reports whether the request is no longer retried here, because two endpoints in a row have exited
-// while running it.
+// onlyCallerMayRetry reports whether this instance no longer retries the request, because two endpoints in a row have
+// exited while they ran it.
 func (j *job) onlyCallerMayRetry() bool {
 	return j.core.suspects.Suspects(j.outcome.Customer) && j.core.suspects.NoRetry(j.digest())
 }
 
-// clearSuspicion records that the request ran to its end, which clears it of suspicion.
+// clearSuspicion records that the request was served completely, so that it is no longer under suspicion.
 func (j *job) clearSuspicion() {
 	if j.core.suspects.Suspects(j.outcome.Customer) {
 		j.core.suspects.RecordSuccess(j.digest())
 	}
 }
 
-// DelayedExit reports an exit of an endpoint that was detected after the outcome of the interrupted request was reported.
+// DelayedExit describes the exit of an endpoint's process that was detected only after the outcome of the interrupted
+// request was reported.
 type DelayedExit struct {
 	Digest   string // of the request
 	Endpoint string
@@ -129,8 +130,8 @@
 		if j.customer != nil {
 			customer = j.customer.Name
 		}
-		p := quarantine.Of(customer, j.req.Method, j.req.Host, j.req.Target, j.req.Body)
-		j.cachedDigest = &p
+		d := quarantine.Of(customer, j.req.Method, j.req.Host, j.req.Target, j.req.Body)
+		j.cachedDigest = &d
 	}
 	return *j.cachedDigest
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -1,6 +1,6 @@
-// Package relay forwards requests from callers to endpoints and the responses back. It determines the customer that pays,
-// admits or rejects a request, picks endpoints, retries, and reports the outcome to the caller. It is independent of the
-// protocol: a Dialect translates requests and responses.
+// Package relay forwards requests from callers to endpoints, and responses back to callers. It determines the customer
+// that is billed, admits or rejects a request, picks endpoints, retries, and reports the outcome to the caller. It is
+// independent of the protocol: a Dialect translates requests and responses.
 package relay
 
 import (
@@ -62,10 +62,10 @@
 
 // Attempt holds the parameters of one attempt to run a request at an endpoint.
 type Attempt struct {
-	Endpoint    string // the endpoint's ID
-	Customer    string // empty: no customer is billed
-	Remaining   time.Duration
-	LastEventID string // last event that the caller has received; empty: none
+	Endpoint    string        // the endpoint's ID
+	Customer    string        // empty: no customer is billed
+	Remaining   time.Duration // until the deadline; 0: the request has none
+	LastEventID string        // last event that the caller has received; empty: none
 }
 
 // Reading is the interpretation of an endpoint's response header.
@@ -124,7 +124,7 @@
 // Lateness states which latency target of its route a response missed.
 type Lateness string
 
-// Missed targets. If the first event is late, pauses are not considered.
+// Missed targets. If the response or its first event is late, pauses are not considered.
 const (
 	NotLate   Lateness = ""
 	LateFirst Lateness = "first" // the response, or its first event
@@ -135,7 +135,7 @@
 type AttemptOutcome struct {
 	Endpoint      string
 	Reason        string
-	SkipReason    string // why the first endpoint by affinity got no work; empty: it was not skipped
+	SkipReason    string // why the endpoint that is first by affinity was not picked; empty: it was not skipped
 	Result        string
 	At            time.Duration // since the request arrived
 	ProcessExited bool          // the attempt was interrupted, and the endpoint's process had exited
--- a/internal/relay/retryschedule.go
+++ b/internal/relay/retryschedule.go
@@ -6,15 +6,15 @@
 )
 
 // retrySchedule assigns a separate retry slot to each caller that is rejected because of the endpoints' rate limits. If
-// all got the same delay, they would retry at the same moment, and only one of them could be served.
+// all callers got the same delay, they would retry at the same moment, and only one of them could be served.
 type retrySchedule struct {
 	mu   sync.Mutex
 	last map[string]time.Time // the last slot that was assigned, by service
 }
 
 const (
-	maxRetryDelay = 10 * time.Second // callers do not wait longer than this
-	minRate       = 0.1              // requests per second, used if this instance may currently send none
+	maxRetryDelay = 10 * time.Second
+	minRate       = 0.1 // requests per second, used if this instance may currently send none
 )
 
 // next returns the delay until the next caller's slot, if there are perSecond slots per second.
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// readEvent appends the next event to event, including the empty line that terminates it. io.EOF without any bytes is the
-// end of the stream; an error with bytes means that the event was truncated.
+// readEvent appends the next event of a stream to event, including the empty line that terminates it. If it returns io.EOF
+// without any bytes, the stream has ended. If it returns an error with bytes, the event was truncated.
 func readEvent(r *bufio.Reader, event []byte) ([]byte, error) {
 	for {
 		line, err := r.ReadSlice('\n')
@@ -125,8 +125,8 @@
 	timer *time.Timer // nil: stopped, or never started
 }
 
-// watch returns a watchdog for an attempt. If the request cannot be retried, the watchdog only records received data and
-// cancels nothing.
+// watch returns a watchdog for an attempt. If the request cannot be retried, the watchdog only records when data is
+// received, and cancels nothing.
 func (j *job) watch(lease *pool.Lease, cancel func()) *watchdog {
 	w := &watchdog{
 		lease: lease, now: j.core.now, firstTimeout: max(j.core.stallTimeout, lease.ResponseTimeout()), laterTimeout: max(j.core.stallTimeout, stallGapFactor*j.route.Gap),
@@ -141,8 +141,8 @@
 	return w
 }
 
-// stallGapFactor times the target for pauses is how long a stream may pause before it is resumed at another endpoint. That
-// endpoint must process the prompt again, so shorter delays are better waited out.
+// stallGapFactor is how many times the route's target for pauses a stream may pause before it is resumed at another
+// endpoint. That endpoint must process the prompt again, so the watchdog waits for the end of shorter pauses.
 const stallGapFactor = 3
 
 // timeout returns how long the endpoint may currently be silent.
@@ -156,8 +156,8 @@
 // noteFirstEvent records that the first event was received.
 func (w *watchdog) noteFirstEvent() { w.firstEventSeen.Store(true) }
 
-// check cancels the attempt if the endpoint has been silent for too long, both to this request and to all others of this
-// instance.
+// check cancels the attempt if the endpoint has been silent for too long, towards this request and towards all other
+// requests of this instance.
 func (w *watchdog) check(cancel func()) {
 	timeout := w.timeout()
 	w.mu.Lock()
