--- a/internal/router/calls.go
+++ b/internal/router/calls.go
@@ -12,7 +12,7 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// callCounts holds counters by purpose: calls to the store, or bytes sent to other instances.
+// callCounts holds counters by purpose, either of calls to the store or of bytes sent to other instances.
 type callCounts struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -20,15 +20,15 @@
 
 func newCallCounts() *callCounts { return &callCounts{counts: make(map[string]int)} }
 
-// sent adds the size of a message to another instance to the counter of its kind.
-func (c *callCounts) sent(kind mesh.Kind, bytes int) {
+// addBytes adds the size of a message to another instance to the counter of its kind.
+func (c *callCounts) addBytes(kind mesh.Kind, bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts[string(kind)] += bytes
 }
 
-// add counts a call to the store as DUTY_CALL, followed by _stale if a stale read was acceptable, and by the outcome
-// unless the call succeeded.
+// add counts a call to the store. The name of the counter is DUTY_CALL, followed by _stale if a stale read was
+// acceptable, and by _OUTCOME unless the call succeeded.
 func (c *callCounts) add(call external.Call) {
 	name := string(call.Duty) + "_" + call.Name
 	if call.Stale {
@@ -51,7 +51,8 @@
 	return out
 }
 
-// callLog is the service that periodically logs the calls to the store and the bytes sent to other instances, by purpose.
+// callLog is the service that periodically logs, by purpose, the calls to the store and the bytes sent to other
+// instances.
 type callLog struct {
 	counts *callCounts
 	sent   *callCounts
--- a/internal/router/calls_test.go
+++ b/internal/router/calls_test.go
@@ -29,8 +29,8 @@
 		So(err, ShouldNotBeNil)
 		_, _, err = store.Changes(context.Background(), "a", 0, time.Millisecond)
 		So(err, ShouldBeNil)
-		l.sent.sent("feed.news", 40)
-		l.sent.sent("feed.news", 2)
+		l.sent.addBytes("feed.news", 40)
+		l.sent.addBytes("feed.news", 2)
 		l.write()
 		for _, want := range []string{`"role":"leader"`, `"draw_read":1`, `"draw_list_stale":1`, `"draw_commit_conflict":1`, `"other_changes":1`, `"bytes":{"feed.news":42}`} {
 			So(out.String(), ShouldContainSubstring, want)
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -44,16 +44,16 @@
 	}
 }
 
-// recordStartStep records the time from the start of the process to a step of its start.
+// recordStartStep records how long after the start of the process a step was reached.
 func (m *meters) recordStartStep(step Step, took time.Duration) {
 	m.metrics.Scope().Tagged(map[string]string{"step": string(step)}).Gauge("start_step_seconds").Update(took.Seconds())
 }
 
-// recordFolded counts the tokens that were settled for lost holders: those that the holders had reported as spent
+// recordSettlement counts the tokens that were settled for lost holders: those that the holders had reported as spent
 // (proven), and those that they may have spent.
-func (m *meters) recordFolded(f escrow.Settlement) {
-	m.metrics.Scope().Tagged(map[string]string{"proven": "yes"}).Counter("escrow_settled_tokens_total").Inc(f.Spent)
-	m.metrics.Scope().Tagged(map[string]string{"proven": "no"}).Counter("escrow_settled_tokens_total").Inc(f.Unproven())
+func (m *meters) recordSettlement(s escrow.Settlement) {
+	m.metrics.Scope().Tagged(map[string]string{"proven": "yes"}).Counter("escrow_settled_tokens_total").Inc(s.Spent)
+	m.metrics.Scope().Tagged(map[string]string{"proven": "no"}).Counter("escrow_settled_tokens_total").Inc(s.Unproven())
 }
 
 // recordStoreCall records a call to the store.
@@ -67,7 +67,7 @@
 // recordMeshSent records a message to another instance.
 func (m *meters) recordMeshSent(kind mesh.Kind, bytes int) {
 	m.metrics.Scope().Tagged(map[string]string{"kind": string(kind)}).Counter("mesh_sent_bytes_total").Inc(int64(bytes))
-	m.sent.sent(kind, bytes)
+	m.sent.addBytes(kind, bytes)
 }
 
 func (m *meters) handler() http.Handler { return m.metrics.Handler() }
@@ -82,9 +82,9 @@
 		reason = "served"
 	}
 	m.metrics.Scope().Tagged(map[string]string{"reason": reason, "kind": o.Kind}).Counter("relay_requests_total").Inc(1)
-	for _, step := range o.Endpoints {
-		if step.SkipReason != "" {
-			m.metrics.Scope().Tagged(map[string]string{"cause": step.SkipReason}).Counter("relay_kept_off_total").Inc(1)
+	for _, attempt := range o.Endpoints {
+		if attempt.SkipReason != "" {
+			m.metrics.Scope().Tagged(map[string]string{"cause": attempt.SkipReason}).Counter("relay_kept_off_total").Inc(1)
 		}
 	}
 	if o.FirstByte > 0 {
@@ -93,7 +93,8 @@
 	m.total.RecordDuration(o.Total)
 }
 
-// logRequest logs and records the outcome of a request. The log line states what was decided and on which data.
+// logRequest logs and records the outcome of a request. The log line contains the decisions and the data on which they
+// were based.
 func (r *Router) logRequest(o relay.Outcome) {
 	r.metrics.recordRequest(&o)
 	if o.Code == "" {
@@ -146,8 +147,8 @@
 	}
 }
 
-// logDelayedExit logs that an endpoint's process exited while it ran a request. It is called if this was detected after
-// the line of the request was logged.
+// logDelayedExit logs that an endpoint's process exited while it ran a request. It is called if this was detected only
+// after the log line of the request was written.
 func (r *Router) logDelayedExit(l relay.DelayedExit) {
 	quarantine.LogCrash(r.log, l.Endpoint, l.Digest)
 }
@@ -155,8 +156,8 @@
 // recordRejected counts a record that cannot be decoded.
 func (m *meters) recordRejected() { m.metrics.Scope().Counter("records_rejected_total").Inc(1) }
 
-// recordLimits records how many endpoints state limits, and how many requests per second this instance may send to all of
-// them together.
+// recordLimits records how many endpoints announce limits, and how many requests per second this instance may send to
+// all of them together.
 func (m *meters) recordLimits(endpoints int, perSecond float64) {
 	m.metrics.Scope().Gauge("endpoints_limited").Update(float64(endpoints))
 	m.metrics.Scope().Gauge("limits_lent_per_second").Update(perSecond)
--- a/internal/router/explain.go
+++ b/internal/router/explain.go
@@ -54,7 +54,7 @@
 	Reason     string `json:"reason"`
 	End        string `json:"end"`
 	AtMs       int64  `json:"at_ms"`
-	SkipReason string `json:"kept_off"` // why the first endpoint by affinity got no work; empty: it was not skipped
+	SkipReason string `json:"kept_off"` // why the endpoint that is first by affinity was not picked; empty: it was not skipped
 }
 
 // maxLineBytes is the maximum length of a log line, in bytes.
@@ -63,8 +63,8 @@
 // eventRequestEnded is the event name of log lines that report the outcome of a request.
 const eventRequestEnded = "request_ended"
 
-// EachRequestEnd calls f for each log line that reports the outcome of a request and contains text. It ignores anything
-// before the JSON object of a line, such as a timestamp or a name, and lines of other programs.
+// EachRequestEnd calls f for each log line that reports the outcome of a request and contains text. It ignores lines of
+// other programs, and anything before the JSON object of a line, such as a timestamp or a name.
 func EachRequestEnd(r io.Reader, text string, f func(Line)) error {
 	return eachLine(r, text, func(l Line) {
 		if l.Event == eventRequestEnded {
@@ -108,7 +108,7 @@
 	return eris.Wrap(scan.Err(), "reading a log")
 }
 
-// ReadLines returns the lines of a log that report the outcome of a request.
+// ReadLines returns the lines of a log that report the outcome of the request with the given ID.
 func ReadLines(r io.Reader, request string) ([]Line, error) {
 	var out []Line
 	err := EachRequestEnd(r, request, func(l Line) {
@@ -119,7 +119,7 @@
 	return out, err
 }
 
-// Explain writes a description of a request's log lines in chronological order.
+// Explain writes a description of a request's log lines, in chronological order.
 func Explain(w io.Writer, lines []Line) error {
 	sort.SliceStable(lines, func(i, j int) bool { return lines[i].Time < lines[j].Time })
 	for _, l := range lines {
--- a/internal/router/mechanisms.go
+++ b/internal/router/mechanisms.go
@@ -20,10 +20,10 @@
 const (
 	Affinity    Mechanism = "affinity"     // requests with a common prompt prefix go to the same endpoint
 	Loads       Mechanism = "loads"        // instances exchange their requests in progress at endpoints
-	FleetTime   Mechanism = "fleet-time"   // the age of a lost holder's last report is determined by a fleet-wide clock
+	FleetTime   Mechanism = "fleet-time"   // a fleet-wide clock determines the age of a lost holder's last report
 	Loans       Mechanism = "loans"        // instances lend each other tokens
 	Pools       Mechanism = "pools"        // in a large fleet, the instances of an availability zone pool their tokens
-	Leaders     Mechanism = "leaders"      // in a large fleet, each availability zone has a leader
+	Leaders     Mechanism = "leaders"      // in a large fleet, one instance of each availability zone leads it
 	CrowdedLink Mechanism = "crowded-link" // callers are diverted before this instance's link is saturated
 	Ranks       Mechanism = "ranks"        // without contact to the store, low-priority requests yield to urgent ones
 	Patience    Mechanism = "patience"     // the response timeout of an endpoint grows with the length of the prompt
--- a/internal/router/probes.go
+++ b/internal/router/probes.go
@@ -22,6 +22,7 @@
 
 const probeHeaderTimeout = 5 * time.Second
 
+// listenProbes opens a listener that serves the readiness probe and the metrics.
 func listenProbes(settings Probes, ready func() bool, metrics http.Handler) (*probes, error) {
 	p := &probes{name: "probes"}
 	e := echo.New()
@@ -35,7 +36,7 @@
 	return p, p.listen(settings.Listen, e)
 }
 
-// listenMetrics serves metrics on a separate address.
+// listenMetrics opens a listener on a separate address that serves only metrics.
 func listenMetrics(settings Probes, metrics http.Handler) (*probes, error) {
 	p := &probes{name: "metrics"}
 	e := echo.New()
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -5,24 +5,25 @@
 	"github.com/ledgemount/ledgemount/internal/quarantine"
 )
 
-// observeEntry passes a store entry that the fleet has written to the components that read such entries.
+// observeEntry passes a store entry that the fleet has written to the escrow and the replicator, each of which ignores
+// the entries of the other.
 func (r *Router) observeEntry(e external.Entry) {
 	r.escrow.Observe(e)
-	r.share.Observe(e)
+	r.replicator.Observe(e)
 }
 
-// ownsProbe reports whether this instance is the one that may run a quarantined request again as a probe, once the
-// quarantine period has passed.
+// ownsProbe reports whether this instance is the one that may run a request again as a probe when its quarantine has
+// expired.
 func (r *Router) ownsProbe(p quarantine.Digest) bool { return r.peers.Owns(p.String(), 1) }
 
 // onQuarantineChange logs that a request enters or leaves quarantine. A decision of this instance is saved to the store,
-// so that it survives a restart of the whole fleet.
+// so that it survives a restart of all instances.
 func (r *Router) onQuarantineChange(c quarantine.Change) {
 	if c.Quarantined {
 		r.metrics.metrics.Scope().Counter("quarantine_requests_total").Inc(1)
 	}
 	quarantine.LogChanges(r.log)(c)
 	if c.Local {
-		r.share.ScheduleSave()
+		r.replicator.ScheduleSave()
 	}
 }
--- a/internal/router/restoration.go
+++ b/internal/router/restoration.go
@@ -7,7 +7,7 @@
 	"github.com/ledgemount/ledgemount/internal/external"
 )
 
-// restorationWindow is how long the log lines of requests state that the store was restored.
+// restorationWindow is how long after a restoration of the store the log lines of requests mention it.
 const restorationWindow = time.Minute
 
 // restorationTracker records when this instance last discovered that the store was restored.
@@ -50,8 +50,8 @@
 		Msg("the store was restored from an older copy: later writes are lost")
 }
 
-// epochIgnored logs and counts a response with an epoch before the known one, or with none although earlier ones had one.
-// It is called while Epochs is locked.
+// epochIgnored logs and counts a response of the store whose epoch is earlier than the known one, or that has no epoch
+// although previous responses had one. It is called while Epochs is locked.
 func (r *Router) epochIgnored(epoch, known int64) {
 	r.metrics.metrics.Scope().Counter("store_epochs_ignored_total").Inc(1)
 	r.log.Warn().Str("event", "store_epoch_ignored").Int64("epoch", epoch).Int64("known", known).
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -62,7 +62,7 @@
 	boot          *boottime.Clock
 	resumeGuard   resumeGuard
 	load          *load.Exchange
-	share         *quarantine.Replicator
+	replicator    *quarantine.Replicator
 	follow        *follow.Follower
 	escrow        *escrow.Holder
 	core          *relay.Core
@@ -103,7 +103,8 @@
 	return r, r.kernel.Register(r.services()...)
 }
 
-// newFleet creates the components that communicate with endpoints and other instances, and the gauge of the network link.
+// newFleet creates the components that communicate with endpoints and other instances, and the monitor of the network
+// link.
 func (r *Router) newFleet(platform Platform, links *mesh.Router, id string) {
 	settings, now := r.settings, r.boot.Now
 	r.pressure = pressure.New(
@@ -133,7 +134,7 @@
 func (r *Router) newEscrow(platform Platform, links *mesh.Router, id string) {
 	settings := r.settings
 	r.escrow = escrow.New(platform.Store, settings.Store.Prefix+escrowPrefix, settings.Store.pages(), settings.Instance.ID, id,
-		escrow.WithLogger(r.log), escrow.WithNow(r.boot.Now), escrow.OnSettlement(r.metrics.recordFolded), escrow.WithPolicy(settings.escrowPolicy()),
+		escrow.WithLogger(r.log), escrow.WithNow(r.boot.Now), escrow.OnSettlement(r.metrics.recordSettlement), escrow.WithPolicy(settings.escrowPolicy()),
 		escrow.WithEpochs(platform.Epochs),
 		escrow.WithFleet(remote.New(r.peers, r.clock, settings.fleetOptions()...)))
 	remote.Serve(links, r.escrow)
@@ -152,10 +153,10 @@
 func (r *Router) newSharing(platform Platform, links *mesh.Router) {
 	now := r.boot.Now
 	r.suspects = quarantine.New(quarantine.WithNow(now), quarantine.WithProber(r.ownsProbe), quarantine.OnChange(r.onQuarantineChange),
-		quarantine.OnUpdate(func() { r.share.Wake() }))
-	r.share = quarantine.NewReplicator(r.suspects, r.peers, platform.Store, r.settings.Store.Prefix, links,
+		quarantine.OnUpdate(func() { r.replicator.Wake() }))
+	r.replicator = quarantine.NewReplicator(r.suspects, r.peers, platform.Store, r.settings.Store.Prefix, links,
 		quarantine.WithLogger(r.log), quarantine.WithEpochs(platform.Epochs))
-	r.load = load.New(r.peers, r.pool, links, load.WithPiggyback(r.share), load.WithNow(now), load.OnLimits(r.metrics.recordLimits))
+	r.load = load.New(r.peers, r.pool, links, load.WithPiggyback(r.replicator), load.WithNow(now), load.OnLimits(r.metrics.recordLimits))
 }
 
 // newCore creates the component that serves requests.
@@ -169,8 +170,8 @@
 }
 
 // fleetSize returns the number of instances among which fleet-wide limits are divided. Right after its start, an instance
-// may have seen only a few of the holders of budgets, or only a few records of a large fleet. The larger of both numbers
-// keeps its share from being too large.
+// may have discovered only a few holders of budgets, or only a few records of a large fleet. The larger of both numbers
+// is used, so that no instance takes too large a share.
 func (r *Router) fleetSize() int { return max(r.escrow.Holders(), r.peers.Size()) }
 
 // onStoreCall handles the outcome of a call to the store.
@@ -187,7 +188,7 @@
 	r.log.Info().Str("event", "store_rests").Dur("rest", after).Msg("the store has asked for a back-off: calls are paused")
 }
 
-// startWatch returns the service that measures the start of the instance.
+// startWatch returns the service that polls for the steps of the instance's start.
 func (r *Router) startWatch() *startWatcher {
 	return &startWatcher{recorder: r.start, steps: map[Step]func() bool{
 		StepFleet:         r.peers.IsDiscovered,
@@ -207,7 +208,7 @@
 	if !r.settings.disabled(Loads) {
 		list = append(list, r.load)
 	}
-	list = append(list, r.share, r.follow, r.escrow, r.escrow.Repayments(), &sweeper{client: r.client}, &callLog{counts: r.metrics.calls, sent: r.metrics.sent, role: r.role, log: r.log}, r.startWatch(), r.callers, r.probes)
+	list = append(list, r.replicator, r.follow, r.escrow, r.escrow.Repayments(), &sweeper{client: r.client}, &callLog{counts: r.metrics.calls, sent: r.metrics.sent, role: r.role, log: r.log}, r.startWatch(), r.callers, r.probes)
 	if r.metricsServer != nil {
 		list = append(list, r.metricsServer)
 	}
@@ -249,8 +250,8 @@
 		Msg("prepaid budgets are in force")
 }
 
-// recordDial passes the connection times of endpoints in the same availability zone to the gauge of this instance's link.
-// Connections to other zones may be slow for other reasons.
+// recordDial passes the connection times of endpoints in the same availability zone to the monitor of this instance's
+// link. Connections to other zones may be slow for other reasons.
 func (r *Router) recordDial(zone string, took time.Duration) {
 	if zone == r.settings.Instance.Zone {
 		r.pressure.ObserveDial(took)
@@ -258,16 +259,17 @@
 }
 
 // logPressure logs that the instance starts or stops diverting callers to other instances.
-func (r *Router) logPressure(away bool) {
-	if away {
+func (r *Router) logPressure(diverting bool) {
+	if diverting {
 		r.log.Warn().Str("event", "link_crowded").Msg("the network link is congested: callers are diverted to other instances")
 		return
 	}
 	r.log.Info().Str("event", "link_calm").Msg("the network link is no longer congested: callers are accepted again")
 }
 
-// ready reports whether the instance accepts callers: the configuration, endpoints and escrow are known, the network link
-// is not congested, and all data has been received again after a suspension of the machine.
+// ready reports whether the instance accepts callers. The configuration and endpoints must be known, the escrow must be
+// ready, and the network link must not be congested. After a suspension of the machine, current data must have been
+// received.
 func (r *Router) ready() bool {
 	return !r.pressure.Diverting() && r.resumeGuard.stateFresh() && r.follow.Table() != nil && r.escrow.Ready() && r.pool.Len() > 0
 }
@@ -283,7 +285,7 @@
 	return err
 }
 
-// Phases of a planned stop. Callers still arrive until the platform has noticed that the instance is not ready.
+// Phases of a planned stop. Callers still arrive until the platform has detected that the instance is not ready.
 const (
 	lingerShare      = 0.35                   // share of the time for a stop in which callers still arrive
 	escrowReturnTime = 600 * time.Millisecond // time for returning the escrow, before exitMargin
@@ -318,7 +320,7 @@
 	return r.peers.Leave(ctx)
 }
 
-// Reload logs that the settings file was read again. Its values take effect when the process restarts.
+// Reload logs that the settings file was read again. The new values take effect when the process restarts.
 func (r *Router) Reload(settings *Settings) {
 	r.log.Info().Str("event", "settings_reloaded").Int("retry_slack", settings.Retry.Slack).Dur("stop_within", settings.Stop.Within).
 		Msg("the settings were read again")
--- a/internal/router/settings.go
+++ b/internal/router/settings.go
@@ -21,13 +21,13 @@
 	Cold     Cold     `json:"cold"`
 	Peers    Peers    `json:"peers"`
 	Log      Log      `json:"log"`
-	// Without lists mechanisms to disable, for experiments that measure their effect. Not for production.
+	// Without lists mechanisms to disable, for experiments that measure their effect. It is not for production.
 	Without []Mechanism `json:"without" validate:"dive,oneof=affinity loads fleet-time loans pools leaders crowded-link ranks patience retries health scarcity"`
 }
 
 // Instance identifies the instance and describes its machine.
 type Instance struct {
-	ID   string `json:"id" validate:"required"`   // stable across restarts of the process
+	ID   string `json:"id" validate:"required"`   // the same after a restart of the process
 	Zone string `json:"zone" validate:"required"` // availability zone
 	// LinkMbps is the capacity of the machine's network link in each direction, in megabits per second; 0: unknown. Callers
 	// are diverted to other instances before the link is saturated. In a large fleet, the machines with the largest links
@@ -37,8 +37,8 @@
 	Regions map[string]string `json:"regions"`
 }
 
-// Cold limits the requests that all instances together send to an endpoint that has just started: in any second, the
-// service's slow-start rate times Overage, plus Slack requests.
+// Cold limits the requests that all instances together send to an endpoint that has just started. In any second, they
+// send at most the service's slow-start rate times Overage, plus Slack requests.
 type Cold struct {
 	Overage float64 `json:"overage" validate:"min=1"`
 	Slack   float64 `json:"slack" validate:"min=0"`
@@ -68,7 +68,7 @@
 type Store struct {
 	Address string `json:"address" validate:"required,hostname_port"`
 	Prefix  string `json:"prefix" validate:"required,endswith=/"` // of all keys that this fleet writes
-	Pages   int    `json:"pages" validate:"min=0,max=4096"`       // pages that accounts are distributed over; 0: by Writes
+	Pages   int    `json:"pages" validate:"min=0,max=4096"`       // pages among which accounts are distributed; 0: by Writes
 	Writes  int    `json:"writes_per_second" validate:"min=0"`    // write capacity of the store for the whole fleet
 }
 
@@ -79,7 +79,7 @@
 	writesPerPage    = 1000
 )
 
-// pages returns the number of pages that accounts are distributed over. All instances must compute the same number.
+// pages returns the number of pages among which accounts are distributed. All instances must compute the same number.
 func (s Store) pages() int {
 	switch {
 	case s.Pages > 0:
--- a/internal/router/start.go
+++ b/internal/router/start.go
@@ -28,12 +28,12 @@
 }
 
 const (
-	startPollInterval = 20 * time.Millisecond // interval at which steps are polled until the instance is ready
-	startLogTimeout   = 30 * time.Second      // the line is logged this long after readiness even if no request has been served
+	startPollInterval = 20 * time.Millisecond // between polls of the steps, until the instance is ready
+	startLogTimeout   = 30 * time.Second      // maximum wait for the first served request, before the line is logged without it
 )
 
-// startRecorder measures the time from the start of the process to each step, and logs all of them in one line. Steps
-// that were not reached are left out.
+// startRecorder measures the time from the start of the process to each step, and logs the times of all steps in one
+// line. Steps that were not reached are left out.
 type startRecorder struct {
 	started time.Time
 	now     func() time.Time
