--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -135,7 +135,7 @@
 type AttemptOutcome struct {
 	Endpoint      string
 	Reason        string
-	SkipReason    string // why the endpoint that is first by affinity was not picked; empty: it was not skipped
+	SkipReason    string // why the endpoint that is first by affinity was excluded; empty: it was not
 	Result        string
 	At            time.Duration // since the request arrived
 	ProcessExited bool          // the attempt was interrupted, and the endpoint's process had exited
--- a/internal/router/explain.go
+++ b/internal/router/explain.go
@@ -54,7 +54,7 @@
 	Reason     string `json:"reason"`
 	End        string `json:"end"`
 	AtMs       int64  `json:"at_ms"`
-	SkipReason string `json:"kept_off"` // why the endpoint that is first by affinity was not picked; empty: it was not skipped
+	SkipReason string `json:"kept_off"` // why the endpoint that is first by affinity was excluded; empty: it was not
 }
 
 // maxLineBytes is the maximum length of a log line, in bytes.
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -1,4 +1,5 @@
-// Package targets tracks the endpoints that the current configuration declares, and picks among them for the chat edge.
+// Package targets tracks the endpoints that the current configuration declares, and picks endpoints for requests of the
+// chat edge.
 package targets
 
 import (
@@ -19,7 +20,7 @@
 type Target struct {
 	ID    string
 	URL   string
-	Fence int64
+	Fence int64 // fencing token of the endpoint, from the configuration
 	Lease *pool.Lease
 }
 
@@ -50,8 +51,8 @@
 	return func(o *options) { o.pool = append(o.pool, pool.WithNow(now)) }
 }
 
-// WithZoneView provides the state of the other instances in the availability zone. others returns their requests in
-// progress at an endpoint, as last reported; share returns the number of instances among which capacity is split.
+// WithZoneView provides the state of the other instances in the availability zone. others returns how many requests they
+// last reported to be in progress at an endpoint. share returns the number of instances among which capacity is split.
 func WithZoneView(others func(endpoint string) int, share func() int) Option {
 	return func(o *options) { o.pool = append(o.pool, pool.WithZoneView(others, share)) }
 }
@@ -77,10 +78,10 @@
 	return &Targets{zone: zone, endpoints: pool.New(zone, o.pool...), doc: &declare.Document{}, pools: make(map[string][]string)}
 }
 
-// policy returns the health policy for endpoints that are judged by complete requests, of which one instance sends few.
-// Three consecutive failures, or responses four times slower than the others', eject an endpoint for 2 s or more. At most
-// half of a pool is ejected, and an endpoint returns with one request at a time. The driver, not the pool, detects
-// endpoints that have become silent, so Silence is set out of reach.
+// policy returns the health policy. Endpoints are judged by complete requests, of which one instance sends few. Three
+// consecutive failures, or responses four times slower than those of the others, eject an endpoint for 2 s or more. At
+// most half of a pool is ejected. When its ejection ends, an endpoint first receives a single request. Silent endpoints are
+// detected by the endpoint's driver and not by the pool, so MinResponseTimeout is longer than any response.
 func policy() pool.Policy {
 	p := pool.DefaultPolicy()
 	p.MinResponseTimeout = time.Hour
@@ -159,8 +160,8 @@
 	return t.endpoints.Capacity(pool.Query{Service: name, Zones: zones[len(zones)-1]})
 }
 
-// CacheEvents applies events of an endpoint's prompt cache. If events are missing before the first one (gap), evictions
-// may have been lost, so the assumed contents of the cache are dropped first.
+// CacheEvents applies events of an endpoint's prompt cache. gap states that events before the first one are missing.
+// Evictions may be among them, so the assumed contents of the cache are discarded first.
 func (t *Targets) CacheEvents(endpoint string, events []wire.CacheEvent, gap bool) {
 	if gap {
 		t.endpoints.ForgetPrompts(endpoint)
@@ -174,7 +175,7 @@
 	}
 }
 
-// Endpoint returns an endpoint's URL and whether it checks fencing tokens.
+// Endpoint returns an endpoint's URL and whether it checks fencing tokens. ok is false if it is not declared.
 func (t *Targets) Endpoint(id string) (url string, checks, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -198,7 +199,7 @@
 	ID              string  `json:"id"`
 	InFlight        int     `json:"in_flight"`
 	Ejected         bool    `json:"ejected"`
-	ExclusionReason string  `json:"kept_off,omitempty"` // why its own notices exclude it from new work
+	ExclusionReason string  `json:"kept_off,omitempty"` // why it gets no new work; empty: it is not excluded
 	FirstToken      float64 `json:"first_token_s"`
 	PerToken        float64 `json:"per_token_s"`
 }
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -36,7 +36,7 @@
 			}
 			return target.Lease
 		}
-		// all picks until no endpoint accepts more work, so that every available endpoint is among the result.
+		// all picks until no endpoint accepts more work, so that the result contains every available endpoint.
 		all := func() map[string][]*pool.Lease {
 			out := make(map[string][]*pool.Lease)
 			for lease := pick(); lease != nil; lease = pick() {
@@ -182,7 +182,7 @@
 		})
 	})
 
-	Convey("Endpoints in other availability zones serve if the pool spills and the own zone has no free endpoint", t, func() {
+	Convey("Endpoints in other availability zones serve if the pool spills and the instance's zone has no free endpoint", t, func() {
 		tgts := New("z", WithSeed(1))
 		d := document(1, 2, declare.StateActive)
 		far := d.Decl.Endpoints["e1"]
@@ -208,8 +208,8 @@
 	})
 }
 
-// BenchmarkPick measures a pick for the chat edge with all criteria. The previous pool took 12.8 us for the choice alone
-// with 1,300 endpoints.
+// BenchmarkPick measures a pick for the chat edge with all criteria. A previous implementation of the pool took 12.8 us
+// for the choice alone, with 1,300 endpoints.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{52, 1300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -24,7 +24,7 @@
 // errFraming reports a response whose length is ambiguous.
 var errFraming = errors.New("invalid framing of the response")
 
-// send writes the request. A long body is written concurrently with reading the response, which may arrive before the
+// send writes the request. It writes a long body in a separate goroutine, because the response may arrive before the
 // whole body is sent.
 func (x *exchange) send(req *Request) {
 	var head bytes.Buffer
@@ -80,8 +80,8 @@
 	}
 }
 
-// finish ends the exchange after a complete response. It keeps the connection for reuse unless the request is not fully
-// sent, the endpoint closes the connection, or surplus data has arrived.
+// finish ends the exchange after a complete response. It keeps the connection for reuse, unless the request has not been
+// sent completely, the endpoint closes the connection, or more data than the response has arrived.
 func (x *exchange) finish() {
 	if !x.sent.Load() || x.closeAfter || x.conn.br.Buffered() > 0 {
 		x.abort()
@@ -97,7 +97,7 @@
 	x.client.put(x.conn, x.header)
 }
 
-// body reads the body of a response and ends the exchange at its end.
+// body reads the body of a response. At its end, it ends the exchange.
 type body struct {
 	exchange *exchange
 	src      io.Reader
--- a/internal/upstream/refused.go
+++ b/internal/upstream/refused.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// probeTimeout is the connection timeout when probing an endpoint whose response was interrupted. A port without a process
-	// refuses within one round trip, which takes some milliseconds between availability zones.
+	// probeTimeout is the connection timeout when probing an endpoint whose response was interrupted. A port without a
+	// process refuses a connection within one round trip, which takes some milliseconds between availability zones.
 	probeTimeout = 30 * time.Millisecond
 	// exitGrace is how long an exiting process may still accept connections: its sockets close one after the other.
 	exitGrace = 50 * time.Millisecond
-	// probeRetryDelay is the delay before a probe that got no response is repeated, since packets may have been lost. maxProbes
-	// is the maximum number of probes.
+	// probeRetryDelay is the delay before a probe that got no response is repeated, since packets may have been lost.
 	probeRetryDelay = 200 * time.Millisecond
-	maxProbes       = 3
+	// maxProbes is the maximum number of probes in one call of RefusedSoon.
+	maxProbes = 3
 )
 
 // probeResult is the result of probing an address.
@@ -30,7 +30,7 @@
 )
 
 // Refused reports whether a new connection to an address is refused. A machine that is disconnected or has no power does
-// not respond at all, which does not count as refused. A connection that is established is kept for the next request.
+// not respond at all, which does not count as refused. If the connection is established, it is kept for the next request.
 func (c *Client) Refused(ctx context.Context, addr string) bool {
 	cn, res := c.probe(ctx, addr)
 	if cn != nil {
@@ -39,8 +39,8 @@
 	return res == probeRefused
 }
 
-// RefusedSoon is Refused for an address that did not refuse a connection just now. It probes the address again if the
-// address closes a connection within exitGrace or does not respond.
+// RefusedSoon is like Refused, for an address that has not refused a connection a moment ago. If the address does not
+// respond, or closes a connection within exitGrace, it is probed again.
 func (c *Client) RefusedSoon(ctx context.Context, addr string) bool {
 	for range maxProbes {
 		cn, res := c.probe(ctx, addr)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,7 +1,7 @@
 // Package upstream is an HTTP/1.1 client for endpoints with a pool of idle connections.
 //
-// It does not use http.Transport, which retries some requests on its own: a request sent through this package must not
-// run more than once.
+// It does not use http.Transport, which retries some requests on its own. A request that is sent through this package
+// must not run more than once.
 package upstream
 
 import (
@@ -26,7 +26,8 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// OnDial is called with the time that a new connection took to be established or to fail. It may be nil.
+	// OnDial is called if a new connection is needed, with the time that it took to be established or to fail. It may be
+	// nil.
 	OnDial func(took time.Duration)
 	// ShouldSend is called once a connection is available. If it returns false, nothing is sent. It may be nil.
 	ShouldSend func() bool
@@ -44,7 +45,7 @@
 // Errors of requests that were not sent.
 var (
 	ErrNotSent   = errors.New("request not sent")  // no byte of the request was sent
-	ErrWithdrawn = errors.New("request withdrawn") // not sent either, because ShouldSend returned false
+	ErrWithdrawn = errors.New("request withdrawn") // nothing was sent, because ShouldSend returned false
 )
 
 // Defaults of a Client.
@@ -56,10 +57,10 @@
 	readBufferSize     = 2 << 10
 	maxInlineBody      = 8 << 10 // a body up to this size is written before the response is read
 
-	// silenceTimeout is how long sent data may stay unacknowledged, or keep-alive probes unanswered, before a connection is
-	// closed: a connection whose peer has vanished shows no other sign of it. The value is longer than the silence after
-	// which a repeatable request is retried elsewhere (0.7 s and more), and shorter than the time for which callers wait
-	// for the next event of a stream (4 s if the target for pauses is 500 ms).
+	// silenceTimeout is how long sent data may stay unacknowledged, or keep-alive probes unanswered, before the kernel
+	// closes a connection. There is no other way to detect that the peer of a connection has vanished. The value is longer
+	// than the silence after which a repeatable request is retried at another endpoint (0.7 s and more). It is shorter than
+	// the time for which callers wait for the next event of a stream (4 s if the target for pauses is 500 ms).
 	silenceTimeout    = 3 * time.Second
 	keepAliveInterval = time.Second // idle time before the first keep-alive probe, and between probes
 )
@@ -119,7 +120,7 @@
 	net.Conn
 	addr    string
 	br      *bufio.Reader
-	expires time.Time // the time after which it must not be reused
+	expires time.Time // from then on, it must not be reused
 }
 
 // Do sends a request and returns as soon as it has read the header of the response. The exchange ends with ctx, even in
@@ -148,7 +149,8 @@
 	return res, nil
 }
 
-func (c *Client) acquire(ctx context.Context, addr string, dialed func(time.Duration)) (*conn, error) {
+// acquire returns a usable idle connection to an address, or else a new one.
+func (c *Client) acquire(ctx context.Context, addr string, onDial func(time.Duration)) (*conn, error) {
 	for {
 		cn := c.pop(addr)
 		if cn == nil {
@@ -161,8 +163,8 @@
 	}
 	started := c.now()
 	nc, err := c.dialer.DialContext(ctx, "tcp", addr)
-	if dialed != nil {
-		dialed(c.now().Sub(started))
+	if onDial != nil {
+		onDial(c.now().Sub(started))
 	}
 	if err != nil {
 		return nil, eris.Wrapf(errors.Join(ErrNotSent, err), "connecting to %s", addr)
@@ -176,6 +178,7 @@
 	return &conn{Conn: nc, addr: addr, br: bufio.NewReaderSize(nc, readBufferSize)}
 }
 
+// pop removes the most recently used idle connection to an address from the pool. It returns nil if there is none.
 func (c *Client) pop(addr string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -188,6 +191,8 @@
 	return cn
 }
 
+// put adds a connection to the idle connections, or closes it if there are too many. header is that of the last response
+// on the connection, which may state an idle timeout; nil: there was none.
 func (c *Client) put(cn *conn, header http.Header) {
 	lifetime := c.idleTimeout
 	if d, ok := keepAlive(header); ok {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// fakeEndpoint is an endpoint whose connections are served by a function of the test.
+// fakeEndpoint is an endpoint whose connections are served by a function that the test provides.
 type fakeEndpoint struct {
 	l     net.Listener
 	conns atomic.Int32
