--- a/internal/bench/store.go
+++ b/internal/bench/store.go
@@ -80,8 +80,8 @@
 		return nil, err
 	}
 	times := budget.DefaultTimes()
-	times.Flush, times.Beat = storeFlush, storeBeat
-	times.Dead = time.Hour // nobody dies here
+	times.Flush, times.RefreshInterval = storeFlush, storeBeat
+	times.DeadTimeout = time.Hour // nobody dies here
 	for z := range zones {
 		peers := peersOf(fmt.Sprintf("z%02d", z), perZone)
 		s.zones = append(s.zones, peers)
@@ -137,7 +137,7 @@
 	id := budgetID(rank)
 	peers := s.zones[zone]
 	h := s.homes[budget.Homes(id, peers, client.ID)[0].ID]
-	_, err := h.Reserve(ctx, client.Who(), budget.ReserveReq{
+	_, err := h.Reserve(ctx, client.IncarnationID(), budget.ReserveReq{
 		Request: req, Budget: id, Customer: benchCustomer, Tokens: reserveMost, Place: budget.Place{Run: req},
 	})
 	if err != nil {
--- a/internal/budget/client_fence.go
+++ b/internal/budget/client_fence.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Fence reports what this client knows of a holder and gives up what it has not dispatched. From now on, no
-// reservation of that holder is used.
+// Fence reports this client's reservations and charges at a holder, and revokes the reservations that are not
+// dispatched. From then on, the client uses no reservation of that holder.
 func (c *Client) Fence(req FenceReq) FenceResp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fenced[req.Holder] = true
-	out := FenceResp{Client: c.members.Self().Who()}
+	out := FenceResp{Client: c.members.Self().IncarnationID()}
 	for h := range c.holds {
 		if !slices.Contains(h.chain, req.Holder) {
 			continue
@@ -23,7 +23,8 @@
 	return out
 }
 
-// report makes a hold's report and passes the hold on to the successor. The caller holds the lock.
+// report builds a hold's report and assigns the hold to the successor. It returns false if there is nothing to
+// report. The caller holds the lock.
 func (c *Client) report(h *Hold, req FenceReq) (Report, bool) {
 	switch {
 	case h.state == stateHeld || h.state == stateRevoked:
@@ -36,7 +37,7 @@
 	}
 	r := Report{
 		Request: h.request, Budget: h.budget, Customer: h.customer, Tokens: h.tokens, Open: h.state == stateDispatched,
-		Keyed: h.keyed, Place: h.place, Owner: c.members.Self().Who(), Chain: append([]string(nil), h.chain...),
+		Keyed: h.keyed, Place: h.place, Owner: c.members.Self().IncarnationID(), Chain: append([]string(nil), h.chain...),
 	}
 	if !r.Open {
 		r.Tokens = h.used
@@ -44,9 +45,9 @@
 	if h.holder != req.Successor {
 		h.chain = append(h.chain, req.Successor)
 		h.holder, h.addr = req.Successor, req.Peer.Addr
-		h.heirs = append(h.heirs, holderAt{h.holder, h.addr})
-		h.unsure = true
-		h.failing = time.Time{}
+		h.successors = append(h.successors, holderAt{h.holder, h.addr})
+		h.unconfirmed = true
+		h.failingSince = time.Time{}
 	}
 	return r, true
 }
--- a/internal/matrix/world_test.go
+++ b/internal/matrix/world_test.go
@@ -64,8 +64,8 @@
 }
 
 var testTimes = budget.Times{
-	Tick: time.Millisecond, Flush: 0, Beat: time.Second, Horizon: time.Minute, Idle: time.Hour, Orphan: 10 * time.Second,
-	Dead: 4 * time.Second, Denied: 10 * time.Millisecond, KeepDone: time.Hour,
+	Tick: time.Millisecond, Flush: 0, RefreshInterval: time.Second, Horizon: time.Minute, Idle: time.Hour, OrphanTimeout: 10 * time.Second,
+	DeadTimeout: 4 * time.Second, DrawBackoff: 10 * time.Millisecond, DoneRetention: time.Hour,
 }
 
 func newWorld(t *testing.T) *world { return newWorldWith(t, func(*world) {}) }
@@ -166,7 +166,7 @@
 		w.http.Handle("engine."+zone, e.Handler())
 		w.http.Handle("plain."+zone, p)
 		d.Endpoints["engine-"+zone] = declare.Endpoint{
-			Zone: zone, URL: "http://engine." + zone, Pool: "drafts", State: declare.StateActive, Capacity: 8, Checks: true,
+			Zone: zone, URL: "http://engine." + zone, Pool: "drafts", State: declare.StateActive, Capacity: 8, ChecksFence: true,
 		}
 		d.Endpoints["plain-"+zone] = declare.Endpoint{
 			Zone: zone, URL: "http://plain." + zone, Pool: "portal", State: declare.StateActive, Capacity: 8,
@@ -193,7 +193,7 @@
 
 func (w *world) newNode(id, zone string) *node {
 	ctx, cancel := context.WithCancel(context.Background())
-	n := &node{w: w, peer: mesh.Peer{ID: id, Zone: zone, Addr: id, Inc: "x"}, cancel: cancel}
+	n := &node{w: w, peer: mesh.Peer{ID: id, Zone: zone, Addr: id, Incarnation: "x"}, cancel: cancel}
 	router := mesh.NewRouter()
 	caller := w.wrap(&gatedCaller{n: n, next: w.net.Join(n.peer, router)})
 	m := members{n}
@@ -212,8 +212,8 @@
 	n.keys = once.NewKeys(m, caller, router, zones, once.WithKeysClock(w.clock.Now))
 	n.gateway = gateway.New(gateway.Deps{
 		Feed: n.feed, Members: m, Caller: caller, Router: router, Targets: tg, Budgets: n.client, Keys: n.keys,
-		Claims: once.NewClaims(store, n.peer.Who(), w.clock.Now), Driver: driver, Stopper: stopper,
-	}, gateway.WithClock(w.clock.Now), gateway.WithHook(n.hook), gateway.WithKill(ctx), gateway.WithLooker(w.http),
+		Claims: once.NewClaims(store, n.peer.IncarnationID(), w.clock.Now), Driver: driver, Stopper: stopper,
+	}, gateway.WithClock(w.clock.Now), gateway.WithHook(n.hook), gateway.WithKill(ctx), gateway.WithProber(w.http),
 		gateway.WithLogger(zerolog.New(zerolog.SyncWriter(&n.log)).Level(zerolog.WarnLevel)))
 	n.feed.OnChange(n.gateway.SetDocument)
 	n.planner = intent.New(store, n.feed, m, caller, router, tg.InFlight, intent.WithHook(n.hook))
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -207,7 +207,7 @@
 		s = &peerState{}
 		v.peers[b.Peer.ID] = s
 	}
-	if s.lastBeat.IsZero() || s.leaving != b.Leaving || s.peer.Inc != b.Peer.Inc {
+	if s.lastBeat.IsZero() || s.leaving != b.Leaving || s.peer.Incarnation != b.Peer.Incarnation {
 		v.cacheTill = time.Time{}
 	}
 	s.peer, s.lastBeat, s.leaving, s.config = b.Peer, v.now(), b.Leaving, b.Config
@@ -301,17 +301,17 @@
 	return !s.lastBeat.IsZero() && now.Sub(s.lastBeat) <= time.Duration(maxMissedBeats)*v.every
 }
 
-// Alive reports whether a heartbeat of a process, named as by mesh.Peer.Who, was received recently. Leaving processes
-// are alive.
+// Alive reports whether a heartbeat of a process, named as by mesh.Peer.IncarnationID, was received recently. Leaving
+// processes are alive.
 func (v *View) Alive(who string) bool {
-	id, inc := mesh.SplitWho(who)
+	id, inc := mesh.SplitIncarnationID(who)
 	if id == v.self.ID {
-		return inc == v.self.Inc
+		return inc == v.self.Incarnation
 	}
 	v.mu.RLock()
 	defer v.mu.RUnlock()
 	s, ok := v.peers[id]
-	return ok && s.peer.Inc == inc && v.fresh(s, v.now())
+	return ok && s.peer.Incarnation == inc && v.fresh(s, v.now())
 }
 
 // Zone returns the live instances of this zone that are not leaving, ordered by ID. It includes this one unless it is
@@ -358,7 +358,7 @@
 
 // Find returns the instance of a process in any zone. The process itself may have been replaced.
 func (v *View) Find(who string) (mesh.Peer, bool) {
-	id, _ := mesh.SplitWho(who)
+	id, _ := mesh.SplitIncarnationID(who)
 	if id == v.self.ID {
 		return v.self, true
 	}
@@ -374,9 +374,9 @@
 // Lost reports whether a process is neither listed nor has sent a recent heartbeat, or was replaced by another process
 // of its instance.
 func (v *View) Lost(who string) bool {
-	id, inc := mesh.SplitWho(who)
+	id, inc := mesh.SplitIncarnationID(who)
 	if id == v.self.ID {
-		return inc != v.self.Inc
+		return inc != v.self.Incarnation
 	}
 	v.mu.RLock()
 	defer v.mu.RUnlock()
@@ -384,7 +384,7 @@
 	if !ok {
 		return true
 	}
-	if s.peer.Inc != "" && s.peer.Inc != inc {
+	if s.peer.Incarnation != "" && s.peer.Incarnation != inc {
 		return true
 	}
 	return !s.listed && !v.fresh(s, v.now())
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -111,7 +111,7 @@
 	)
 	r.client = upstream.New(upstream.WithWrap(r.pressure.Conn), upstream.WithNow(now))
 	self := peers.Record{
-		Peer:     mesh.Peer{ID: settings.Instance.ID, Zone: settings.Instance.Zone, Addr: settings.Peers.Listen, Inc: id},
+		Peer:     mesh.Peer{ID: settings.Instance.ID, Zone: settings.Instance.Zone, Addr: settings.Peers.Listen, Incarnation: id},
 		Capacity: settings.Instance.LinkMbps,
 	}
 	r.peers = peers.New(platform.Store, settings.Store.Prefix, self, links,
@@ -216,7 +216,7 @@
 
 func (r *Router) listen(platform Platform) error {
 	var err error
-	r.callers, err = edge.Listen(r.settings.Callers.Listen, r.core, platform.Parser, edge.DefaultTimes(), edge.WithNow(r.arrivalTime), edge.WithAway(r.pressure.Diverting), edge.WithWrap(r.pressure.Listener))
+	r.callers, err = edge.Listen(r.settings.Callers.Listen, r.core, platform.Parser, edge.DefaultTimeouts(), edge.WithNow(r.arrivalTime), edge.WithDiverting(r.pressure.Diverting), edge.WithListenerWrapper(r.pressure.Listener))
 	if err != nil {
 		return err
 	}
