--- a/internal/limit/allocator.go
+++ b/internal/limit/allocator.go
@@ -33,12 +33,12 @@
 
 // Grant is the rate that is granted for a Claim.
 type Grant struct {
-	Limit       float64 // under which it is granted, in requests per second
+	Limit       float64 // limit under which it is granted, in requests per second
 	PerSecond   float64
 	For         time.Duration // counted from when the claim was sent
 	Holders     int           // number of instances among which it may be divided
 	FleetDemand float64       // requests per second of all instances for the service of the endpoint
-	Partial     bool          // other instances with requests were granted nothing
+	Partial     bool          // some instances with requests were granted nothing
 }
 
 // Claims maps endpoints, by their key in the load exchange, to claims.
@@ -54,8 +54,8 @@
 // instances have offered their shares to this one. If there is an upstream instance, it passes claims and offers on
 // to it. It is not safe for concurrent use.
 type Allocator struct {
-	upstream      string    // the instance to which shares were last offered
-	offeredUntil  time.Time // until when they are offered
+	upstream      string    // instance to which shares were last offered
+	offeredUntil  time.Time // end of that offer
 	lastAggregate time.Time // when claims were last aggregated for another instance
 	grantedUntil  time.Time // end of the leases granted from shares that were not offered upstream
 	endpoints     map[uint32]*allocation
@@ -73,9 +73,9 @@
 // claimant is an instance that sends claims.
 type claimant struct {
 	name   string
-	claim  Claim
-	at     time.Time
-	leases []Lease // that may still be in use: if a response is lost, the previous lease is
+	claim  Claim     // the last one
+	at     time.Time // when it arrived
+	leases []Lease   // may still be in use: if a response is lost, the claimant continues to use the previous lease
 }
 
 // fresh reports whether the last claim still counts.
@@ -91,7 +91,7 @@
 	return x
 }
 
-// SetLocal sets the claims of this instance itself.
+// SetLocal records the claims of this instance itself.
 func (a *Allocator) SetLocal(claims Claims, now time.Time) { a.Observe(local, claims, now) }
 
 // Observe records the claims of an instance.
--- a/internal/limit/allocator_test.go
+++ b/internal/limit/allocator_test.go
@@ -44,7 +44,7 @@
 	restarted      bool
 	dead           bool
 	knownInstances int // including itself
-	next           time.Time
+	nextExchange   time.Time
 }
 
 func newSim(instances, zones int, l Rate) *sim {
@@ -61,7 +61,7 @@
 func (s *sim) join() *simNode {
 	n := &simNode{
 		name: fmt.Sprint(len(s.nodes)), zone: len(s.nodes) % s.zones, allocator: NewAllocator(), demand: 10, startedAt: s.now, knownInstances: len(s.nodes) + 1,
-		next: s.now.Add(time.Duration(s.rng.Int64N(int64(simExchange)))),
+		nextExchange: s.now.Add(time.Duration(s.rng.Int64N(int64(simExchange)))),
 	}
 	s.nodes = append(s.nodes, n)
 	return n
@@ -140,9 +140,9 @@
 			if n.dead {
 				continue
 			}
-			if !s.now.Before(n.next) {
+			if !s.now.Before(n.nextExchange) {
 				s.exchange(n)
-				n.next = s.now.Add(simExchange)
+				n.nextExchange = s.now.Add(simExchange)
 			}
 			for n.demand > 0 && n.bucket.Has(s.limit, s.now) {
 				n.bucket.Take(s.now)
--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -7,15 +7,15 @@
 
 // Lease is a rate at which an instance may send until a given time.
 type Lease struct {
-	limit       float64 // under which it was granted, in requests per second
+	limit       float64 // limit under which it was granted, in requests per second
 	perSecond   float64
 	until       time.Time
 	holders     int     // number of instances among which it may be divided
 	fleetDemand float64 // requests per second of all instances for the service of the endpoint
-	partial     bool    // other instances with requests were granted nothing
+	partial     bool    // some instances with requests were granted nothing
 }
 
-// NewLease returns a lease of a part of a limit.
+// NewLease returns a lease of perSecond requests per second under the limit r.
 func NewLease(r Rate, perSecond float64, until time.Time) Lease {
 	return Lease{limit: r.Bound(), perSecond: perSecond, until: until}
 }
@@ -36,7 +36,7 @@
 // without a lease: otherwise each instance that receives a lease in turn could send a request at once.
 type Bucket struct {
 	lease          Lease
-	level          float64 // requests, as of at
+	level          float64 // number of requests that may be sent, as of at
 	at             time.Time
 	availableSince time.Time // since when a request may be sent; zero: none may
 	lastSent       time.Time
@@ -102,7 +102,7 @@
 	return now.Sub(b.lastSent).Seconds()*rate >= 1
 }
 
-// Rate returns the requests per second that may be sent now.
+// Rate returns the leased rate in requests per second, or 0 if the lease has expired.
 func (b *Bucket) Rate(r Rate, now time.Time) float64 {
 	if !now.Before(b.lease.until) {
 		return 0
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -134,7 +134,7 @@
 // AttemptOutcome describes one attempt in an Outcome.
 type AttemptOutcome struct {
 	Endpoint      string
-	Reason        string
+	Reason        string // why the endpoint was picked
 	SkipReason    string // why the endpoint that is first by affinity was excluded; empty: it was not
 	Result        string
 	At            time.Duration // since the request arrived
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -21,12 +21,12 @@
 
 // meters holds the counters and histograms of a router.
 type meters struct {
-	metrics *observe.Metrics
-	first   tally.Histogram
-	total   tally.Histogram
-	store   tally.Histogram
-	calls   *callCounts
-	sent    *callCounts // bytes sent to other instances
+	metrics   *observe.Metrics
+	firstByte tally.Histogram
+	total     tally.Histogram
+	store     tally.Histogram
+	calls     *callCounts
+	sent      *callCounts // bytes sent to other instances
 }
 
 func newMeters(settings *Settings) *meters {
@@ -35,12 +35,12 @@
 	buckets := tally.MustMakeExponentialDurationBuckets(smallest, growth, steps)
 	m.Scope().Tagged(map[string]string{"build": buildinfo.Revision(), "formats": strconv.Itoa(compat.Generation)}).Gauge("build_info").Update(1)
 	return &meters{
-		metrics: m,
-		calls:   newCallCounts(),
-		sent:    newCallCounts(),
-		first:   m.Scope().Histogram("relay_first_byte_seconds", buckets),
-		total:   m.Scope().Histogram("relay_request_seconds", buckets),
-		store:   m.Scope().Histogram("store_call_seconds", buckets),
+		metrics:   m,
+		calls:     newCallCounts(),
+		sent:      newCallCounts(),
+		firstByte: m.Scope().Histogram("relay_first_byte_seconds", buckets),
+		total:     m.Scope().Histogram("relay_request_seconds", buckets),
+		store:     m.Scope().Histogram("store_call_seconds", buckets),
 	}
 }
 
@@ -88,7 +88,7 @@
 		}
 	}
 	if o.FirstByte > 0 {
-		m.first.RecordDuration(o.FirstByte)
+		m.firstByte.RecordDuration(o.FirstByte)
 	}
 	m.total.RecordDuration(o.Total)
 }
--- a/internal/router/explain.go
+++ b/internal/router/explain.go
@@ -51,7 +51,7 @@
 // AttemptLine is one attempt of the request in a Line.
 type AttemptLine struct {
 	Endpoint   string `json:"endpoint"`
-	Reason     string `json:"reason"`
+	Reason     string `json:"reason"` // why the endpoint was picked
 	End        string `json:"end"`
 	AtMs       int64  `json:"at_ms"`
 	SkipReason string `json:"kept_off"` // why the endpoint that is first by affinity was excluded; empty: it was not
--- a/internal/router/restoration.go
+++ b/internal/router/restoration.go
@@ -36,7 +36,7 @@
 
 // followEpochs registers callbacks for changes of the store's epoch.
 func (r *Router) followEpochs(epochs *external.Epochs) {
-	r.restored.now = r.boot.Now
+	r.restored.now = r.bootClock.Now
 	epochs.OnRestored(r.storeRestored)
 	epochs.OnEarlier(r.epochIgnored)
 }
--- a/internal/router/resume.go
+++ b/internal/router/resume.go
@@ -10,8 +10,8 @@
 // arrivalTime returns the time at which a caller's request is read. It checks the boot-time clock first, so that a
 // suspension of the machine is detected and data from before it does not count as fresh.
 func (r *Router) arrivalTime() time.Time {
-	r.boot.Check()
-	return r.boot.Now()
+	r.bootClock.Check()
+	return r.bootClock.Now()
 }
 
 // resumeGuard prevents an instance whose machine was suspended from serving with data from before the suspension, since
@@ -50,7 +50,7 @@
 func (r *Router) onResume(suspended time.Duration) {
 	r.resumeGuard.markResumed()
 	r.log.Warn().Str("event", "machine_woke").Int64("suspended_ms", suspended.Milliseconds()).
-		Msg("the machine was suspended: data from before is stale until it is received again")
+		Msg("the machine was suspended: not serving until current data has been received")
 	r.metrics.metrics.Scope().Counter("machine_suspensions_total").Inc(1)
 	r.client.CloseAllIdle()
 	r.core.CancelExpired()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -58,8 +58,8 @@
 	client        *upstream.Client
 	pool          *pool.Pool
 	peers         *peers.Directory
-	clock         *fleettime.Clock
-	boot          *boottime.Clock
+	fleetClock    *fleettime.Clock
+	bootClock     *boottime.Clock
 	resumeGuard   resumeGuard
 	load          *load.Exchange
 	replicator    *quarantine.Replicator
@@ -80,22 +80,22 @@
 // New returns a router whose listeners are open. It serves only once Run is called.
 func New(settings *Settings, platform Platform, log zerolog.Logger) (*Router, error) {
 	r := &Router{settings: settings, log: log, kernel: kernel.New(), metrics: newMeters(settings)}
-	if r.boot = platform.Clock; r.boot == nil {
-		r.boot = boottime.New()
+	if r.bootClock = platform.Clock; r.bootClock == nil {
+		r.bootClock = boottime.New()
 	}
 	r.start = newStartRecorder(log, r.metrics.recordStartStep)
 	r.followEpochs(platform.Epochs)
 	platform.Calls.OnCall(r.onStoreCall)
 	platform.Calls.OnBackoff(r.logStoreBackoff)
 	id := settings.Instance.ID + "/" + strings.ToLower(ulid.Make().String())
-	links := mesh.NewRouter()
-	r.newFleet(platform, links, id)
-	r.newEscrow(platform, links, id)
-	r.newFollower(platform, links)
-	r.newSharing(platform, links)
+	meshRouter := mesh.NewRouter()
+	r.newFleet(platform, meshRouter, id)
+	r.newEscrow(platform, meshRouter, id)
+	r.newFollower(platform, meshRouter)
+	r.newSharing(platform, meshRouter)
 	r.newCore(platform)
-	r.resumeGuard = resumeGuard{clock: r.boot, lastContact: r.follow.LastContact}
-	r.boot.OnResume(r.onResume)
+	r.resumeGuard = resumeGuard{clock: r.bootClock, lastContact: r.follow.LastContact}
+	r.bootClock.OnResume(r.onResume)
 	if err := r.listen(platform); err != nil {
 		return nil, err
 	}
@@ -105,8 +105,8 @@
 
 // newFleet creates the components that communicate with endpoints and other instances, and the monitor of the network
 // link.
-func (r *Router) newFleet(platform Platform, links *mesh.Router, id string) {
-	settings, now := r.settings, r.boot.Now
+func (r *Router) newFleet(platform Platform, meshRouter *mesh.Router, id string) {
+	settings, now := r.settings, r.bootClock.Now
 	r.pressure = pressure.New(
 		pressure.WithPolicy(settings.pressurePolicy()), pressure.OnChange(r.logPressure), pressure.WithLink(settings.Instance.LinkMbps), pressure.WithNow(now),
 	)
@@ -115,7 +115,7 @@
 		Peer:     mesh.Peer{ID: settings.Instance.ID, Zone: settings.Instance.Zone, Addr: settings.Peers.Listen, Incarnation: id},
 		Capacity: settings.Instance.LinkMbps,
 	}
-	r.peers = peers.New(platform.Store, settings.Store.Prefix, self, links,
+	r.peers = peers.New(platform.Store, settings.Store.Prefix, self, meshRouter,
 		append(settings.peersOptions(), peers.WithNow(now), peers.WithLogger(r.log), peers.WithEpochs(platform.Epochs), peers.WithTraffic(r.metrics.recordMeshSent))...)
 	logNotice, logNoticeEnd := pool.LogNotices(r.log)
 	opts := []pool.Option{
@@ -127,45 +127,45 @@
 		opts = append(opts, pool.WithLeases())
 	}
 	r.pool = pool.New(settings.Instance.Zone, opts...)
-	r.clock = fleettime.New(r.peers, settings.Instance.ID, links, fleettime.WithSteady(r.boot.Elapsed))
+	r.fleetClock = fleettime.New(r.peers, settings.Instance.ID, meshRouter, fleettime.WithSteady(r.bootClock.Elapsed))
 }
 
 // newEscrow creates the holder of customers' budgets.
-func (r *Router) newEscrow(platform Platform, links *mesh.Router, id string) {
+func (r *Router) newEscrow(platform Platform, meshRouter *mesh.Router, id string) {
 	settings := r.settings
 	r.escrow = escrow.New(platform.Store, settings.Store.Prefix+escrowPrefix, settings.Store.pages(), settings.Instance.ID, id,
-		escrow.WithLogger(r.log), escrow.WithNow(r.boot.Now), escrow.OnSettlement(r.metrics.recordSettlement), escrow.WithPolicy(settings.escrowPolicy()),
+		escrow.WithLogger(r.log), escrow.WithNow(r.bootClock.Now), escrow.OnSettlement(r.metrics.recordSettlement), escrow.WithPolicy(settings.escrowPolicy()),
 		escrow.WithEpochs(platform.Epochs),
-		escrow.WithFleet(remote.New(r.peers, r.clock, settings.fleetOptions()...)))
-	remote.Serve(links, r.escrow)
+		escrow.WithFleet(remote.New(r.peers, r.fleetClock, settings.fleetOptions()...)))
+	remote.Serve(meshRouter, r.escrow)
 }
 
 // newFollower creates the component that watches the configuration and the endpoints.
-func (r *Router) newFollower(platform Platform, links *mesh.Router) {
-	r.follow = follow.New(feed.NewSource(r.peers, platform.Source, feed.WithNow(r.boot.Now), feed.WithEpochs(platform.Epochs)), r.pool,
-		follow.WithLogger(r.log), follow.WithNow(r.boot.Now), follow.OnRejected(r.metrics.recordRejected),
+func (r *Router) newFollower(platform Platform, meshRouter *mesh.Router) {
+	r.follow = follow.New(feed.NewSource(r.peers, platform.Source, feed.WithNow(r.bootClock.Now), feed.WithEpochs(platform.Epochs)), r.pool,
+		follow.WithLogger(r.log), follow.WithNow(r.bootClock.Now), follow.OnRejected(r.metrics.recordRejected),
 		follow.OnTable(r.updateBudgets), follow.OnTable(r.updateServices),
 		follow.OnEntry(r.observeEntry), follow.OnPolled(r.escrow.StoreAnswered), follow.WithFleetRecords(func() bool { return !r.peers.Large() }))
-	feed.Serve(links, r.follow, platform.Epochs)
+	feed.Serve(meshRouter, r.follow, platform.Epochs)
 }
 
 // newSharing creates the components through which instances exchange the load of endpoints, and quarantined requests.
-func (r *Router) newSharing(platform Platform, links *mesh.Router) {
-	now := r.boot.Now
+func (r *Router) newSharing(platform Platform, meshRouter *mesh.Router) {
+	now := r.bootClock.Now
 	r.suspects = quarantine.New(quarantine.WithNow(now), quarantine.WithProber(r.ownsProbe), quarantine.OnChange(r.onQuarantineChange),
 		quarantine.OnUpdate(func() { r.replicator.Wake() }))
-	r.replicator = quarantine.NewReplicator(r.suspects, r.peers, platform.Store, r.settings.Store.Prefix, links,
+	r.replicator = quarantine.NewReplicator(r.suspects, r.peers, platform.Store, r.settings.Store.Prefix, meshRouter,
 		quarantine.WithLogger(r.log), quarantine.WithEpochs(platform.Epochs))
-	r.load = load.New(r.peers, r.pool, links, load.WithPiggyback(r.replicator), load.WithNow(now), load.OnLimits(r.metrics.recordLimits))
+	r.load = load.New(r.peers, r.pool, meshRouter, load.WithPiggyback(r.replicator), load.WithNow(now), load.OnLimits(r.metrics.recordLimits))
 }
 
 // newCore creates the component that serves requests.
 func (r *Router) newCore(platform Platform) {
 	ratio, slack := r.settings.retryBudget()
-	retries := retry.NewFleetBudget(ratio, slack, r.settings.Retry.Window, r.fleetSize, r.boot.Now)
+	retries := retry.NewFleetBudget(ratio, slack, r.settings.Retry.Window, r.fleetSize, r.bootClock.Now)
 	r.core = relay.New(relay.Deps{
 		Table: r.follow.Table, Pool: r.pool, Budgets: r.escrow, Retries: retries, Client: r.client, Dialect: platform.Dialect,
-	}, append(r.settings.relayOptions(), relay.WithNow(r.boot.Now), relay.OnOutcome(r.logRequest), relay.OnDelayedExit(r.logDelayedExit),
+	}, append(r.settings.relayOptions(), relay.WithNow(r.bootClock.Now), relay.OnOutcome(r.logRequest), relay.OnDelayedExit(r.logDelayedExit),
 		relay.WithQuarantine(r.suspects), relay.WithStateFresh(r.resumeGuard.stateFresh), relay.OnDial(r.recordDial), relay.WithCongested(r.pressure.Congested))...)
 }
 
@@ -201,9 +201,9 @@
 
 // services returns the services of the instance in the order in which they start.
 func (r *Router) services() []kernel.Service {
-	list := []kernel.Service{r.boot, r.peers}
+	list := []kernel.Service{r.bootClock, r.peers}
 	if !r.settings.disabled(FleetTime) {
-		list = append(list, r.clock)
+		list = append(list, r.fleetClock)
 	}
 	if !r.settings.disabled(Loads) {
 		list = append(list, r.load)
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -36,8 +36,8 @@
 			}
 			return target.Lease
 		}
-		// all picks until no endpoint accepts more work, so that the result contains every available endpoint.
-		all := func() map[string][]*pool.Lease {
+		// pickAll picks until no endpoint accepts more work, so that the result contains every available endpoint.
+		pickAll := func() map[string][]*pool.Lease {
 			out := make(map[string][]*pool.Lease)
 			for lease := pick(); lease != nil; lease = pick() {
 				out[lease.Endpoint().ID] = append(out[lease.Endpoint().ID], lease)
@@ -49,7 +49,7 @@
 				lease.Done(as)
 			}
 		}
-		paused := func() (n int) {
+		ejected := func() (n int) {
 			for _, s := range tgts.Statuses() {
 				if s.Ejected {
 					n++
@@ -97,13 +97,13 @@
 		})
 
 		Convey("endpoints are ejected after three consecutive failures, but never more than half of the pool", func() {
-			for _, leases := range all() {
+			for _, leases := range pickAll() {
 				end(leases[:2], pool.EndBroken)
-				So(paused(), ShouldBeLessThanOrEqualTo, 2)
+				So(ejected(), ShouldBeLessThanOrEqualTo, 2)
 				end(leases[2:], pool.EndBroken)
 			}
-			So(paused(), ShouldEqual, 2)
-			left := all()
+			So(ejected(), ShouldEqual, 2)
+			left := pickAll()
 			So(len(left), ShouldEqual, 2)
 			for _, leases := range left {
 				end(leases, pool.EndNeutral)
@@ -111,7 +111,7 @@
 
 			Convey("and return after a single successful request", func() {
 				now = now.Add(31 * time.Second)
-				again := all()
+				again := pickAll()
 				So(len(again), ShouldEqual, 4)
 				for id, leases := range again {
 					if left[id] == nil {
@@ -120,23 +120,23 @@
 					leases[0].Accepted()
 					end(leases, pool.EndGood)
 				}
-				So(paused(), ShouldEqual, 0)
-				So(len(all()), ShouldEqual, 4)
+				So(ejected(), ShouldEqual, 0)
+				So(len(pickAll()), ShouldEqual, 4)
 			})
 		})
 
 		Convey("two failures, or three with a success in between, eject no endpoint", func() {
-			for _, leases := range all() {
+			for _, leases := range pickAll() {
 				end(leases[:2], pool.EndBroken)
 				end(leases[2:3], pool.EndGood)
 				end(leases[3:], pool.EndBroken)
 			}
-			So(paused(), ShouldEqual, 0)
+			So(ejected(), ShouldEqual, 0)
 		})
 
 		Convey("an endpoint that responds far slower than the others is ejected", func() {
 			for range 6 {
-				for id, leases := range all() {
+				for id, leases := range pickAll() {
 					took := 100 * time.Millisecond
 					if id == "e0" {
 						took = time.Second
@@ -148,11 +148,11 @@
 				}
 			}
 			So(tgts.Statuses()[0].Ejected, ShouldBeTrue)
-			So(paused(), ShouldEqual, 1)
+			So(ejected(), ShouldEqual, 1)
 		})
 
 		Convey("an endpoint that announces that it is leaving, or asks for a back-off, gets no work, and its status states why", func() {
-			leases := all()
+			leases := pickAll()
 			leases["e0"][0].ObserveNotice(pool.Notice{Leaving: true}, pool.Answer{})
 			leases["e1"][0].ObserveNotice(pool.Notice{Rest: 2 * time.Second}, pool.Answer{})
 			for _, l := range leases {
@@ -161,13 +161,13 @@
 			So(tgts.Capacity("p"), ShouldEqual, 8)
 			So(tgts.Statuses()[0].ExclusionReason, ShouldEqual, "leaving")
 			So(tgts.Statuses()[1].ExclusionReason, ShouldEqual, "resting")
-			left := all()
+			left := pickAll()
 			So(left["e0"], ShouldBeEmpty)
 			So(left["e1"], ShouldBeEmpty)
 			now = now.Add(3 * time.Second)
-			So(len(all()["e1"]), ShouldEqual, 1)
+			So(len(pickAll()["e1"]), ShouldEqual, 1)
 			tgts.SetDocument(document(3, 4, declare.StateActive)) // the same endpoints again
-			So(all()["e0"], ShouldBeEmpty)
+			So(pickAll()["e0"], ShouldBeEmpty)
 		})
 
 		Convey("prompts go to the endpoint that has their prefix in its cache", func() {
