--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -30,9 +30,9 @@
 // requestDigest identifies the request by its content, whatever its ID.
 func (j *job) requestDigest() quarantine.Digest {
 	if j.plain != nil {
-		return quarantine.Of(j.customer, j.plain.method, j.pool, j.plain.path, j.plain.body)
+		return quarantine.DigestOf(j.customer, j.plain.method, j.pool, j.plain.path, j.plain.body)
 	}
-	return quarantine.Of(j.customer, http.MethodPost, j.pool, wire.PathCompletions, j.body)
+	return quarantine.DigestOf(j.customer, http.MethodPost, j.pool, wire.PathCompletions, j.body)
 }
 
 // admitSuspect rejects a request in quarantine, under which several endpoints crashed. After two crashes in a row it
--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -16,9 +16,9 @@
 // caller cannot make two requests with the same digest, and the body cannot be recovered from the digest.
 type Digest [16]byte
 
-// Of returns the digest of a request. customer is the one whose key was used; target is the path and query as the
+// DigestOf returns the digest of a request. customer is the one whose key was used; target is the path and query as the
 // caller wrote them.
-func Of(customer, method, host, target string, body []byte) Digest {
+func DigestOf(customer, method, host, target string, body []byte) Digest {
 	h := sha256.New()
 	var size [8]byte
 	for _, part := range []string{customer, method, host, target} {
--- a/internal/quarantine/replicator_test.go
+++ b/internal/quarantine/replicator_test.go
@@ -112,7 +112,7 @@
 
 			Convey("also on a restarted instance, which receives the records of the others, even if it has sent a record itself", func() {
 				f.restart(3)
-				f.nodes[3].tracker.RecordCrash(Of("north", "GET", "h", "/", nil), "north", Crash{Run: "x", Began: f.now, Ended: f.now})
+				f.nodes[3].tracker.RecordCrash(DigestOf("north", "GET", "h", "/", nil), "north", Crash{Run: "x", Began: f.now, Ended: f.now})
 				f.exchange()
 				f.push(3)
 				f.exchange()
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -24,7 +24,7 @@
 	return tt
 }
 
-var crashing = Of("north", "POST", "api.example", "/draft/x", []byte("crashes"))
+var crashing = DigestOf("north", "POST", "api.example", "/draft/x", []byte("crashes"))
 
 // crash records a run of the crashing request that begins now and crashes its endpoint 80 ms later.
 func (tt *testTracker) crash(endpoint string, streamed bool) {
@@ -48,14 +48,14 @@
 		for _, c := range []string{"north", "south"} {
 			for _, target := range []string{"/draft/x", "/draft/x?a=1", "/draft/y"} {
 				for _, body := range []string{"", "crashes", "crashes2"} {
-					digest := Of(c, "POST", "api.example", target, []byte(body))
+					digest := DigestOf(c, "POST", "api.example", target, []byte(body))
 					So(seen[digest], ShouldBeEmpty)
 					seen[digest] = c + target + body
 				}
 			}
 		}
-		So(Of("ab", "POST", "c", "/", nil), ShouldNotEqual, Of("a", "POST", "bc", "/", nil))
-		So(Of("north", "POST", "api.example", "/draft/x", []byte("crashes")), ShouldEqual, crashing)
+		So(DigestOf("ab", "POST", "c", "/", nil), ShouldNotEqual, DigestOf("a", "POST", "bc", "/", nil))
+		So(DigestOf("north", "POST", "api.example", "/draft/x", []byte("crashes")), ShouldEqual, crashing)
 	})
 }
 
@@ -78,7 +78,7 @@
 			So(tt.Quarantined(crashing), ShouldBeTrue)
 			So(tt.Suspects("north"), ShouldBeTrue)
 			So(tt.Suspects("south"), ShouldBeFalse)
-			d, _ := tt.Enter(Of("north", "POST", "api.example", "/draft/x", []byte("fine")))
+			d, _ := tt.Enter(DigestOf("north", "POST", "api.example", "/draft/x", []byte("fine")))
 			So(d, ShouldEqual, Run)
 			So(len(tt.changes), ShouldEqual, 1)
 			So(tt.changes[0].Quarantined && tt.changes[0].Local && len(tt.changes[0].Crashes) == 3, ShouldBeTrue)
@@ -161,7 +161,7 @@
 			}
 			for i := range 3 * maxRecords {
 				customer := []string{"north", "south"}[i%2]
-				tt.RecordCrash(Of(customer, "POST", "h", fmt.Sprintf("/%d", i), nil), customer, Crash{Run: fmt.Sprintf("x-%d", i), Began: tt.now, Ended: tt.now})
+				tt.RecordCrash(DigestOf(customer, "POST", "h", fmt.Sprintf("/%d", i), nil), customer, Crash{Run: fmt.Sprintf("x-%d", i), Began: tt.now, Ended: tt.now})
 			}
 			So(tt.customers["north"], ShouldBeLessThanOrEqualTo, maxCustomerRecords)
 			So(len(tt.records), ShouldBeLessThanOrEqualTo, maxRecords)
@@ -259,7 +259,7 @@
 	body := make([]byte, 12<<10)
 	b.Run("digest", func(b *testing.B) {
 		for b.Loop() {
-			Of("north", "POST", "api.example", "/draft/x", body)
+			DigestOf("north", "POST", "api.example", "/draft/x", body)
 		}
 	})
 }
--- a/internal/relay/exits.go
+++ b/internal/relay/exits.go
@@ -130,7 +130,7 @@
 		if j.customer != nil {
 			customer = j.customer.Name
 		}
-		d := quarantine.Of(customer, j.req.Method, j.req.Host, j.req.Target, j.req.Body)
+		d := quarantine.DigestOf(customer, j.req.Method, j.req.Host, j.req.Target, j.req.Body)
 		j.cachedDigest = &d
 	}
 	return *j.cachedDigest
