--- a/internal/limit/allocator.go
+++ b/internal/limit/allocator.go
@@ -9,9 +9,9 @@
 
 // Durations and thresholds of the allocation.
 const (
-	// offerDuration is how long an instance does not use its own share after it has offered it. This is longer than the
-	// share can be in use elsewhere: claimLifetime at each of the instances that pass it on, then LeaseDuration, and the
-	// transit time of the messages.
+	// offerDuration is how long an instance does not use its share after it has offered it. This is longer than the share
+	// can be in use elsewhere: claimLifetime at each of the instances that pass it on, then LeaseDuration, and the transit
+	// time of the messages.
 	offerDuration = 5 * time.Second
 	// claimLifetime is how long a claim counts; instances repeat their claims twice a second.
 	claimLifetime = 800 * time.Millisecond
@@ -22,13 +22,13 @@
 	hysteresis = 1.5
 )
 
-// SettleTime is how long a restarted instance has no share of its own: its previous process may have offered it.
+// SettleTime is how long a restarted instance has no share, since its previous process may have offered the share.
 const SettleTime = offerDuration
 
 // Claim is what an instance, or a group of instances, reports about one endpoint.
 type Claim struct {
 	Demand float64 // requests per second that it would send there
-	Offer  float64 // requests per second of its own share that it offers for some seconds
+	Offer  float64 // part of its share that it offers for some seconds, in requests per second
 }
 
 // Grant is the rate that is granted for a Claim.
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -88,8 +88,8 @@
 	piggyback Piggyback
 
 	mu      sync.Mutex
-	members map[string]received // by reporting instance, if this one collects reports
-	zones   map[string]received // by availability zone other than its own, likewise
+	members map[string]received // by instance that reports to this one
+	zones   map[string]received // by other availability zone, if this instance exchanges sums with them
 	summary summary
 
 	allocator    *limit.Allocator
