--- a/internal/escrow/account.go
+++ b/internal/escrow/account.go
@@ -8,7 +8,7 @@
 // issuedRow is a row of this holder that is, or may be, in the store.
 type issuedRow struct {
 	row       Row
-	clock     time.Duration // reading of the steady clock in the report
+	clock     time.Duration // reading of the steady clock in the holder's report
 	remaining int64         // unspent part of the entire account, with this row
 	ungranted int64         // part of the entire account, granted to nobody, with this row
 	// unproven is Account.Unproven with this row.
--- a/internal/escrow/borrow.go
+++ b/internal/escrow/borrow.go
@@ -106,7 +106,7 @@
 	if h.unreachableSince[lender].IsZero() {
 		h.unreachableSince[lender] = h.now()
 	}
-	if h.now().Sub(h.unreachableSince[lender]) > loanLife {
+	if h.now().Sub(h.unreachableSince[lender]) > loanTTL {
 		delete(h.unreachableSince, lender)
 		return
 	}
--- a/internal/escrow/clock.go
+++ b/internal/escrow/clock.go
@@ -18,8 +18,8 @@
 	Boot() string
 }
 
-// bootClockPrefix starts the boot names of this clock. Builds whose clock leaves suspensions out use the boot ID alone
-// as name. The different names prevent an age from being computed across the two clocks.
+// bootClockPrefix precedes the boot ID in the boot names of this clock. Builds whose clock leaves suspensions out use
+// the boot ID alone. The different names prevent an age from being computed across the two clocks.
 const bootClockPrefix = "boottime:"
 
 type machineClock struct{ boot string }
--- a/internal/escrow/copy.go
+++ b/internal/escrow/copy.go
@@ -29,14 +29,14 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.noteAnswer()
+	h.recordAnswer()
 	return h.adopt(p, entry)
 }
 
-// noteAnswer records that the store has answered. The caller holds mu.
-func (h *Holder) noteAnswer() { h.lastAnswer = h.now() }
+// recordAnswer records that the store has answered. The caller holds mu.
+func (h *Holder) recordAnswer() { h.lastAnswer = h.now() }
 
-// Observe takes in a page that was read or watched elsewhere.
+// Observe applies a newer copy of a page that was read or watched elsewhere.
 func (h *Holder) Observe(e external.Entry) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -56,7 +56,7 @@
 	return e.Revision
 }
 
-// adopt takes in a newer copy of a page. The caller holds mu.
+// adopt replaces the known copy of a page by a newer one. The caller holds mu.
 func (h *Holder) adopt(p *pageState, e external.Entry) error {
 	revision := h.revisionOf(e)
 	if p.known && revision < p.revision {
@@ -115,6 +115,8 @@
 	return p.unconfirmedBase >= 0 && revision > p.unconfirmedBase
 }
 
+// adoptCurrent adopts the copy of a page that a conflict has returned. If there is none, the page is to be read again.
+// The caller holds mu.
 func (h *Holder) adoptCurrent(p *pageState, current []external.Entry) error {
 	for _, e := range current {
 		if e.Key == p.key {
--- a/internal/escrow/draw.go
+++ b/internal/escrow/draw.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	joinSpread      = 3                       // spreads attempts to join over this many gaps, multiplied by fleetSizeFactor
+	joinSpread      = 3                       // attempts to join are spread over this many gaps, times fleetSizeFactor
 	refreshAttempts = 6                       // successive conflicts before a refresh waits for the next round
 	idleRefresh     = 4 * time.Second         // an idle page is reported this often
 	stoppingHorizon = 2500 * time.Millisecond // horizon of grants while the process is about to stop
--- a/internal/escrow/granting_test.go
+++ b/internal/escrow/granting_test.go
@@ -39,12 +39,12 @@
 func checkGranter(t *rapid.T, g *granter, nodes, runs int, prepaid int64) {
 	for _, customer := range propertyCustomers {
 		a := g.page.account(customer)
-		rest, free := g.unspent(customer, prepaid)
-		if rest != prepaid-a.Spent() || free != prepaid-a.Committed() {
-			t.Fatalf("%s: %d unspent and %d ungranted, but %d and %d by the rows", customer, rest, free, prepaid-a.Spent(), prepaid-a.Committed())
+		remaining, ungranted := g.unspent(customer, prepaid)
+		if remaining != prepaid-a.Spent() || ungranted != prepaid-a.Committed() {
+			t.Fatalf("%s: %d unspent and %d ungranted, but %d and %d by the rows", customer, remaining, ungranted, prepaid-a.Spent(), prepaid-a.Committed())
 		}
-		if free < 0 {
-			t.Fatalf("%s: %d more than the prepaid amount is granted", customer, -free)
+		if ungranted < 0 {
+			t.Fatalf("%s: %d more than the prepaid amount is granted", customer, -ungranted)
 		}
 	}
 	for n := range nodes {
--- a/internal/escrow/group.go
+++ b/internal/escrow/group.go
@@ -16,8 +16,8 @@
 
 const (
 	submissionWait = 1800 * time.Millisecond // limit of the wait for the write
-	submissionLife = 2500 * time.Millisecond // a submission that is not written by then is dropped
-	loanLife       = 90 * time.Second        // a loan that is not repaid by then counts as used
+	submissionTTL  = 2500 * time.Millisecond // a submission that is not written by then is dropped
+	loanTTL        = 90 * time.Second        // a loan that is not repaid by then counts as used
 )
 
 // pendingPart is a submitted part that waits for the next write of its page.
@@ -123,7 +123,7 @@
 	now := h.now()
 	live := p.pending[:0]
 	for _, x := range p.pending {
-		if now.Sub(x.arrived) < submissionLife {
+		if now.Sub(x.arrived) < submissionTTL {
 			live = append(live, x)
 		}
 	}
@@ -148,14 +148,14 @@
 	at    time.Time
 }
 
-// demandLife is the time for which a reported demand counts.
-const demandLife = 6 * time.Second
+// demandTTL is the time for which a reported demand counts.
+const demandTTL = 6 * time.Second
 
 // sumZoneDemand sums the zone's demand of a page's customers. The caller holds mu.
 func (h *Holder) sumZoneDemand(p *pageState) {
 	now := h.now()
 	for holder, x := range h.zoneDemand {
-		if now.Sub(x.at) > demandLife {
+		if now.Sub(x.at) > demandTTL {
 			delete(h.zoneDemand, holder)
 		}
 	}
@@ -312,13 +312,13 @@
 	now := h.now()
 	var old []*Reservation
 	for key, l := range h.loans {
-		if now.Sub(l.at) > loanLife {
+		if now.Sub(l.at) > loanTTL {
 			old = append(old, l.reservation)
 			delete(h.loans, key)
 		}
 	}
 	for key, at := range h.returnedEarly {
-		if now.Sub(at) > loanLife {
+		if now.Sub(at) > loanTTL {
 			delete(h.returnedEarly, key)
 		}
 	}
--- a/internal/escrow/group_test.go
+++ b/internal/escrow/group_test.go
@@ -69,7 +69,7 @@
 			So(w.page(north).Holders[h.id].Count, ShouldEqual, 2)
 		})
 
-		Convey("relies on the smallest row that may be in force while the leader may still write, even after the page has changed", func() {
+		Convey("spends no more than the smallest row that may be in force while the leader may still write, even after the page has changed", func() {
 			h.stopping = true
 			for range 3 {
 				w.useTokens(member, north, 10)
@@ -79,10 +79,10 @@
 			member.link = linkDelayed
 			w.useTokens(member, north, 10)
 			w.refresh(member)
-			least := h.View(north).Available
+			available := h.View(north).Available
 			w.refresh(w.nodes[2])
 			w.observe(member)
-			So(h.View(north).Available, ShouldEqual, least)
+			So(h.View(north).Available, ShouldEqual, available)
 			w.refresh(leader)
 			w.observe(member)
 			So(h.pageOf(north).submitted, ShouldBeFalse)
@@ -207,7 +207,7 @@
 		Convey("that is never repaid counts as used in the end", func() {
 			before := leader.holder.View(north).Available
 			So(leader.holder.Lend(ctx, loan), ShouldBeNil)
-			w.elapsed += loanLife + time.Second
+			w.elapsed += loanTTL + time.Second
 			leader.holder.writeOffLoans()
 			So(leader.holder.loans, ShouldBeEmpty)
 			So(leader.holder.accounts[north].used(), ShouldEqual, 100)
--- a/internal/escrow/holder.go
+++ b/internal/escrow/holder.go
@@ -223,11 +223,11 @@
 // StoreAnswered notifies the holder that the store has just answered, which is the best moment for a regular refresh.
 // observed reports that all pages that have changed were passed to Observe, so that a write can be based on them.
 func (h *Holder) StoreAnswered(observed bool) {
-	viaLeader := h.isFollower() || h.isRelay() // by a leader that has contact with the store
+	viaLeader := h.isFollower() || h.isRelay() // notified by a leader that has contact with the store
 	h.mu.Lock()
 	now := h.now()
 	if viaLeader {
-		h.noteAnswer()
+		h.recordAnswer()
 	}
 	due := now.Sub(h.lastRefresh) >= h.refreshInterval()*9/10
 	for _, p := range h.pages {
@@ -247,8 +247,8 @@
 	return h.times.RefreshInterval * h.fleetSizeFactor()
 }
 
-// fleetSizeFactor returns by how much refreshes are less frequent than in a small fleet. In zones with a leader few holders
-// write. The caller holds mu.
+// fleetSizeFactor returns the factor by which refreshes are less frequent than in a small fleet. It is 1 while zones
+// have leaders that can be reached, since only few holders write then. The caller holds mu.
 func (h *Holder) fleetSizeFactor() time.Duration {
 	if h.fleet != nil && h.fleet.Large() && !h.fleet.LeadersUnreachable() {
 		return 1
--- a/internal/escrow/loss_test.go
+++ b/internal/escrow/loss_test.go
@@ -104,8 +104,8 @@
 
 // run advances time to a moment, with the store reachable or not.
 func (f *lossFleet) run(until time.Duration, unreachable bool) {
-	for _, g := range f.stores {
-		g.unreachable = unreachable
+	for _, s := range f.stores {
+		s.unreachable = unreachable
 	}
 	f.served, f.refused = 0, 0
 	for ; f.elapsed < until; f.elapsed += lossStep {
@@ -217,7 +217,6 @@
 // remains of the budget cannot hold the request; 3120006 tokens of it count as spent by instances that were lost": 114
 // per second at 56 s, while one stream was served. At 29 s, 118 per second had been served. A quarter of the prepaid
 // tokens was unused. Later callers got nothing of the rest, and the operator had no time to pay in more.
-
 func TestServiceContinuesAfterPowerLosses(t *testing.T) {
 	Convey("Where a loss has taken a large part of budgets and they run out, some of the later requests are served", t, func() {
 		checkServedLater(t, 50*time.Second)
--- a/internal/escrow/page.go
+++ b/internal/escrow/page.go
@@ -56,7 +56,7 @@
 	return a.Settled + a.sums().granted
 }
 
-// Report states who a holder is and when it last wrote.
+// Report identifies a holder and states when it last wrote.
 type Report struct {
 	Node  string `cbor:"1,keyasint"`           // the name that a holder shares with its successors
 	Boot  string `cbor:"2,keyasint,omitempty"` // identifies the boot of the machine; empty: unknown
@@ -170,8 +170,9 @@
 func (s Settlement) Unproven() int64 { return s.Settled - s.Spent }
 
 // SettlePredecessors settles the rows of a node's earlier holders. These had ended when the successor's process
-// started; start is the report of that moment. If both reports are from the same clock, at most Ceiling can have been
-// spent; otherwise everything granted counts as spent. Rows for which start.FleetTime is still pending stay.
+// started; start is the report of that moment. If the clocks give the time between a holder's last report and start,
+// the holder can have spent at most its Ceiling. Otherwise, and if its rows are stale, everything granted to it counts
+// as spent. Rows whose age start.FleetTime will soon give more exactly stay.
 func (p *Page) SettlePredecessors(successor string, start Report) []Settlement {
 	var predecessors []string
 	for id, r := range p.Holders {
--- a/internal/escrow/page_test.go
+++ b/internal/escrow/page_test.go
@@ -61,15 +61,15 @@
 				out, err = decompress(out)
 				So(err, ShouldBeNil)
 			}
-			var back laterPage
-			So(cbor.Unmarshal(out, &back), ShouldBeNil)
+			var decoded laterPage
+			So(cbor.Unmarshal(out, &decoded), ShouldBeNil)
 			delete(later.Accounts["north"].Rows, "node-0/1")
 			delete(later.Holders, "node-0/1")
 			later.Accounts["north"].Rows["node-1/1"] = laterRow{Granted: 12, Spent: 5, Lent: 1}
 			account := later.Accounts["north"]
 			account.Settled += 6
 			later.Accounts["north"] = account
-			So(back, ShouldResemble, later)
+			So(decoded, ShouldResemble, later)
 		}
 	})
 }
@@ -146,11 +146,11 @@
 	Convey("What a holder that has ended may have spent", t, func() {
 		Convey("depends on the time from its report to the start of its successor", func() {
 			p := page()
-			f := p.SettlePredecessors("node/2", report(10*time.Second+Grace+time.Second))
-			So(f[0].Settled, ShouldEqual, 100+50+200)
-			So(f[0].Unproven(), ShouldEqual, 50+200)
+			settlements := p.SettlePredecessors("node/2", report(10*time.Second+Grace+time.Second))
+			So(settlements[0].Settled, ShouldEqual, 100+50+200)
+			So(settlements[0].Unproven(), ShouldEqual, 50+200)
 			So(p.Accounts[north].Unproven, ShouldEqual, 50+200)
-			So(p.Accounts[north].Settled, ShouldEqual, f[0].Settled)
+			So(p.Accounts[north].Settled, ShouldEqual, settlements[0].Settled)
 			So(p.Holders, ShouldBeEmpty)
 		})
 
@@ -202,9 +202,9 @@
 	Convey("A successor settles once it has the fleet's time, through its leader or by itself", t, func() {
 		for _, link := range []int{linkNone, linkUp} {
 			w := newWorld(DefaultPolicy())
-			lead, n := w.nodes[0], w.nodes[1]
-			lead.hasFleetTime, n.hasFleetTime, n.link = true, true, link
-			w.refresh(lead)
+			leader, n := w.nodes[0], w.nodes[1]
+			leader.hasFleetTime, n.hasFleetTime, n.link = true, true, link
+			w.refresh(leader)
 			w.refresh(n)
 			old := n.holder.id
 			n.hasFleetTime = false
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -64,10 +64,11 @@
 	})
 }
 
-// Reserve sets aside the most that a request can use. If the holder's grant is too small, Reserve waits for a refresh
-// (only if this holder writes its own rows) or borrows from other holders. It waits no longer than Times.ReserveWait and
-// Times.LoanTimeout. rank is the request's rank among the customer's own requests, 0 first: scarce tokens are reserved
-// for the first ranks. Errors are verdicts: not run, with the time to retry if there is one.
+// Reserve sets aside the most that a request can use. If the holder's grant is too small, Reserve waits for a refresh,
+// provided that this holder writes its own rows, or borrows from other holders. It waits no longer than
+// Times.ReserveWait and Times.LoanTimeout. rank is the request's rank among the customer's own requests, 0 first:
+// scarce tokens are reserved for the first ranks. Each error is a verdict that the request has not run, with the time
+// to retry if there is one.
 func (h *Holder) Reserve(ctx context.Context, customer string, maxTokens int64, rank int) (*Reservation, error) {
 	if err := h.rejectAtRandom(customer, maxTokens); err != nil {
 		return nil, err
--- a/internal/escrow/restore.go
+++ b/internal/escrow/restore.go
@@ -13,9 +13,9 @@
 // available would overspend.
 //
 // Therefore the first holder that writes a page in the new epoch writes back the newest copy that it has. Each holder
-// then restates its rows with its current grants. Until the holders had time for this, nothing is granted beyond what they
-// have. After that, a holder that has not restated its rows counts with their amounts plus its demand. For a holder that
-// has ended, everything granted is settled as spent.
+// then restates its rows with its current grants. Until the holders have had time for this, nothing is granted beyond
+// what they have. After that, a holder that has not restated its rows is assumed to have the amounts in its rows plus
+// its demand. For such a holder that has ended, everything granted is settled as spent.
 
 // restateWait is the time that holders have to restate their rows after a restoration.
 const restateWait = 2 * time.Second
--- a/internal/escrow/restore_test.go
+++ b/internal/escrow/restore_test.go
@@ -62,7 +62,7 @@
 			So(w.page(north).RestoredEpoch, ShouldEqual, 2)
 		})
 
-		Convey("a grant that only its holder has is not granted again before that holder had time to restate it", func() {
+		Convey("a grant that only its holder has is not granted again before that holder has had time to restate it", func() {
 			So(w.reserveAfterRefresh(a, north, 35_000), ShouldBeTrue)
 			w.settle(a, 0)
 			for _, n := range w.nodes {
@@ -176,8 +176,8 @@
 func TestLimitAfterRestoration(t *testing.T) {
 	Convey("A row is raised at most as far as the margin of stale holders allows, not at all while others have to restate theirs, and never lowered because of it", t, func() {
 		for _, c := range []struct {
-			frozen                     bool
-			old, free, margin, reaches int64
+			frozen                       bool
+			old, ungranted, margin, want int64
 		}{
 			{false, 10, 100, 0, 100},
 			{false, 10, 100, 30, 70},
@@ -187,7 +187,7 @@
 			{true, 30, 20, 0, 20},
 		} {
 			g := &granter{frozen: c.frozen}
-			So(g.limit(Row{Granted: c.old}, c.free, c.margin), ShouldEqual, c.reaches)
+			So(g.limit(Row{Granted: c.old}, c.ungranted, c.margin), ShouldEqual, c.want)
 		}
 	})
 }
@@ -198,7 +198,7 @@
 			restored int64
 			before   *Report
 			part     Report
-			follows  bool
+			isNext   bool
 		}{
 			{0, nil, Report{Count: 1}, true},
 			{0, nil, Report{Count: 2}, false},
@@ -220,7 +220,7 @@
 			if c.before != nil {
 				p.Holders["h"] = *c.before
 			}
-			So(p.isNextPart("h", c.part), ShouldEqual, c.follows)
+			So(p.isNextPart("h", c.part), ShouldEqual, c.isNext)
 		}
 	})
 }
--- a/internal/escrow/share_test.go
+++ b/internal/escrow/share_test.go
@@ -11,15 +11,14 @@
 // TestDeviationsOfFleet guards against holding too much. To bridge an outage of ten seconds, six holders together held
 // 24 s of mean use: each held two deviations of its own few requests. A power loss while the store is unreachable loses
 // all of that.
-
 func TestDeviationsOfFleet(t *testing.T) {
 	Convey("All holders together hold the mean use and the deviation of the fleet's use, not the deviations of each holder's use", t, func() {
 		const holders, rate, weightedSize = 6, 45_000.0, 10_000.0
 		p := DefaultPolicy()
 		var sum int64
 		for range holders {
-			want, _, _ := p.size(flow{rate: rate / holders, fleetRate: rate, weightedSize: weightedSize}, p.Horizon, 1)
-			sum += want
+			demand, _, _ := p.size(flow{rate: rate / holders, fleetRate: rate, weightedSize: weightedSize}, p.Horizon, 1)
+			sum += demand
 		}
 		mean := rate * p.Surge * p.ReserveFactor * p.Horizon.Seconds()
 		So(float64(sum), ShouldBeGreaterThan, mean)
@@ -42,7 +41,6 @@
 // TestShareFollowsCallers guards against holding tokens at the wrong instances. All callers of the largest customer
 // used one instance, with 110,000 tokens per second. It held 5.3 s of that use when it lost contact with the store for
 // seven seconds. Five others held as much again, which nobody requested there.
-
 func TestShareFollowsCallers(t *testing.T) {
 	Convey("A holder that a busy customer's callers use requests what they use there", t, func() {
 		const each, perSecond = 5_000, 20
--- a/internal/escrow/sizing.go
+++ b/internal/escrow/sizing.go
@@ -70,7 +70,7 @@
 	return min(1, max(0, float64(remaining)/(p.ScarceBelow*float64(prepaid))))
 }
 
-// size computes from a measured flow what to request. All of it is spendable once the horizon has passed.
+// size computes what to request for a measured flow. All of it is spendable once the horizon has passed.
 func (p Policy) size(f flow, horizon time.Duration, abundance float64) (demand, burst, rate int64) {
 	burstSpan := scarceHorizon + time.Duration(float64(burstHorizon-scarceHorizon)*abundance)
 	horizon = max(burstSpan, time.Duration(float64(horizon)*abundance))
--- a/internal/escrow/submit.go
+++ b/internal/escrow/submit.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// submit has the leader write this holder's rows on all pages on which something has changed.
+// submit has the leader write this holder's rows on all pages that are due.
 func (h *Holder) submit(ctx context.Context, regular bool) {
 	s := h.submission(regular)
 	if len(s.Parts) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, submissionLife)
+	ctx, cancel := context.WithTimeout(ctx, submissionTTL)
 	defer cancel()
 	receipt, err := h.fleet.Submit(ctx, s)
 	h.mu.Lock()
@@ -27,7 +27,7 @@
 func (h *Holder) applySubmitOutcome(s Submission, receipt Receipt, err error) {
 	switch {
 	case err == nil:
-		h.noteAnswer()
+		h.recordAnswer()
 		for _, r := range receipt.Parts {
 			h.applyReceipt(r, s.epoch(r.Page))
 		}
--- a/internal/escrow/write.go
+++ b/internal/escrow/write.go
@@ -29,8 +29,8 @@
 	settlements []Settlement
 	// unsettled is set if rows of this node's earlier holders are left.
 	unsettled  bool
-	restored   bool // it is the first write of the page since the store was restored
-	reinstated bool // and it writes back a copy that this holder had
+	restored   bool // this is the first write of the page since the store was restored
+	reinstated bool // this is such a write, and it writes back a copy that this holder had
 }
 
 // write writes all pages of a list, or none.
@@ -99,7 +99,7 @@
 	var conflict *external.ConflictError
 	conflicted := errors.As(err, &conflict)
 	if err == nil || conflicted {
-		h.noteAnswer()
+		h.recordAnswer()
 	}
 	for _, w := range list {
 		switch {
--- a/internal/pool/cascade_test.go
+++ b/internal/pool/cascade_test.go
@@ -12,7 +12,7 @@
 	"github.com/ledgemount/ledgemount/internal/limit"
 )
 
-// cascade simulates some instances before a few endpoints that reject requests, and ask for rest, when they are full.
+// cascade simulates some instances in front of a few endpoints. Full endpoints reject requests and ask for rest.
 // It runs in virtual time.
 type cascade struct {
 	clock           *testClock
@@ -34,16 +34,16 @@
 
 // The capacity and the load of the simulated endpoints.
 const (
-	cascadeInstances  = 6
-	cascadeEndpoints  = 5
-	cascadeCapacity   = 20 // requests that an endpoint runs at once
-	cascadeDuration   = time.Second
-	cascadeHeadDelay  = 50 * time.Millisecond // from a request to the head of its response
-	cascadeRest       = 2 * time.Second
-	cascadeLoad       = 0.9
-	cascadeLength     = 30 * time.Second
-	cascadeAffinities = 40
-	cascadeExchange   = 500 * time.Millisecond
+	cascadeInstances   = 6
+	cascadeEndpoints   = 5
+	cascadeCapacity    = 20 // requests that an endpoint runs at once
+	cascadeDuration    = time.Second
+	cascadeHeaderDelay = 50 * time.Millisecond // from a request to the header of its response
+	cascadeRest        = 2 * time.Second
+	cascadeLoad        = 0.9
+	cascadeLength      = 30 * time.Second
+	cascadeAffinities  = 40
+	cascadeExchange    = 500 * time.Millisecond
 )
 
 // event is an action at a moment of the simulation.
@@ -135,7 +135,7 @@
 			continue
 		}
 		c.running[i]++
-		c.after(cascadeHeadDelay, func() {
+		c.after(cascadeHeaderDelay, func() {
 			lease.Accepted()
 			lease.ObserveNotice(Notice{Limit: c.announcedLimit(i)}, ResponseInfo{})
 		})
@@ -170,12 +170,12 @@
 // others, which already run at 80% of their capacity and announce limits in turn. Requests for which no capacity is
 // left must be refused at once, not be rejected by one endpoint after the other.
 func TestLimitCascade(t *testing.T) {
-	Convey("Five endpoints at 80% of their capacity, one of which limits itself to a quarter, then the others follow", t, func() {
+	Convey("Five endpoints at 80% of their capacity, one of which limits itself to a quarter, reject fewer requests if they announce limits", t, func() {
 		const seeds = 8
-		simulate := func(names bool) (served, rejected, refused int) {
+		simulate := func(announceLimits bool) (served, rejected, refused int) {
 			for seed := range uint64(seeds) {
 				c := newCascade(seed+1, DefaultPolicy())
-				c.announceLimits, c.degraded, c.rest, c.load = names, 0, 0, 0.8
+				c.announceLimits, c.degraded, c.rest, c.load = announceLimits, 0, 0, 0.8
 				for _, p := range c.pools {
 					p.owners = fleetOf(cascadeInstances)
 				}
@@ -196,7 +196,7 @@
 // of their capacity and ask for rest in turn. Without a window, all instances return at the same moment and send at
 // once all requests whose affinity prefers the endpoint, so that it asks for rest again.
 func TestRestCascade(t *testing.T) {
-	Convey("Five endpoints at 90% of their capacity, one of which asks for rest", t, func() {
+	Convey("Five endpoints at 90% of their capacity, one of which asks for rest, serve more requests with a window than without", t, func() {
 		const seeds = 8
 		simulate := func(edit func(*Policy)) (served, rejected, refused int) {
 			for seed := range uint64(seeds) {
--- a/internal/pool/chooser.go
+++ b/internal/pool/chooser.go
@@ -38,7 +38,7 @@
 // Pick implements Chooser.
 func (Random) Pick(cs []Candidate, r Rand) int { return r.IntN(len(cs)) }
 
-// PowerOfTwo picks the less loaded of two.
+// PowerOfTwo picks the less loaded one of two random candidates.
 type PowerOfTwo struct{}
 
 // Name implements Chooser.
@@ -60,8 +60,8 @@
 	return i
 }
 
-// LeastExpected picks the shortest expected time to the first token. Equal ones are chosen among at random, so that
-// instances with the same lagged view do not all pick the same endpoint.
+// LeastExpected picks the candidate with the shortest expected time to the first token. Among equal ones it picks at
+// random, so that instances with the same outdated loads do not all pick the same endpoint.
 type LeastExpected struct{}
 
 // Name implements Chooser.
@@ -69,32 +69,33 @@
 
 // Pick implements Chooser.
 func (LeastExpected) Pick(cs []Candidate, r Rand) int {
-	return least(cs, r, func(c Candidate) float64 { return expected(c, 0) })
+	return least(cs, r, func(c Candidate) float64 { return expectedFirstToken(c, 0) })
 }
 
 // prefillShare is how much of the time to the first token a cached prompt saves.
 const prefillShare = 0.7
 
-// assumedFirst is the time to the first token that is assumed for an endpoint without a measured one, in seconds.
-const assumedFirst = 0.3
+// assumedFirstToken is the time to the first token that is assumed for an endpoint without a measured one, in seconds.
+const assumedFirstToken = 0.3
 
-// expected is the expected time to the first token, in seconds: the prefill that is not cached, scaled up by load.
-func expected(c Candidate, weight float64) float64 {
+// expectedFirstToken returns the expected time to the first token in seconds. It grows with load. weight, from 0 to 1, is
+// how much the cached part of the prompt reduces it.
+func expectedFirstToken(c Candidate, weight float64) float64 {
 	first := c.FirstToken
 	if first <= 0 {
-		first = assumedFirst
+		first = assumedFirstToken
 	}
 	load := c.Load()
-	stretch := 1 + load
+	scale := 1 + load
 	if load >= 1 {
-		stretch += 10 * (load - 1)
+		scale += 10 * (load - 1)
 	}
-	return first * stretch * (1 - weight*prefillShare*c.Cached)
+	return first * scale * (1 - weight*prefillShare*c.Cached)
 }
 
 // PrefixAffinity compares a few random candidates and the best one that has the prefix cached, by expected time to the
-// first token. Sampling keeps instances whose views lag alike from all picking the same endpoint. Load is bounded: an
-// endpoint that is loaded more than Bound times the mean gets no bonus for its cache.
+// first token. Because of the random sample, instances with the same outdated loads do not all pick the same endpoint.
+// Load is bounded: an endpoint that is loaded more than Bound times the mean gets no bonus for its cache.
 type PrefixAffinity struct {
 	Bound  float64
 	Sample int
@@ -111,13 +112,13 @@
 		if c.Cached == 0 || c.Load() > limit {
 			continue
 		}
-		if e := expected(c, 1); best < 0 || e < cost {
+		if e := expectedFirstToken(c, 1); best < 0 || e < cost {
 			best, cost = i, e
 		}
 	}
 	for range p.Sample {
 		i := r.IntN(len(cs))
-		if e := expected(cs[i], 0); best < 0 || e < cost {
+		if e := expectedFirstToken(cs[i], 0); best < 0 || e < cost {
 			best, cost = i, e
 		}
 	}
@@ -159,40 +160,40 @@
 func DefaultChooser() Chooser[Candidate] { return PrefixAffinity{Bound: 1.05, Sample: 6} }
 
 // pickByChooser returns the healthy endpoint that the pool's Chooser picks. The caller holds mu.
-func (l *Pool) pickByChooser(members []*member, q Query) *member {
-	l.candidates, l.candidateMembers = l.candidates[:0], l.candidateMembers[:0]
+func (p *Pool) pickByChooser(members []*member, q Query) *member {
+	p.candidates, p.candidateMembers = p.candidates[:0], p.candidateMembers[:0]
 	for _, m := range members {
 		if !m.healthy {
 			continue
 		}
-		l.candidateMembers = append(l.candidateMembers, m)
-		l.candidates = append(l.candidates, Candidate{
-			ID: m.ID, Own: m.open, Zone: l.zoneLoad(m.ID), Limit: m.Slots,
-			FirstToken: m.pace.first, PerToken: m.pace.token, Cached: l.prefixes.Share(m.ID, q.Blocks),
+		p.candidateMembers = append(p.candidateMembers, m)
+		p.candidates = append(p.candidates, Candidate{
+			ID: m.ID, Own: m.open, Zone: p.zoneLoad(m.ID), Limit: m.Slots,
+			FirstToken: m.pace.first, PerToken: m.pace.token, Cached: p.prefixes.Share(m.ID, q.Blocks),
 		})
 	}
-	m := l.candidateMembers[l.chooser.Pick(l.candidates, l.chooserRand)]
-	l.prefixes.Add(m.ID, q.Blocks)
+	m := p.candidateMembers[p.chooser.Pick(p.candidates, p.chooserRand)]
+	p.prefixes.Add(m.ID, q.Blocks)
 	return m
 }
 
 // BlockCached records that an endpoint has cached a block of prompts.
-func (l *Pool) BlockCached(endpoint string, block uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.prefixes.Add(endpoint, []uint64{block})
+func (p *Pool) BlockCached(endpoint string, block uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.prefixes.Add(endpoint, []uint64{block})
 }
 
 // BlockEvicted records that an endpoint has evicted a block of prompts from its cache.
-func (l *Pool) BlockEvicted(endpoint string, block uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.prefixes.Remove(endpoint, block)
+func (p *Pool) BlockEvicted(endpoint string, block uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.prefixes.Remove(endpoint, block)
 }
 
 // ForgetPrompts removes all records of an endpoint's cached prompts.
-func (l *Pool) ForgetPrompts(endpoint string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.prefixes.Forget(endpoint)
+func (p *Pool) ForgetPrompts(endpoint string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.prefixes.Forget(endpoint)
 }
--- a/internal/pool/connections_test.go
+++ b/internal/pool/connections_test.go
@@ -9,7 +9,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// fleetMember is the place of an instance in a fleet that all instances know. The order for a key is that of the
+// fleetMember is the place of an instance in a fleet in which all instances are discovered. The order for a key is that of the
 // places, rotated by the key.
 type fleetMember struct{ place, size int }
 
@@ -20,9 +20,9 @@
 	return (o.place+int(key[len(key)-1]))%o.size < first
 }
 
-// TestConnections guards against opening more connections to an endpoint than it accepts from all callers together:
-// it resets those beyond that. When each instance bounded its open requests by the endpoint's slots alone, 100
-// instances had 800 requests open at an endpoint that accepts 100 connections.
+// TestConnections guards against opening more connections to an endpoint than it accepts from all callers together.
+// The endpoint resets those beyond that. When each instance bounded its open requests by the endpoint's slots alone,
+// 100 instances had 800 requests open at an endpoint that accepts 100 connections.
 func TestConnections(t *testing.T) {
 	const accepted = 100
 	for _, instances := range []int{1, 6, 100, 300} {
@@ -65,7 +65,7 @@
 		clock.pass(2 * PeerLoadsTTL)
 		So(p.Availability(Query{Service: "s"}).Open, ShouldBeFalse)
 	})
-	Convey("A service without a number bounds no connections", t, func() {
+	Convey("Connections to endpoints of a service without a number are not bounded", t, func() {
 		p := New("a", WithOwners(fleetMember{size: 300}))
 		p.SetConnections(map[string]int{"s": 0})
 		p.Put(Endpoint{ID: "e-1", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 8})
--- a/internal/pool/draw.go
+++ b/internal/pool/draw.go
@@ -14,12 +14,13 @@
 // pickOfTwo draws two healthy endpoints at random and picks the less busy one, or either of them if they differ
 // little. It serves requests without affinity.
 //
-// It is meant for a large fleet before a few small endpoints, such as those of plain services. Each instance has
+// It is meant for a large fleet in front of a few small endpoints, such as those of plain services. Each instance has
 // almost no requests open there itself, so all endpoints are equal by its own count, and any fixed order sends the
-// requests of all instances to the same endpoint. The loads of other instances arrive half a second late, when work
-// of some 60 ms has long changed: by open requests, all instances would move to one endpoint after the other. So it
-// compares how many requests have ended in the last seconds. TestPickOfTwo reproduces it.
-func (l *Pool) pickOfTwo(members []*member, now time.Time) *member {
+// requests of all instances to the same endpoint. The loads of other instances arrive half a second late, when
+// requests of some 60 ms have long ended: if open requests were compared, all instances would move to one endpoint
+// after the other. So pickOfTwo compares how many requests have ended in the last seconds. TestPickOfTwo reproduces
+// the problem.
+func (p *Pool) pickOfTwo(members []*member, now time.Time) *member {
 	var a, b *member
 	n := 0
 	for _, m := range members {
@@ -33,7 +34,7 @@
 		case b == nil:
 			b = m
 		default:
-			switch l.random(n) {
+			switch p.random(n) {
 			case 0:
 				a = m
 			case 1:
@@ -44,26 +45,26 @@
 	if b == nil {
 		return a
 	}
-	x, y := l.busyness(a, now), l.busyness(b, now)
+	x, y := p.busyness(a, now), p.busyness(b, now)
 	switch {
 	case x > busierFactor*y:
 		return b
 	case y > busierFactor*x:
 		return a
 	}
-	return [...]*member{a, b}[l.random(2)]
+	return [...]*member{a, b}[p.random(2)]
 }
 
 // busyness is the rate of requests from all instances to an endpoint, as far as it is known, for each of its slots.
-func (l *Pool) busyness(m *member, now time.Time) float64 {
-	load := l.total(m, now).Ended / m.slots()
-	if m.Zone != l.zone {
+func (p *Pool) busyness(m *member, now time.Time) float64 {
+	load := p.total(m, now).Ended / m.slots()
+	if m.Zone != p.zone {
 		load *= 1 + crossZoneSurcharge
 	}
 	return load
 }
 
-// slots is the number of requests that an endpoint works on at once, or defaultSlots if it names none.
+// slots is the number of requests that an endpoint works on at once, or defaultSlots if its record has none.
 func (m *member) slots() float64 {
 	if m.Slots <= 0 {
 		return defaultSlots
--- a/internal/pool/draw_test.go
+++ b/internal/pool/draw_test.go
@@ -9,9 +9,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// simulatePlainService simulates 87 instances in three zones before four endpoints of a plain service, two of them in
-// one zone, at 176 requests a second of 60 ms. It returns how many times the mean the busiest endpoint gets, and the
-// share of requests that find all slots in use.
+// simulatePlainService simulates 87 instances in three zones in front of four endpoints of a plain service, two of
+// them in one zone, at 176 requests a second of 60 ms. It returns how many times the mean the busiest endpoint gets,
+// and the share of requests that find all slots in use.
 func simulatePlainService(pick func(p *Pool) *Lease) (imbalance, full float64) {
 	const (
 		instances, requests, slots = 87, 176, 6
@@ -34,9 +34,9 @@
 	}
 	var running []open
 	busy, sent := make(map[string]int), make(map[string]int)
-	asked, waited := 0, 0
-	begun, exchanged := clock.at, clock.at
-	for clock.at.Before(begun.Add(duration)) {
+	total, waited := 0, 0
+	start, exchanged := clock.at, clock.at
+	for clock.at.Before(start.Add(duration)) {
 		clock.pass(time.Duration(random.ExpFloat64() * float64(time.Second) / requests))
 		if clock.at.Sub(exchanged) >= exchangeEvery {
 			exchanged = clock.at
@@ -49,7 +49,7 @@
 		}
 		lease := pick(pools[random.IntN(instances)])
 		id := lease.Endpoint().ID
-		asked++
+		total++
 		if busy[id] >= slots {
 			waited++
 		}
@@ -57,11 +57,11 @@
 		sent[id]++
 		running = append(running, open{lease, clock.at.Add(work)})
 	}
-	most := 0
+	maxSent := 0
 	for _, n := range sent {
-		most = max(most, n)
+		maxSent = max(maxSent, n)
 	}
-	return float64(most) * float64(len(sent)) / float64(asked), float64(waited) / float64(asked)
+	return float64(maxSent) * float64(len(sent)) / float64(total), float64(waited) / float64(total)
 }
 
 // exchangeLoads gives each pool the loads of all others.
@@ -82,7 +82,7 @@
 }
 
 func TestPickOfTwo(t *testing.T) {
-	Convey("Many instances before a few endpoints of a plain service spread their requests", t, func() {
+	Convey("Many instances in front of a few endpoints of a plain service spread their requests", t, func() {
 		fixed, full := simulatePlainService(func(p *Pool) *Lease {
 			p.mu.Lock()
 			defer p.mu.Unlock()
--- a/internal/pool/health.go
+++ b/internal/pool/health.go
@@ -25,21 +25,21 @@
 }
 
 // healthy reports whether an endpoint and the path to it show no sign of a fault, and the endpoint is not busy.
-func (l *Pool) healthy(m *member, now time.Time) bool {
+func (p *Pool) healthy(m *member, now time.Time) bool {
 	switch {
-	case l.zoneSuspect(m, now), before(now, m.pausedUntil), before(now, m.busyUntil):
+	case p.zoneSuspect(m, now), before(now, m.pausedUntil), before(now, m.busyUntil):
 		return false
-	case m.errorShareNow(now) > l.policy.ErrorShare, l.failsForAll(m, now):
+	case m.errorShareNow(now) > p.policy.ErrorShare, p.failsForAll(m, now):
 		return false
 	}
-	return !l.silent(m, now)
+	return !p.silent(m, now)
 }
 
 // before reports whether now is before a time. It is always false for the zero time, which most endpoints have.
 func before(now, at time.Time) bool { return !at.IsZero() && now.Before(at) }
 
 // silent reports whether an endpoint owes a response and has sent nothing for longer than the response timeout.
-func (l *Pool) silent(m *member, now time.Time) bool {
+func (p *Pool) silent(m *member, now time.Time) bool {
 	if m.open == 0 {
 		return false
 	}
@@ -47,22 +47,22 @@
 	if m.receivedAt.After(since) {
 		since = m.receivedAt
 	}
-	return now.Sub(since) > max(l.policy.MinResponseTimeout, m.responseTimeout)
+	return now.Sub(since) > max(p.policy.MinResponseTimeout, m.responseTimeout)
 }
 
 // Received records that the endpoint has sent data.
-func (s *Lease) Received() {
-	s.pool.mu.Lock()
-	s.member.receivedAt = s.pool.now()
-	s.pool.markReached(s.member)
-	s.pool.mu.Unlock()
+func (l *Lease) Received() {
+	l.pool.mu.Lock()
+	l.member.receivedAt = l.pool.now()
+	l.pool.markReached(l.member)
+	l.pool.mu.Unlock()
 }
 
 // Silent reports whether the endpoint has sent nothing to this instance for longer than the response timeout.
-func (s *Lease) Silent() bool {
-	s.pool.mu.RLock()
-	defer s.pool.mu.RUnlock()
-	return s.pool.silent(s.member, s.pool.now())
+func (l *Lease) Silent() bool {
+	l.pool.mu.RLock()
+	defer l.pool.mu.RUnlock()
+	return l.pool.silent(l.member, l.pool.now())
 }
 
 // ProcessState is the last known state of the picked endpoint's process.
@@ -71,19 +71,19 @@
 // The states of a process.
 const (
 	ProcessRunning ProcessState = iota // nothing indicates that it ends
-	ProcessLeaving                     // it is to end: it drains, has announced it, or has no record any more
+	ProcessLeaving                     // it drains, has announced that it leaves, or no longer has a record
 	ProcessEnded                       // another process has started under its ID
 )
 
 // ProcessState returns the last known state of the picked endpoint's process.
-func (s *Lease) ProcessState() ProcessState {
-	s.pool.mu.RLock()
-	defer s.pool.mu.RUnlock()
-	current := s.pool.byID[s.member.ID]
+func (l *Lease) ProcessState() ProcessState {
+	l.pool.mu.RLock()
+	defer l.pool.mu.RUnlock()
+	current := l.pool.byID[l.member.ID]
 	switch {
-	case current == s.member && !s.member.Draining && !s.member.announced.leaves(s.pool.now()):
+	case current == l.member && !l.member.Draining && !l.member.announced.leaves(l.pool.now()):
 		return ProcessRunning
-	case current != nil && s.member.Outdated(current.Endpoint):
+	case current != nil && l.member.Outdated(current.Endpoint):
 		return ProcessEnded
 	}
 	return ProcessLeaving
@@ -105,28 +105,28 @@
 )
 
 // Accepted records that the endpoint runs the request. This enlarges the endpoint's window, if it has one.
-func (s *Lease) Accepted() {
-	if s.window == nil {
+func (l *Lease) Accepted() {
+	if l.window == nil {
 		return
 	}
-	s.pool.mu.Lock()
-	defer s.pool.mu.Unlock()
-	s.window.grow()
+	l.pool.mu.Lock()
+	defer l.pool.mu.Unlock()
+	l.window.grow()
 }
 
 // Done ends the use and updates the endpoint's health by how it ended. Further calls do nothing.
-func (s *Lease) Done(end End) {
-	l := s.pool
-	now := l.now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if s.ended {
+func (l *Lease) Done(end End) {
+	p := l.pool
+	now := p.now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if l.ended {
 		return
 	}
-	s.ended = true
-	m := s.member
+	l.ended = true
+	m := l.member
 	if m.open--; m.open == 0 {
-		delete(l.removedInUse, m)
+		delete(p.removedInUse, m)
 	}
 	switch end {
 	case EndGood:
@@ -138,22 +138,22 @@
 		m.ended.add(now, 1)
 		m.failed.add(now, 1)
 	case EndBroken:
-		l.recordFailure(m, now)
+		p.recordFailure(m, now)
 		m.ended.add(now, 1)
 		m.failed.add(now, 1)
 	case EndUnreachable:
-		s.returnPermit()
-		l.markUnreachable(m, now)
-		l.recordFailure(m, now)
+		l.returnPermit()
+		p.markUnreachable(m, now)
+		p.recordFailure(m, now)
 	case EndBusy:
 		m.busyUntil = now.Add(busyPause)
-		if l.policy.BusyDecrease > 0 && m.noticeExclusion(now) == NotExcluded {
-			m.window = m.window.shrunk(now, m.open, l.policy.BusyDecrease)
+		if p.policy.BusyDecrease > 0 && m.noticeExclusion(now) == NotExcluded {
+			m.window = m.window.shrunk(now, m.open, p.policy.BusyDecrease)
 		}
 	case EndMoved:
-		l.observe(m, Notice{Moved: true}, ResponseInfo{})
+		p.observe(m, Notice{Moved: true}, ResponseInfo{})
 	case EndUnsent:
-		s.returnPermit()
+		l.returnPermit()
 	case EndNeutral:
 	}
 }
@@ -162,40 +162,40 @@
 const busyPause = 100 * time.Millisecond
 
 // recordFailure counts a failure, and pauses the endpoint after enough consecutive ones.
-func (l *Pool) recordFailure(m *member, now time.Time) {
-	if m.failures++; m.failures >= l.policy.PauseAfter {
-		l.pauseMember(m, now)
+func (p *Pool) recordFailure(m *member, now time.Time) {
+	if m.failures++; m.failures >= p.policy.PauseAfter {
+		p.pauseMember(m, now)
 	}
 }
 
 // pauseMember pauses an endpoint, each time in a row for longer, unless too many endpoints of its service are paused.
-func (l *Pool) pauseMember(m *member, now time.Time) {
-	if !l.mayPause(m) {
+func (p *Pool) pauseMember(m *member, now time.Time) {
+	if !p.mayPause(m) {
 		return
 	}
 	if m.pause == 0 {
-		m.pause = l.policy.FirstPause
+		m.pause = p.policy.FirstPause
 	} else {
-		m.pause = min(2*m.pause, l.policy.MaxPause)
+		m.pause = min(2*m.pause, p.policy.MaxPause)
 	}
 	m.pausedUntil = now.Add(m.pause)
-	if l.policy.ProbeAfterPause {
+	if p.policy.ProbeAfterPause {
 		m.window = probeWindow()
 	}
 }
 
-// mayPause reports whether one more endpoint of a service may be paused. What looks like a fault of most of them is
-// rather one on the path there.
-func (l *Pool) mayPause(m *member) bool {
-	if l.policy.MaxPausedShare >= 1 {
+// mayPause reports whether one more endpoint of a service may be paused. If most of them seem to fail, the fault is
+// more likely on the path to them.
+func (p *Pool) mayPause(m *member) bool {
+	if p.policy.MaxPausedShare >= 1 {
 		return true
 	}
 	paused := 1
-	all := l.services[m.Service]
+	all := p.services[m.Service]
 	for _, other := range all {
 		if other != m && other.pause > 0 {
 			paused++
 		}
 	}
-	return float64(paused) <= l.policy.MaxPausedShare*float64(len(all))
+	return float64(paused) <= p.policy.MaxPausedShare*float64(len(all))
 }
--- a/internal/pool/limits.go
+++ b/internal/pool/limits.go
@@ -28,45 +28,45 @@
 
 // WithLeases makes the pool send to endpoints with limits what SetLeases grants it. Without it, the pool sends an
 // even share of each limit.
-func WithLeases() Option { return func(l *Pool) { l.leased = true } }
+func WithLeases() Option { return func(p *Pool) { p.leased = true } }
 
-// observeLimit applies the limit that a response names, or its absence. The caller holds mu.
-func (l *Pool) observeLimit(s *Lease, r limit.Rate, info ResponseInfo) {
-	m := s.member
+// observeLimit applies the limit that a response announces, or its absence. The caller holds mu.
+func (p *Pool) observeLimit(lease *Lease, r limit.Rate, info ResponseInfo) {
+	m := lease.member
 	if !r.IsSet() && (m.announced == nil || !m.announced.limits.active) {
 		return
 	}
-	x := l.announcedBy(m.Endpoint)
+	x := p.announcedBy(m.Endpoint)
 	if x == nil {
 		return
 	}
-	now := l.now()
+	now := p.now()
 	before := x.limits.known.Rate(now)
-	x.receivedUnixMilli = l.wall().UnixMilli()
-	x.limits.direct.Observe(r, s.picked, now)
-	x.limits.known.Observe(r, s.picked, now)
-	l.limitChanged(m, x, before, NoticeTaken{Endpoint: m.Endpoint, Response: info, Age: now.Sub(m.recordAt)})
+	x.receivedUnixMilli = p.wall().UnixMilli()
+	x.limits.direct.Observe(r, lease.picked, now)
+	x.limits.known.Observe(r, lease.picked, now)
+	p.limitChanged(m, x, before, NoticeTaken{Endpoint: m.Endpoint, Response: info, Age: now.Sub(m.recordAt)})
 }
 
 // limitChanged reports that a limit takes effect, changes or ends. The caller holds mu.
-func (l *Pool) limitChanged(m *member, x *announced, before limit.Rate, n NoticeTaken) {
-	now := l.now()
+func (p *Pool) limitChanged(m *member, x *announced, before limit.Rate, n NoticeTaken) {
+	now := p.now()
 	r := x.limits.known.Rate(now)
 	if x.limits.active = r.IsSet(); x.limits.active && !before.IsSet() {
-		l.limited++
-		l.renewEvenShare(m, r, now)
+		p.limited++
+		p.renewEvenShare(m, r, now)
 	}
 	switch {
 	case r == before:
 	case r.IsSet():
 		n.Notice = Notice{Limit: r}
-		l.onNotice(n)
+		p.onNotice(n)
 	default:
-		l.onNoticeEnded(NoticeEnded{Endpoint: m.Endpoint, Why: NoticeLifted})
+		p.onNoticeEnded(NoticeEnded{Endpoint: m.Endpoint, Why: NoticeLifted})
 	}
 }
 
-// limit returns the limit of an endpoint, which is not named if there is none. The caller holds mu.
+// limit returns the limit of an endpoint; it is unset if the endpoint has none. The caller holds mu.
 func (m *member) limit(now time.Time) limit.Rate {
 	if m.announced == nil || !m.announced.limits.active {
 		return limit.Rate{}
@@ -77,41 +77,41 @@
 }
 
 // renewEvenShare updates what this instance may send if nobody grants it a part of the limit. The caller holds mu.
-func (l *Pool) renewEvenShare(m *member, r limit.Rate, now time.Time) {
-	if l.leased {
+func (p *Pool) renewEvenShare(m *member, r limit.Rate, now time.Time) {
+	if p.leased {
 		return
 	}
-	m.announced.limits.bucket.Set(limit.NewLease(r, l.evenShare(r), now.Add(evenShareTTL)), r, now)
+	m.announced.limits.bucket.Set(limit.NewLease(r, p.evenShare(r), now.Add(evenShareTTL)), r, now)
 }
 
 // evenShare is this instance's even part of a limit, in requests a second. The caller holds mu.
-func (l *Pool) evenShare(r limit.Rate) float64 {
-	return r.Bound() / float64(max(1, l.zoneInstances(), l.owners.Size()))
+func (p *Pool) evenShare(r limit.Rate) float64 {
+	return r.Bound() / float64(max(1, p.zoneInstances(), p.owners.Size()))
 }
 
 // evenShareTTL is how long an even share is valid. It is renewed whenever it is used.
 const evenShareTTL = time.Minute
 
 // allows reports whether an endpoint accepts a request of this instance under its limit. The caller holds mu.
-func (l *Pool) allows(m *member, now time.Time) bool {
+func (p *Pool) allows(m *member, now time.Time) bool {
 	r := m.limit(now)
 	if !r.IsSet() {
 		return true
 	}
-	l.renewEvenShare(m, r, now)
+	p.renewEvenShare(m, r, now)
 	return m.announced.limits.bucket.Has(r, now)
 }
 
 // expectedRate is the number of requests a second that callers here may expect to get through to an endpoint with a
 // limit: what this instance is granted, or its even share if that is larger, since grants follow demand. The caller
 // holds mu.
-func (l *Pool) expectedRate(m *member, now time.Time) float64 {
+func (p *Pool) expectedRate(m *member, now time.Time) float64 {
 	r := m.limit(now)
-	return max(m.announced.limits.bucket.Rate(r, now), l.evenShare(r))
+	return max(m.announced.limits.bucket.Rate(r, now), p.evenShare(r))
 }
 
 // takePermit counts a request under the limit of its endpoint; it returns nil if there is none. The caller holds mu.
-func (l *Pool) takePermit(m *member, now time.Time) *limit.Bucket {
+func (p *Pool) takePermit(m *member, now time.Time) *limit.Bucket {
 	if !m.limit(now).IsSet() {
 		return nil
 	}
@@ -119,24 +119,24 @@
 	return &m.announced.limits.bucket
 }
 
-// permitted reports whether a picked request is counted under the limit of its endpoint, if the endpoint names one by
-// now. The caller holds mu.
-func (l *Pool) permitted(s *Lease) bool {
-	now := l.now()
-	if s.permit != nil || !s.member.limit(now).IsSet() {
+// permitted reports whether a picked request may be sent under the limit of its endpoint. If the endpoint has
+// announced the limit since the pick, permitted counts the request under it. The caller holds mu.
+func (p *Pool) permitted(lease *Lease) bool {
+	now := p.now()
+	if lease.permit != nil || !lease.member.limit(now).IsSet() {
 		return true
 	}
-	if !l.allows(s.member, now) {
+	if !p.allows(lease.member, now) {
 		return false
 	}
-	s.permit = l.takePermit(s.member, now)
+	lease.permit = p.takePermit(lease.member, now)
 	return true
 }
 
-// underusedLimited finds an endpoint that is to get the next request of the service regardless of affinity: the
-// endpoint's limit admits more requests than affinity sends there. The caller holds mu.
-func (l *Pool) underusedLimited(members []*member, now time.Time) *member {
-	if l.limited == 0 {
+// underusedLimited returns an endpoint whose limit admits more requests than affinity sends there; nil if there is
+// none. It gets the next request of the service regardless of affinity. The caller holds mu.
+func (p *Pool) underusedLimited(members []*member, now time.Time) *member {
+	if p.limited == 0 {
 		return nil
 	}
 	even := 1 / float64(max(1, len(members)))
@@ -152,30 +152,30 @@
 }
 
 // returnPermit returns the permit of a request that was not sent.
-func (s *Lease) returnPermit() {
-	if s.permit != nil {
-		s.permit.Return()
-		s.permit = nil
+func (l *Lease) returnPermit() {
+	if l.permit != nil {
+		l.permit.Return()
+		l.permit = nil
 	}
 }
 
 // countDemand counts a request for a service while some endpoint has a limit. The caller holds mu.
-func (l *Pool) countDemand(service string, now time.Time) {
-	if l.limited == 0 {
+func (p *Pool) countDemand(service string, now time.Time) {
+	if p.limited == 0 {
 		return
 	}
-	f := l.demand[service]
+	f := p.demand[service]
 	f.add(now, 1)
-	l.demand[service] = f
+	p.demand[service] = f
 }
 
 // Limits returns the limits that this instance has observed itself.
-func (l *Pool) Limits() Limits {
-	now := l.now()
-	l.mu.RLock()
-	defer l.mu.RUnlock()
+func (p *Pool) Limits() Limits {
+	now := p.now()
+	p.mu.RLock()
+	defer p.mu.RUnlock()
 	var out Limits
-	for _, x := range l.announced {
+	for _, x := range p.announced {
 		if x.limits.direct == (limit.State{}) || x.limits.direct.Expired(now) {
 			continue
 		}
@@ -188,27 +188,27 @@
 }
 
 // ObserveLimits applies the limits that other instances have observed.
-func (l *Pool) ObserveLimits(reported Limits) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.peersLimits = reported
-	l.applyFromPeers(len(reported), l.applyPeersLimit)
+func (p *Pool) ObserveLimits(reported Limits) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.peersLimits = reported
+	p.applyFromPeers(len(reported), p.applyPeersLimit)
 }
 
 // applyPeersLimit applies what other instances have observed of an endpoint's limit. The caller holds mu.
-func (l *Pool) applyPeersLimit(m *member) {
-	reported, ok := l.peersLimits[m.key()]
+func (p *Pool) applyPeersLimit(m *member) {
+	reported, ok := p.peersLimits[m.key()]
 	if !ok {
 		return
 	}
-	x := l.announcedBy(m.Endpoint)
+	x := p.announcedBy(m.Endpoint)
 	if x == nil {
 		return
 	}
-	before := x.limits.known.Rate(l.now())
-	x.receivedUnixMilli = max(x.receivedUnixMilli, l.wall().Add(-l.now().Sub(reported.AnnouncedAt())).UnixMilli())
+	before := x.limits.known.Rate(p.now())
+	x.receivedUnixMilli = max(x.receivedUnixMilli, p.wall().Add(-p.now().Sub(reported.AnnouncedAt())).UnixMilli())
 	x.limits.known.Merge(reported)
-	l.limitChanged(m, x, before, NoticeTaken{Endpoint: m.Endpoint, FromPeer: true, Age: l.now().Sub(m.recordAt)})
+	p.limitChanged(m, x, before, NoticeTaken{Endpoint: m.Endpoint, FromPeer: true, Age: p.now().Sub(m.recordAt)})
 }
 
 // Limited is an endpoint with a limit, as the exchange between instances uses it.
@@ -218,13 +218,13 @@
 }
 
 // Limited returns the endpoints with limits, by the same key as Loads.
-func (l *Pool) Limited() map[uint32]Limited {
-	now := l.now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.limited = 0
+func (p *Pool) Limited() map[uint32]Limited {
+	now := p.now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.limited = 0
 	var out map[uint32]Limited
-	for _, m := range l.byID {
+	for _, m := range p.byID {
 		r := m.limit(now)
 		if !r.IsSet() {
 			continue
@@ -232,19 +232,19 @@
 		if out == nil {
 			out = make(map[uint32]Limited)
 		}
-		l.limited++
-		f := l.demand[m.Service]
+		p.limited++
+		f := p.demand[m.Service]
 		out[m.key()] = Limited{Rate: r, Demand: f.rate(now)}
 	}
 	return out
 }
 
 // SetLeases sets what this instance is granted of limits.
-func (l *Pool) SetLeases(byEndpoint map[uint32]limit.Lease) {
-	now := l.now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, m := range l.byID {
+func (p *Pool) SetLeases(byEndpoint map[uint32]limit.Lease) {
+	now := p.now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, m := range p.byID {
 		if lease, ok := byEndpoint[m.key()]; ok && m.limit(now).IsSet() {
 			m.announced.limits.bucket.Set(lease, m.limit(now), now)
 		}
--- a/internal/pool/limits_test.go
+++ b/internal/pool/limits_test.go
@@ -32,7 +32,7 @@
 
 func TestLimitNotice(t *testing.T) {
 	two := Notice{Limit: limit.PerSecond(2)}
-	Convey("An endpoint that names a limit in a response", t, func() {
+	Convey("An endpoint that announces a limit in a response", t, func() {
 		p := newNoticePool()
 		lease := p.lease()
 		p.clock.pass(time.Second)
@@ -59,8 +59,8 @@
 		})
 		Convey("shows why it gets nothing, and which rate callers may expect", func() {
 			So(p.Statuses()[0].Exclusion, ShouldEqual, ExcludedLimited)
-			o := p.Availability(Query{Service: "s"})
-			So(o, ShouldResemble, Availability{Limited: true, Rate: 2})
+			availability := p.Availability(Query{Service: "s"})
+			So(availability, ShouldResemble, Availability{Limited: true, Rate: 2})
 		})
 		Convey("is not charged for requests that did not reach it", func() {
 			p.clock.pass(time.Second)
@@ -94,11 +94,11 @@
 			p.Put(p.record(8000, false))
 			So(p.countTaken(time.Second), ShouldEqual, 100)
 		})
-		Convey("keeps its limit after a response to a request that was sent before the limit was named", func() {
+		Convey("keeps its limit after a response to a request that was sent before the limit was announced", func() {
 			lease.ObserveNotice(Notice{}, ResponseInfo{})
 			So(p.takes(), ShouldBeFalse)
 		})
-		Convey("has no limit any more once a later response names none, which is reported", func() {
+		Convey("has no limit any more once a later response announces none, which is reported", func() {
 			p.clock.pass(time.Second)
 			later := p.lease()
 			p.clock.pass(time.Second)
@@ -132,7 +132,7 @@
 			})
 		})
 	})
-	Convey("A request that was picked before its endpoint named a limit is sent only within that limit", t, func() {
+	Convey("A request that was picked before its endpoint announced a limit is sent only within that limit", t, func() {
 		p := newNoticePool()
 		first, second := p.lease(), p.lease()
 		p.clock.pass(time.Second)
--- a/internal/pool/load.go
+++ b/internal/pool/load.go
@@ -100,13 +100,13 @@
 }
 
 // Loads returns the load of this instance.
-func (l *Pool) Loads() Loads {
-	now := l.now()
-	l.mu.RLock()
-	defer l.mu.RUnlock()
+func (p *Pool) Loads() Loads {
+	now := p.now()
+	p.mu.RLock()
+	defer p.mu.RUnlock()
 	out := make(Loads)
-	for _, m := range l.byID {
-		if x := l.load(m, now); !x.negligible() {
+	for _, m := range p.byID {
+		if x := p.load(m, now); !x.negligible() {
 			out[m.key()] = x
 		}
 	}
@@ -114,44 +114,44 @@
 }
 
 // load is the load of this instance at an endpoint. The caller holds mu.
-func (l *Pool) load(m *member, now time.Time) Load {
+func (p *Pool) load(m *member, now time.Time) Load {
 	x := Load{Open: m.open, Interference: m.interference.rate(now), Ended: m.ended.rate(now), Failed: m.failed.rate(now)}
-	if l.silent(m, now) {
+	if p.silent(m, now) {
 		x.Silent = m.open
 	}
 	return x
 }
 
 // SetPeerLoads sets the loads of all other instances.
-func (l *Pool) SetPeerLoads(loads Loads) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.peerLoads, l.peerLoadsAt = loads, l.now()
-	for _, m := range l.byID {
+func (p *Pool) SetPeerLoads(loads Loads) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.peerLoads, p.peerLoadsAt = loads, p.now()
+	for _, m := range p.byID {
 		m.peerLoad = loads[m.key()]
 	}
 }
 
 // peerLoadsFresh reports whether the loads of the other instances are known and still valid. The caller holds mu.
-func (l *Pool) peerLoadsFresh(now time.Time) bool {
-	return l.peerLoads != nil && now.Sub(l.peerLoadsAt) < PeerLoadsTTL
+func (p *Pool) peerLoadsFresh(now time.Time) bool {
+	return p.peerLoads != nil && now.Sub(p.peerLoadsAt) < PeerLoadsTTL
 }
 
 // PeerLoads returns the loads of all other instances; nil if they are unknown or no longer valid.
-func (l *Pool) PeerLoads() Loads {
-	now := l.now()
-	l.mu.RLock()
-	defer l.mu.RUnlock()
-	if !l.peerLoadsFresh(now) {
+func (p *Pool) PeerLoads() Loads {
+	now := p.now()
+	p.mu.RLock()
+	defer p.mu.RUnlock()
+	if !p.peerLoadsFresh(now) {
 		return nil
 	}
-	return l.peerLoads
+	return p.peerLoads
 }
 
 // total is the load of all instances at an endpoint, as far as it is known. The caller holds mu.
-func (l *Pool) total(m *member, now time.Time) Load {
-	x := l.load(m, now)
-	if l.peerLoadsFresh(now) {
+func (p *Pool) total(m *member, now time.Time) Load {
+	x := p.load(m, now)
+	if p.peerLoadsFresh(now) {
 		x = x.plus(m.peerLoad)
 	}
 	return x
@@ -159,10 +159,10 @@
 
 // failsForAll reports whether requests of all instances fail at an endpoint, or wait there in vain. It runs for every
 // endpoint on every request, so it first checks values that are almost always zero. The caller holds mu.
-func (l *Pool) failsForAll(m *member, now time.Time) bool {
-	if (m.peerLoad.Failed == 0 && m.peerLoad.Silent == 0 && m.failed.perSecond == 0) || !l.peerLoadsFresh(now) {
+func (p *Pool) failsForAll(m *member, now time.Time) bool {
+	if (m.peerLoad.Failed == 0 && m.peerLoad.Silent == 0 && m.failed.perSecond == 0) || !p.peerLoadsFresh(now) {
 		return false
 	}
-	x := l.total(m, now)
-	return x.failureShare() > l.policy.ErrorShare || x.silent()
+	x := p.total(m, now)
+	return x.failureShare() > p.policy.ErrorShare || x.silent()
 }
--- a/internal/pool/notice.go
+++ b/internal/pool/notice.go
@@ -9,12 +9,12 @@
 	"github.com/ledgemount/ledgemount/internal/limit"
 )
 
-// Notice is what an endpoint announces about itself in the head of a response.
+// Notice is what an endpoint announces about itself in the header of a response.
 type Notice struct {
 	Leaving bool          // it accepts no new work and is about to end
 	Moved   bool          // another endpoint has its address
 	Rest    time.Duration // for how long it accepts nothing from this instance; 0: it asks for no rest
-	Limit   limit.Rate    // rate that it accepts from all instances together; not named: it announces none
+	Limit   limit.Rate    // rate that it accepts from all instances together; unset: it announces none
 }
 
 // ResponseInfo identifies the response that carried a notice.
@@ -93,7 +93,7 @@
 	NoticeExpired   NoticeEnd = "over"       // its time is over
 	NoticeRestarted NoticeEnd = "restarted"  // a later start of the endpoint is known
 	NoticeCanceled  NoticeEnd = "called-off" // the endpoint's record reported draining too, and now reports ready
-	NoticeLifted    NoticeEnd = "lifted"     // the endpoint no longer names a limit
+	NoticeLifted    NoticeEnd = "lifted"     // the endpoint no longer announces a limit
 )
 
 const (
@@ -122,40 +122,40 @@
 
 // ObserveNotice applies what the endpoint announces in a response. The absence of a limit counts too: it may lift an
 // earlier one.
-func (s *Lease) ObserveNotice(n Notice, info ResponseInfo) {
-	s.pool.mu.Lock()
-	defer s.pool.mu.Unlock()
+func (l *Lease) ObserveNotice(n Notice, info ResponseInfo) {
+	l.pool.mu.Lock()
+	defer l.pool.mu.Unlock()
 	if n.Leaving || n.Moved || n.Rest > 0 {
-		s.pool.observe(s.member, n, info)
+		l.pool.observe(l.member, n, info)
 	}
-	s.pool.observeLimit(s, n.Limit, info)
+	l.pool.observeLimit(l, n.Limit, info)
 }
 
 // observe applies a notice that this instance has received itself. The caller holds mu.
-func (l *Pool) observe(m *member, n Notice, info ResponseInfo) {
-	x := l.announcedBy(m.Endpoint)
+func (p *Pool) observe(m *member, n Notice, info ResponseInfo) {
+	x := p.announcedBy(m.Endpoint)
 	if x == nil {
 		return
 	}
-	now := l.now()
-	x.receivedUnixMilli = l.wall().UnixMilli()
+	now := p.now()
+	x.receivedUnixMilli = p.wall().UnixMilli()
 	changed := false
 	if n.Leaving || n.Moved {
 		changed = !x.leaves(now)
 		x.leavingAt, x.direct = now, true
 	}
 	if n.Rest > 0 {
-		changed = x.extendRest(now, now.Add(n.Rest+l.restJitter(n.Rest)+l.returnDelay(m))) || changed
-		m.window = m.window.shrunk(now, m.open, l.policy.RestDecrease)
+		changed = x.extendRest(now, now.Add(n.Rest+p.restJitter(n.Rest)+p.returnDelay(m))) || changed
+		m.window = m.window.shrunk(now, m.open, p.policy.RestDecrease)
 	}
 	if changed {
-		l.onNotice(NoticeTaken{Endpoint: m.Endpoint, Notice: n, Response: info, Age: now.Sub(m.recordAt)})
+		p.onNotice(NoticeTaken{Endpoint: m.Endpoint, Notice: n, Response: info, Age: now.Sub(m.recordAt)})
 	}
 }
 
 // extendRest sets until when an endpoint accepts nothing. It returns true if the endpoint was not resting. The
 // longest time counts: several requests may be under way when an endpoint asks for rest, and the last response to
-// them names the shortest time.
+// them may announce the shortest time.
 func (x *announced) extendRest(now, until time.Time) (started bool) {
 	started = !before(now, x.restUntil)
 	if until.After(x.restUntil) {
@@ -165,37 +165,37 @@
 }
 
 // restJitter is a random delay that this instance adds to a rest.
-func (l *Pool) restJitter(rest time.Duration) time.Duration {
+func (p *Pool) restJitter(rest time.Duration) time.Duration {
 	const steps = 1 << 16
-	return time.Duration(l.policy.RestJitter * float64(rest) * float64(l.random(steps)) / steps)
+	return time.Duration(p.policy.RestJitter * float64(rest) * float64(p.random(steps)) / steps)
 }
 
-// returnDelay is how much later than others this instance returns to an endpoint, in an order that all instances
-// know. As many instances as the endpoint has slots return first, then twice as many in each step. All of them
-// receive the notice at about the same time, so hundreds would otherwise return at once.
-func (l *Pool) returnDelay(m *member) time.Duration {
+// returnDelay is how much later than the first instances this instance returns to an endpoint, in an order that all
+// instances compute. As many instances as the endpoint has slots return first, then twice as many in each step. All of
+// them receive the notice at about the same time, so hundreds would otherwise return at once.
+func (p *Pool) returnDelay(m *member) time.Duration {
 	delay := time.Duration(0)
 	first := int(m.slots())
-	for ; first < l.owners.Size() && !l.owners.Owns(m.ID, first); first *= 2 {
+	for ; first < p.owners.Size() && !p.owners.Owns(m.ID, first); first *= 2 {
 		delay += returnStep
 	}
 	return delay
 }
 
-// returnStep is the time between two such steps. An endpoint that is overloaded again announces it sooner than that.
+// returnStep is the time between two steps of returnDelay. An endpoint that is overloaded again announces it sooner.
 const returnStep = 500 * time.Millisecond
 
 // announcedBy finds or creates the announcements of a run of an endpoint's process; nil if a later run is known. The
 // caller holds mu.
-func (l *Pool) announcedBy(run Endpoint) *announced {
-	if l.outdated(run) {
+func (p *Pool) announcedBy(run Endpoint) *announced {
+	if p.outdated(run) {
 		return nil
 	}
-	m, x := l.byID[run.ID], l.announced[run.ID]
+	m, x := p.byID[run.ID], p.announced[run.ID]
 	if x == nil || !sameRun(x.run, run) {
-		l.evictAnnounced()
+		p.evictAnnounced()
 		x = &announced{run: run, recordDraining: run.Draining}
-		l.announced[run.ID] = x
+		p.announced[run.ID] = x
 	}
 	if m != nil && sameRun(m.Endpoint, run) {
 		m.announced, x.recordDraining = x, m.Draining
@@ -204,11 +204,11 @@
 }
 
 // outdated reports whether a later run than the given one is known. The caller holds mu.
-func (l *Pool) outdated(run Endpoint) bool {
-	if m := l.byID[run.ID]; m != nil && run.Outdated(m.Endpoint) {
+func (p *Pool) outdated(run Endpoint) bool {
+	if m := p.byID[run.ID]; m != nil && run.Outdated(m.Endpoint) {
 		return true
 	}
-	x := l.announced[run.ID]
+	x := p.announced[run.ID]
 	return x != nil && run.Outdated(x.run)
 }
 
@@ -219,12 +219,12 @@
 
 // evictAnnounced frees space for another run: it drops announcements that no longer apply, and those of endpoints
 // without a record.
-func (l *Pool) evictAnnounced() {
-	if len(l.announced) < maxAnnounced {
+func (p *Pool) evictAnnounced() {
+	if len(p.announced) < maxAnnounced {
 		return
 	}
-	maps.DeleteFunc(l.announced, func(id string, x *announced) bool {
-		m := l.byID[id]
+	maps.DeleteFunc(p.announced, func(id string, x *announced) bool {
+		m := p.byID[id]
 		if m != nil && !x.inactive() {
 			return false
 		}
@@ -237,16 +237,16 @@
 
 // reconcileRecord finds the announcements of an endpoint whose record has arrived, and ends those that the record
 // supersedes. The caller holds mu.
-func (l *Pool) reconcileRecord(e Endpoint) *announced {
-	x := l.announced[e.ID]
+func (p *Pool) reconcileRecord(e Endpoint) *announced {
+	x := p.announced[e.ID]
 	switch {
 	case x == nil:
 		return nil
 	case x.run.Outdated(e), x.run.StartedAt == 0 && e.StartedAt > x.receivedUnixMilli:
 		// A start time that is reported for the first time belongs to this run only if it precedes this run's last
 		// notice. Clocks may differ by seconds, but endpoints that leave have run for longer than that.
-		l.announced[e.ID] = &announced{run: e} // recognizes late records of the previous run
-		l.onNoticeEnded(NoticeEnded{Endpoint: e, Why: NoticeRestarted})
+		p.announced[e.ID] = &announced{run: e} // recognizes late records of the previous run
+		p.onNoticeEnded(NoticeEnded{Endpoint: e, Why: NoticeRestarted})
 		return nil
 	case !sameRun(x.run, e):
 		return nil // at another address: the announcements are of another process
@@ -254,8 +254,8 @@
 	x.run.StartedAt = max(x.run.StartedAt, e.StartedAt)
 	if x.recordDraining && !e.Draining && !x.leavingAt.IsZero() {
 		// The record has reported draining too, so it is newer than the notice: the endpoint stays after all.
-		x.leavingAt, x.direct, x.canceledAt = time.Time{}, false, l.now()
-		l.onNoticeEnded(NoticeEnded{Endpoint: e, Why: NoticeCanceled})
+		x.leavingAt, x.direct, x.canceledAt = time.Time{}, false, p.now()
+		p.onNoticeEnded(NoticeEnded{Endpoint: e, Why: NoticeCanceled})
 	}
 	x.recordDraining = e.Draining
 	return x
@@ -290,13 +290,13 @@
 
 // clearNotices clears the expired notices of an endpoint that gets a request, and returns its window. The caller
 // holds mu.
-func (l *Pool) clearNotices(m *member, now time.Time) *window {
+func (p *Pool) clearNotices(m *member, now time.Time) *window {
 	if x := m.announced; !x.noNotice() {
 		if !x.leavingAt.IsZero() {
 			m.window = probeWindow()
 		}
 		x.leavingAt, x.direct, x.restUntil = time.Time{}, false, time.Time{}
-		l.onNoticeEnded(NoticeEnded{Endpoint: m.Endpoint, Why: NoticeExpired})
+		p.onNoticeEnded(NoticeEnded{Endpoint: m.Endpoint, Why: NoticeExpired})
 	}
 	m.window.start(now)
 	return m.window
@@ -304,13 +304,13 @@
 
 // StillValid reports whether the endpoint still accepts the request, as far as is known. The endpoint or its record
 // may have reported otherwise since the pick.
-func (s *Lease) StillValid() bool {
-	l := s.pool
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	m := l.byID[s.member.ID]
-	return m != nil && sameRun(m.Endpoint, s.member.Endpoint) && !m.Draining && m.noticeExclusion(l.now()) == NotExcluded && !l.evacuated[m.Zone] &&
-		l.permitted(s)
+func (l *Lease) StillValid() bool {
+	p := l.pool
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	m := p.byID[l.member.ID]
+	return m != nil && sameRun(m.Endpoint, l.member.Endpoint) && !m.Draining && m.noticeExclusion(p.now()) == NotExcluded && !p.evacuated[m.Zone] &&
+		p.permitted(l)
 }
 
 // Leaving maps endpoints to how long ago they announced that they leave, by the same key as Loads.
@@ -327,13 +327,13 @@
 
 // Leaving returns which endpoints have announced to this instance that they leave, unless their records report it
 // themselves.
-func (l *Pool) Leaving() Leaving {
-	now := l.now()
-	l.mu.RLock()
-	defer l.mu.RUnlock()
+func (p *Pool) Leaving() Leaving {
+	now := p.now()
+	p.mu.RLock()
+	defer p.mu.RUnlock()
 	var out Leaving
-	for id, x := range l.announced {
-		m := l.byID[id]
+	for id, x := range p.announced {
+		m := p.byID[id]
 		if m == nil || m.announced != x || m.Draining || !x.direct || !x.leaves(now) {
 			continue
 		}
@@ -346,80 +346,80 @@
 }
 
 // ObserveLeaving applies what endpoints have announced to other instances.
-func (l *Pool) ObserveLeaving(reported Leaving) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.peersLeaving = reported
-	l.applyFromPeers(len(reported), l.applyPeersLeaving)
+func (p *Pool) ObserveLeaving(reported Leaving) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.peersLeaving = reported
+	p.applyFromPeers(len(reported), p.applyPeersLeaving)
 }
 
 // applyFromPeers calls apply for each endpoint if other instances have reported anything. The caller holds mu.
-func (l *Pool) applyFromPeers(reported int, apply func(*member)) {
+func (p *Pool) applyFromPeers(reported int, apply func(*member)) {
 	if reported == 0 {
 		return
 	}
-	for _, m := range l.byID {
+	for _, m := range p.byID {
 		apply(m)
 	}
 }
 
-// applyPeersLeaving applies the notice that an endpoint leaves which other instances have received, unless it is
-// older than the known state. The caller holds mu.
-func (l *Pool) applyPeersLeaving(m *member) {
-	age, ok := l.peersLeaving[m.key()]
+// applyPeersLeaving applies an endpoint's notice of leaving that other instances have received, unless it is older
+// than the known state. The caller holds mu.
+func (p *Pool) applyPeersLeaving(m *member) {
+	age, ok := p.peersLeaving[m.key()]
 	if !ok || age >= leavingTTL {
 		return
 	}
-	now := l.now()
+	now := p.now()
 	at := now.Add(-age)
-	x := l.announcedBy(m.Endpoint)
+	x := p.announcedBy(m.Endpoint)
 	if x == nil || x.leaves(now) || !at.After(x.canceledAt.Add(maxRelayLag)) {
 		return
 	}
-	x.leavingAt, x.receivedUnixMilli = at, l.wall().Add(-age).UnixMilli()
-	l.onNotice(NoticeTaken{Endpoint: m.Endpoint, Notice: Notice{Leaving: true}, FromPeer: true, Age: now.Sub(m.recordAt)})
+	x.leavingAt, x.receivedUnixMilli = at, p.wall().Add(-age).UnixMilli()
+	p.onNotice(NoticeTaken{Endpoint: m.Endpoint, Notice: Notice{Leaving: true}, FromPeer: true, Age: now.Sub(m.recordAt)})
 }
 
-// maxRelayLag bounds how much newer a notice seems than it is if other instances report it: it waits for an exchange
-// at each instance that passes it on.
+// maxRelayLag is an upper bound of the delay of a notice that other instances report: it waits for an exchange at each
+// instance that passes it on. Because of the delay the notice seems newer than it is.
 const maxRelayLag = 2 * PeerLoadsTTL
 
 // Availability describes whether any endpoint accepts a request now, and if not, why.
 type Availability struct {
 	Open bool
-	Full bool          // some would, but have no capacity left
+	Full bool          // some endpoints would, but have no capacity left
 	Rest time.Duration // until the first resting endpoint accepts work again; 0: none rests
-	// Limited is true if some would, but this instance has used its part of their limits; Rate is the sum of these
-	// parts, in requests a second
+	// Limited is true if some endpoints would, but this instance has used its part of their limits; Rate is the sum of
+	// these parts, in requests a second.
 	Limited bool
 	Rate    float64
 }
 
 // Availability reports whether any endpoint accepts a request now.
-func (l *Pool) Availability(q Query) Availability {
-	now := l.now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	var o Availability
-	for _, m := range l.services[q.Service] {
-		if !l.allowed(m, q) {
+func (p *Pool) Availability(q Query) Availability {
+	now := p.now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var out Availability
+	for _, m := range p.services[q.Service] {
+		if !p.allowed(m, q) {
 			continue
 		}
-		switch l.exclusionOf(m, now) {
+		switch p.exclusionOf(m, now) {
 		case NotExcluded:
-			if l.hasCapacity(m, l.connectionsOf(q.Service, now), now) {
+			if p.hasCapacity(m, p.connectionsOf(q.Service, now), now) {
 				return Availability{Open: true}
 			}
-			o.Full = true
+			out.Full = true
 		case ExcludedResting:
-			if left := m.announced.restUntil.Sub(now); o.Rest == 0 || left < o.Rest {
-				o.Rest = left
+			if left := m.announced.restUntil.Sub(now); out.Rest == 0 || left < out.Rest {
+				out.Rest = left
 			}
 		case ExcludedLimited:
-			o.Limited = true
-			o.Rate += l.expectedRate(m, now)
+			out.Limited = true
+			out.Rate += p.expectedRate(m, now)
 		case ExcludedEvacuated, ExcludedCold, ExcludedLeaving:
 		}
 	}
-	return o
+	return out
 }
--- a/internal/pool/notice_test.go
+++ b/internal/pool/notice_test.go
@@ -181,7 +181,7 @@
 			So(p.Leaving(), ShouldBeEmpty)
 		})
 
-		Convey("and others that receive this send nothing there, and do not report it as their own", func() {
+		Convey("and other instances that receive this send nothing there, and do not report it as their own observation", func() {
 			other.ObserveLeaving(reported)
 			So(other.takes(), ShouldBeFalse)
 			So(other.notices[0].FromPeer, ShouldBeTrue)
@@ -194,7 +194,7 @@
 			So(other.takes(), ShouldBeTrue)
 		})
 
-		Convey("also those to which the endpoint is still unknown, or whose record of it is removed and added again", func() {
+		Convey("also instances to which the endpoint is still unknown, or at which its record is removed and added again", func() {
 			other.Remove("e")
 			other.ObserveLeaving(reported)
 			other.Put(other.record(0, false))
@@ -253,7 +253,7 @@
 			So(p.takes(), ShouldBeTrue)
 		})
 
-		Convey("then it gets one request at a time, one more with each response, and in time as many as before", func() {
+		Convey("then it gets one request at first, one more with each response, and eventually as many as its slots and the requests still open allow", func() {
 			second.Done(EndGood)
 			p.clock.pass(2 * time.Second)
 			open := func() (out []*Lease) {
@@ -306,7 +306,7 @@
 		p := New("a", WithNow(clock.now), WithRandom(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "random") }))
 		newest := 1
 		// record returns a record of the newest run, or a late one of an earlier run. After the newest run's record
-		// is removed, no earlier one follows: the store keeps their order.
+		// is removed, no earlier one follows: the store preserves their order.
 		record := func() Endpoint {
 			first := 1
 			if p.byID["e"] == nil {
--- a/internal/pool/pace.go
+++ b/internal/pool/pace.go
@@ -34,23 +34,23 @@
 
 // ObserveLatency records, after the end of a complete response, the time to its first token and the longest time
 // between two tokens. An endpoint that is far slower than the others of its service gets no work for a while.
-func (s *Lease) ObserveLatency(first, token time.Duration) {
-	l, m := s.pool, s.member
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (l *Lease) ObserveLatency(first, token time.Duration) {
+	p, m := l.pool, l.member
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	m.pace.observe(first, token)
-	if l.policy.SlowFactor <= 0 || m.pace.samples < slowSamples {
+	if p.policy.SlowFactor <= 0 || m.pace.samples < slowSamples {
 		return
 	}
-	if median := l.medianFirst(m.Service); median > 0 && m.pace.first > l.policy.SlowFactor*median {
-		l.pauseMember(m, l.now())
+	if median := p.medianFirstToken(m.Service); median > 0 && m.pace.first > p.policy.SlowFactor*median {
+		p.pauseMember(m, p.now())
 	}
 }
 
-// medianFirst is the median time to the first token of a service's endpoints. The caller holds mu.
-func (l *Pool) medianFirst(service string) float64 {
+// medianFirstToken is the median time to the first token of a service's endpoints. The caller holds mu.
+func (p *Pool) medianFirstToken(service string) float64 {
 	var ts []float64
-	for _, m := range l.services[service] {
+	for _, m := range p.services[service] {
 		if m.pace.samples > 0 && m.pace.first > 0 {
 			ts = append(ts, m.pace.first)
 		}
--- a/internal/pool/pick.go
+++ b/internal/pool/pick.go
@@ -46,88 +46,88 @@
 	ended     bool
 	window    *window // the endpoint's window as of the pick; nil: none
 	picked    time.Time
-	// permit is the bucket that counts the request under the endpoint's limit; nil if it has none
+	// permit is the bucket that counts the request under the endpoint's limit; nil if it has none.
 	permit *limit.Bucket
-	// responseTimeout is how long the endpoint may take until the response begins
+	// responseTimeout is how long the endpoint may take until the response begins.
 	responseTimeout time.Duration
 }
 
 // Endpoint returns the record of the picked endpoint, as of the pick.
-func (s *Lease) Endpoint() Endpoint { return s.endpoint }
+func (l *Lease) Endpoint() Endpoint { return l.endpoint }
 
 // Reason returns why the endpoint was picked.
-func (s *Lease) Reason() Reason { return s.reason }
+func (l *Lease) Reason() Reason { return l.reason }
 
 // Exclusion returns why the first endpoint in the request's affinity order is excluded; NotExcluded if it is not.
-func (s *Lease) Exclusion() Exclusion { return s.exclusion }
+func (l *Lease) Exclusion() Exclusion { return l.exclusion }
 
 // Pick chooses an endpoint and counts the request as open there. It returns nil if no endpoint accepts work or all
 // have been tried.
-func (l *Pool) Pick(q Query) *Lease {
-	now := l.now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	m, reason := l.choose(q, now)
+func (p *Pool) Pick(q Query) *Lease {
+	now := p.now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	m, reason := p.choose(q, now)
 	if m == nil {
-		l.countDemand(q.Service, now)
+		p.countDemand(q.Service, now)
 		return nil
 	}
 	if m.open == 0 {
 		m.awaitingSince = now
 	}
-	l.markProbed(m, now)
-	l.countCold(m, now)
-	l.countDemand(q.Service, now)
-	timeout := l.responseTimeout(q)
+	p.markProbed(m, now)
+	p.countCold(m, now)
+	p.countDemand(q.Service, now)
+	timeout := p.responseTimeout(q)
 	if m.open == 0 {
 		m.responseTimeout = 0
 	}
 	m.responseTimeout = max(m.responseTimeout, timeout)
 	m.open++
 	if q.Prompt > 0 {
-		m.interference.add(now, stallProbability(l.readingTime(q), q.gap()))
+		m.interference.add(now, stallProbability(p.readingTime(q), q.gap()))
 	}
 	return &Lease{
-		pool: l, member: m, endpoint: m.Endpoint, reason: reason, exclusion: l.firstChoiceExclusion(q), responseTimeout: timeout, window: l.clearNotices(m, now), picked: now,
-		permit: l.takePermit(m, now),
+		pool: p, member: m, endpoint: m.Endpoint, reason: reason, exclusion: p.firstChoiceExclusion(q), responseTimeout: timeout, window: p.clearNotices(m, now), picked: now,
+		permit: p.takePermit(m, now),
 	}
 }
 
 // choose picks among the healthy endpoints. If none is healthy, the fault may be on this side, so it picks among all
 // eligible ones.
-func (l *Pool) choose(q Query, now time.Time) (*member, Reason) {
-	members := l.services[q.Service]
-	healthy, open := l.evaluate(members, q, now)
-	if m := l.underusedLimited(members, now); m != nil {
+func (p *Pool) choose(q Query, now time.Time) (*member, Reason) {
+	members := p.services[q.Service]
+	healthy, open := p.evaluate(members, q, now)
+	if m := p.underusedLimited(members, now); m != nil {
 		return m, ReasonLimit
 	}
 	switch {
 	case healthy == 0 && q.HealthyOnly:
 		return nil, ReasonLast
-	case healthy > 0 && l.chooser != nil:
-		return l.pickByChooser(members, q), ReasonLoad
+	case healthy > 0 && p.chooser != nil:
+		return p.pickByChooser(members, q), ReasonLoad
 	}
 	if healthy == 0 {
-		return l.pickLeastLoaded(members, q, func(m *member) bool { return m.eligible }), ReasonLast
+		return p.pickLeastLoaded(members, q, func(m *member) bool { return m.eligible }), ReasonLast
 	}
 	if q.Affinity == "" {
-		return l.pickOfTwo(members, now), ReasonLoad
+		return p.pickOfTwo(members, now), ReasonLoad
 	}
-	if l.mayIgnoreAffinity(q, now) {
-		return l.pickLeastCost(members, q, now)
+	if p.mayIgnoreAffinity(q, now) {
+		return p.pickLeastCost(members, q, now)
 	}
-	bound := l.policy.LoadFactor*float64(open+1)/float64(healthy) + float64(l.policy.LoadMargin)
-	return l.pickByAffinity(members, q, bound)
+	bound := p.policy.LoadFactor*float64(open+1)/float64(healthy) + float64(p.policy.LoadMargin)
+	return p.pickByAffinity(members, q, bound)
 }
 
 // evaluate determines which endpoints may be sent the request and which of these are healthy. It returns the number
 // of healthy ones and of the requests open there. With Policy.ColdLast, cold endpoints count only if no other one is
 // healthy.
-func (l *Pool) evaluate(members []*member, q Query, now time.Time) (healthy, open int) {
+func (p *Pool) evaluate(members []*member, q Query, now time.Time) (healthy, open int) {
 	warm := 0
-	l.anyExcluded = false
-	connected := l.connectionsOf(q.Service, now)
-	unrestricted := len(l.evacuated) == 0 && q.Regions == nil && q.Zones == nil && l.noZoneSuspect() && (connected == nil || connected.share > 0)
+	p.anyExcluded = false
+	connected := p.connectionsOf(q.Service, now)
+	unrestricted := len(p.evacuated) == 0 && q.Regions == nil && q.Zones == nil && p.noZoneSuspect() && (connected == nil || connected.share > 0)
 	for _, m := range members {
 		if unrestricted && m.pristine() {
 			m.exclusion, m.eligible = NotExcluded, !m.Draining && !q.Tried[m.ID]
@@ -137,35 +137,35 @@
 			}
 			continue
 		}
-		l.expireState(m, now)
-		m.exclusion = l.exclusionOf(m, now)
-		l.anyExcluded = l.anyExcluded || m.exclusion != NotExcluded
-		m.eligible = m.exclusion == NotExcluded && l.allowed(m, q) && l.hasCapacity(m, connected, now)
-		m.healthy = m.eligible && l.healthy(m, now)
+		p.expireState(m, now)
+		m.exclusion = p.exclusionOf(m, now)
+		p.anyExcluded = p.anyExcluded || m.exclusion != NotExcluded
+		m.eligible = m.exclusion == NotExcluded && p.allowed(m, q) && p.hasCapacity(m, connected, now)
+		m.healthy = m.eligible && p.healthy(m, now)
 		if !m.healthy {
 			continue
 		}
 		healthy++
 		open += m.open
-		if !l.cold(m, now) {
+		if !p.cold(m, now) {
 			warm++
 		}
 	}
-	if warm < healthy && warm > 0 && l.policy.ColdLast {
-		healthy, open = l.excludeCold(members, now)
+	if warm < healthy && warm > 0 && p.policy.ColdLast {
+		healthy, open = p.excludeCold(members, now)
 	}
 	return healthy, open
 }
 
-// pristine reports whether no state is tracked for an endpoint, as for nearly all of them in a large fleet. Such an
-// endpoint need not be evaluated: it has slots, as every record names some, and this instance uses none of them.
+// pristine reports whether no state is tracked for an endpoint, as is the case for nearly all of them in a large
+// fleet. Such an endpoint need not be evaluated: every record has slots, and this instance uses none of them.
 func (m *member) pristine() bool {
 	return m.open == 0 && m.announced == nil && m.window == nil && m.errorShare == 0 && m.failed.perSecond == 0 && m.peerLoad.Failed == 0 && m.peerLoad.Silent == 0 &&
 		m.pausedUntil.IsZero() && m.busyUntil.IsZero() && m.warming.until.IsZero()
 }
 
 // expireState clears expired state of an endpoint, so that later picks need not evaluate it. The caller holds mu.
-func (l *Pool) expireState(m *member, now time.Time) {
+func (p *Pool) expireState(m *member, now time.Time) {
 	if !before(now, m.pausedUntil) {
 		m.pausedUntil = time.Time{}
 	}
@@ -190,12 +190,12 @@
 }
 
 // excludeCold excludes cold endpoints from the healthy ones. The caller holds mu.
-func (l *Pool) excludeCold(members []*member, now time.Time) (healthy, open int) {
-	l.anyExcluded = true
+func (p *Pool) excludeCold(members []*member, now time.Time) (healthy, open int) {
+	p.anyExcluded = true
 	for _, m := range members {
 		switch {
 		case !m.healthy:
-		case l.cold(m, now):
+		case p.cold(m, now):
 			m.healthy, m.exclusion = false, ExcludedCold
 		default:
 			healthy++
@@ -207,14 +207,14 @@
 
 // firstChoiceExclusion returns why the first endpoint in the request's affinity order gets no work, as of the last
 // evaluation.
-func (l *Pool) firstChoiceExclusion(q Query) Exclusion {
-	if !l.anyExcluded || q.Affinity == "" {
+func (p *Pool) firstChoiceExclusion(q Query) Exclusion {
+	if !p.anyExcluded || q.Affinity == "" {
 		return NotExcluded
 	}
 	key := xxhash.Sum64String(q.Affinity)
 	var first *member
 	var firstOrder uint64
-	for _, m := range l.services[q.Service] {
+	for _, m := range p.services[q.Service] {
 		if order := m.order(key); !m.Draining && (first == nil || order > firstOrder) {
 			first, firstOrder = m, order
 		}
@@ -226,27 +226,27 @@
 }
 
 // allowed reports whether an endpoint may be sent the request at all.
-func (l *Pool) allowed(m *member, q Query) bool {
-	if q.Regions != nil && !slices.Contains(q.Regions, l.regions[m.Zone]) {
+func (p *Pool) allowed(m *member, q Query) bool {
+	if q.Regions != nil && !slices.Contains(q.Regions, p.regions[m.Zone]) {
 		return false
 	}
 	return !m.Draining && !q.Tried[m.ID] && (q.Zones == nil || slices.Contains(q.Zones, m.Zone))
 }
 
 // hasCapacity reports whether an endpoint may have one more request of this instance.
-func (l *Pool) hasCapacity(m *member, c *connections, now time.Time) bool {
-	if (m.Slots > 0 && m.open >= l.slotShare(m)) || !l.mayConnect(m, c, now) {
+func (p *Pool) hasCapacity(m *member, c *connections, now time.Time) bool {
+	if (m.Slots > 0 && m.open >= p.slotShare(m)) || !p.mayConnect(m, c, now) {
 		return false
 	}
 	return m.window.expired(now) || m.open < m.window.limit(now)
 }
 
 // slotShare is how many requests this instance may have open at an endpoint.
-func (l *Pool) slotShare(m *member) int { return max(1, m.Slots/max(1, l.zoneInstances())) }
+func (p *Pool) slotShare(m *member) int { return max(1, m.Slots/max(1, p.zoneInstances())) }
 
 // pickLeastLoaded picks the endpoint at which this instance has the fewest open requests; one in another availability
 // zone counts as a little busier.
-func (l *Pool) pickLeastLoaded(members []*member, q Query, may func(*member) bool) *member {
+func (p *Pool) pickLeastLoaded(members []*member, q Query, may func(*member) bool) *member {
 	key := xxhash.Sum64String(q.Affinity)
 	var best *member
 	var bestLoad float64
@@ -256,8 +256,8 @@
 			continue
 		}
 		load := float64(m.open)
-		if m.Zone != l.zone {
-			load += l.policy.CrossZonePenalty
+		if m.Zone != p.zone {
+			load += p.policy.CrossZonePenalty
 		}
 		order := m.order(key)
 		if best == nil || load < bestLoad || (load == bestLoad && order < bestOrder) {
@@ -269,7 +269,7 @@
 
 // pickByAffinity picks the first endpoint in the request's affinity order whose load is below the bound, or the first
 // one of all if there is none.
-func (l *Pool) pickByAffinity(members []*member, q Query, bound float64) (*member, Reason) {
+func (p *Pool) pickByAffinity(members []*member, q Query, bound float64) (*member, Reason) {
 	key := xxhash.Sum64String(q.Affinity)
 	var first, best *member
 	var firstOrder, bestOrder uint64
--- a/internal/pool/place.go
+++ b/internal/pool/place.go
@@ -8,11 +8,11 @@
 
 const (
 	affinityChoices = 4                      // endpoints that are compared for one request
-	weakAffinity    = 0.05                   // of the target time: rereading a cached part in less is negligible
+	weakAffinity    = 0.05                   // share of the target time below which rereading a cached part is negligible
 	rereadWeight    = 3                      // weight of rereading, against the probability of a late response
-	minTarget       = time.Second            // target time to the first event where a route names less, or none
-	defaultSlots    = 8                      // where an endpoint names none
-	defaultGap      = 500 * time.Millisecond // where a route names none
+	minTarget       = time.Second            // target time to the first event where a route sets less, or none
+	defaultSlots    = 8                      // where the record of an endpoint has none
+	defaultGap      = 500 * time.Millisecond // where a route sets none
 	streamDuration  = 2 * time.Second        // approximate duration of a stream
 	openCost        = 0.2                    // cost of an endpoint with all slots in use: tokens arrive more slowly
 	fullShare       = 0.9                    // share of the slots in use from which an endpoint counts as full
@@ -20,29 +20,29 @@
 
 // rereadShare is the time for reading the shared part of a prompt where it is not cached, as a share of the target
 // time to the first event.
-func (l *Pool) rereadShare(q Query) float64 {
-	return float64(q.Shared) / l.speeds[q.Service].perSecond() / max(minTarget, q.Target).Seconds()
+func (p *Pool) rereadShare(q Query) float64 {
+	return float64(q.Shared) / p.speeds[q.Service].perSecond() / max(minTarget, q.Target).Seconds()
 }
 
-// mayIgnoreAffinity reports whether a request may go to an endpoint with less load than its affinity names: the loads
-// of the other instances are known, and what an endpoint may have cached of the prompt is read so quickly that it is
-// not worth waiting for.
-func (l *Pool) mayIgnoreAffinity(q Query, now time.Time) bool {
-	return q.Prompt > 0 && l.peerLoadsFresh(now) && l.rereadShare(q) < weakAffinity
+// mayIgnoreAffinity reports whether a request may go to a less loaded endpoint than the one that its affinity prefers:
+// the loads of the other instances are known, and an endpoint reads what another one may have cached of the prompt so
+// quickly that the cache is not worth waiting for.
+func (p *Pool) mayIgnoreAffinity(q Query, now time.Time) bool {
+	return q.Prompt > 0 && p.peerLoadsFresh(now) && p.rereadShare(q) < weakAffinity
 }
 
 // pickLeastCost compares the first few endpoints in the request's affinity order by the load of all instances. It
 // does not compare all endpoints: each has different prompts cached, and loads are reported late, so all instances
 // would move to the same endpoint.
-func (l *Pool) pickLeastCost(members []*member, q Query, now time.Time) (*member, Reason) {
-	choices := l.choices(members, xxhash.Sum64String(q.Affinity))
-	best, bestCost := choices[0], l.cost(choices[0], now)
-	rereadCost := rereadWeight * l.rereadShare(q)
+func (p *Pool) pickLeastCost(members []*member, q Query, now time.Time) (*member, Reason) {
+	choices := p.choices(members, xxhash.Sum64String(q.Affinity))
+	best, bestCost := choices[0], p.cost(choices[0], now)
+	rereadCost := rereadWeight * p.rereadShare(q)
 	for _, m := range choices[1:] {
 		if m == nil {
 			break
 		}
-		if cost := l.cost(m, now) + rereadCost; cost < bestCost {
+		if cost := p.cost(m, now) + rereadCost; cost < bestCost {
 			best, bestCost = m, cost
 		}
 	}
@@ -53,8 +53,8 @@
 }
 
 // cost is roughly the probability that a stream fails or stalls at an endpoint, plus a little for each open request.
-func (l *Pool) cost(m *member, now time.Time) float64 {
-	x := l.total(m, now)
+func (p *Pool) cost(m *member, now time.Time) float64 {
+	x := p.total(m, now)
 	slots := m.slots()
 	cost := x.failureShare() + streamDuration.Seconds()*x.Interference + openCost*float64(x.Open)/slots
 	if float64(x.Open) >= fullShare*slots {
@@ -73,7 +73,7 @@
 
 // choices returns the first healthy endpoints in the order of a key, best first, with nils at the end if there are
 // fewer.
-func (l *Pool) choices(members []*member, key uint64) (out [affinityChoices]*member) {
+func (p *Pool) choices(members []*member, key uint64) (out [affinityChoices]*member) {
 	var orders [affinityChoices]uint64
 	for _, m := range members {
 		if !m.healthy {
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -22,9 +22,9 @@
 	Zone     string `cbor:"4,keyasint"`
 	Slots    int    `cbor:"5,keyasint"`
 	Draining bool   `cbor:"6,keyasint,omitempty"` // takes no new work
-	// Cold is for how much longer the endpoint is slow, as of its report: it has just started or has lost its cache
+	// Cold is for how much longer the endpoint is slow, as of its report: it has just started or has lost its cache.
 	Cold time.Duration `cbor:"7,keyasint,omitempty"`
-	// StartedAt is when its process started, in Unix milliseconds of its own clock; 0: not reported
+	// StartedAt is when its process started, in Unix milliseconds of its own clock; 0: not reported.
 	StartedAt int64 `cbor:"8,keyasint,omitempty"`
 }
 
@@ -62,8 +62,8 @@
 	ErrorShare            float64       // share of failures among recent responses above which an endpoint is avoided
 	ColdLast              bool          // cold endpoints get work only if no other endpoint is healthy
 	RestJitter            float64       // share of a rest up to which instances randomly return later, to spread them
-	RestDecrease          float64       // share of the open requests at a rest up to which the window grows fast; 0: none
-	BusyDecrease          float64       // the same for an endpoint that is busy and does not ask for rest; 0: none
+	RestDecrease          float64       // share of the requests open at a rest up to which the window grows fast; 0: no window
+	BusyDecrease          float64       // the same for an endpoint that is busy and does not ask for rest; 0: no window
 	PauseAfter            int           // consecutive failures from which an endpoint is paused
 	MaxPausedShare        float64       // share of a service's endpoints that may be paused at once
 	ProbeAfterPause       bool          // an endpoint gets a single request at first when its pause ends
@@ -155,46 +155,46 @@
 type Option func(*Pool)
 
 // WithPolicy replaces the default policy.
-func WithPolicy(p Policy) Option { return func(l *Pool) { l.policy = p } }
+func WithPolicy(policy Policy) Option { return func(p *Pool) { p.policy = policy } }
 
 // WithNow replaces the clock.
-func WithNow(now func() time.Time) Option { return func(l *Pool) { l.now = now } }
+func WithNow(now func() time.Time) Option { return func(p *Pool) { p.now = now } }
 
 // WithWall replaces the wall clock.
-func WithWall(wall func() time.Time) Option { return func(l *Pool) { l.wall = wall } }
+func WithWall(wall func() time.Time) Option { return func(p *Pool) { p.wall = wall } }
 
 // WithRegions sets the region of each availability zone.
-func WithRegions(byZone map[string]string) Option { return func(l *Pool) { l.regions = byZone } }
+func WithRegions(byZone map[string]string) Option { return func(p *Pool) { p.regions = byZone } }
 
 // WithRandom replaces the source of random numbers from 0 up to n, not including n.
-func WithRandom(f func(n int) int) Option { return func(l *Pool) { l.random = f } }
+func WithRandom(f func(n int) int) Option { return func(p *Pool) { p.random = f } }
 
 // OnRemoved sets the function that is called with the address of each removed endpoint.
-func OnRemoved(f func(addr string)) Option { return func(l *Pool) { l.onRemoved = f } }
+func OnRemoved(f func(addr string)) Option { return func(p *Pool) { p.onRemoved = f } }
 
 // OnNotice sets the function that is called with each notice that takes effect. It runs while the pool is locked, so
 // it must not call the pool.
-func OnNotice(f func(NoticeTaken)) Option { return func(l *Pool) { l.onNotice = f } }
+func OnNotice(f func(NoticeTaken)) Option { return func(p *Pool) { p.onNotice = f } }
 
-// OnNoticeEnded sets the function that is called with each notice that no longer applies. It must not call the pool
-// either.
-func OnNoticeEnded(f func(NoticeEnded)) Option { return func(l *Pool) { l.onNoticeEnded = f } }
+// OnNoticeEnded sets the function that is called with each notice that no longer applies. It runs while the pool is
+// locked, so it must not call the pool.
+func OnNoticeEnded(f func(NoticeEnded)) Option { return func(p *Pool) { p.onNoticeEnded = f } }
 
 // WithChooser sets the Chooser that picks among healthy endpoints, and makes the pool track which endpoint recently
 // saw which blocks of prompts.
 func WithChooser(c Chooser[Candidate], r Rand) Option {
-	return func(l *Pool) { l.chooser, l.chooserRand, l.prefixes = c, r, NewPrefixTable(prefixEntries) }
+	return func(p *Pool) { p.chooser, p.chooserRand, p.prefixes = c, r, NewPrefixTable(prefixEntries) }
 }
 
 // WithZoneView sets the functions that return how many requests the zone's other instances have open at an endpoint,
 // and among how many instances its slots are split.
 func WithZoneView(load func(endpoint string) int, instances func() int) Option {
-	return func(l *Pool) { l.zoneLoad, l.zoneInstances = load, instances }
+	return func(p *Pool) { p.zoneLoad, p.zoneInstances = load, instances }
 }
 
 // New returns an empty pool for an instance in an availability zone.
 func New(zone string, opts ...Option) *Pool {
-	l := &Pool{
+	p := &Pool{
 		zone: zone, policy: DefaultPolicy(), now: time.Now, wall: time.Now,
 		services: make(map[string][]*member), byID: make(map[string]*member),
 		zones: make(map[string]*zoneHealth), onRemoved: func(string) {}, onNotice: func(NoticeTaken) {}, onNoticeEnded: func(NoticeEnded) {},
@@ -202,25 +202,25 @@
 		speeds: make(map[string]*speed), owners: singleInstance{}, random: rand.IntN, demand: make(map[string]flow),
 	}
 	for _, opt := range opts {
-		opt(l)
+		opt(p)
 	}
-	return l
+	return p
 }
 
 // Replace replaces all endpoints by those of the list. It returns how many were added and removed.
-func (l *Pool) Replace(list []Endpoint) (added, removed int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (p *Pool) Replace(list []Endpoint) (added, removed int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	listed := make(map[string]bool, len(list))
 	for _, e := range list {
 		listed[e.ID] = true
-		if l.put(e) {
+		if p.put(e) {
 			added++
 		}
 	}
-	for id := range l.byID {
+	for id := range p.byID {
 		if !listed[id] {
-			l.remove(id)
+			p.remove(id)
 			removed++
 		}
 	}
@@ -228,70 +228,70 @@
 }
 
 // Put adds an endpoint or updates its record. It returns true if the endpoint is new or starts or stops draining.
-func (l *Pool) Put(e Endpoint) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.put(e)
+func (p *Pool) Put(e Endpoint) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.put(e)
 }
 
-func (l *Pool) put(e Endpoint) bool {
-	if l.outdated(e) {
+func (p *Pool) put(e Endpoint) bool {
+	if p.outdated(e) {
 		return false // a late record of the previous process
 	}
-	m := l.byID[e.ID]
+	m := p.byID[e.ID]
 	// A process that restarted under the same ID has lost its state, so the state tracked for the previous one is
 	// dropped.
 	if m != nil && m.Service == e.Service && m.Addr == e.Addr && !m.Outdated(e) {
 		changed := m.Draining != e.Draining
-		e.StartedAt, m.recordAt = max(e.StartedAt, m.StartedAt), l.now()
+		e.StartedAt, m.recordAt = max(e.StartedAt, m.StartedAt), p.now()
 		m.runKey = runKey(e)
 		m.Endpoint = e
-		m.announced = l.reconcileRecord(e)
-		l.markCold(m, l.now(), e.Cold)
+		m.announced = p.reconcileRecord(e)
+		p.markCold(m, p.now(), e.Cold)
 		return changed
 	}
 	if m != nil {
-		l.remove(e.ID)
+		p.remove(e.ID)
 	}
-	m = &member{Endpoint: e, receivedAt: l.now(), recordAt: l.now(), hash: xxhash.Sum64String(e.ID), runKey: runKey(e)}
-	l.markCold(m, l.now(), e.Cold)
-	m.peerLoad = l.peerLoads[m.key()]
-	m.announced = l.reconcileRecord(e)
-	l.byID[e.ID] = m
-	l.applyPeersLeaving(m)
-	l.applyPeersLimit(m)
-	l.services[e.Service] = append(l.services[e.Service], m)
+	m = &member{Endpoint: e, receivedAt: p.now(), recordAt: p.now(), hash: xxhash.Sum64String(e.ID), runKey: runKey(e)}
+	p.markCold(m, p.now(), e.Cold)
+	m.peerLoad = p.peerLoads[m.key()]
+	m.announced = p.reconcileRecord(e)
+	p.byID[e.ID] = m
+	p.applyPeersLeaving(m)
+	p.applyPeersLimit(m)
+	p.services[e.Service] = append(p.services[e.Service], m)
 	return true
 }
 
 // Remove removes an endpoint; it returns false if the endpoint is unknown.
-func (l *Pool) Remove(id string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.remove(id)
+func (p *Pool) Remove(id string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.remove(id)
 }
 
-func (l *Pool) remove(id string) bool {
-	m := l.byID[id]
+func (p *Pool) remove(id string) bool {
+	m := p.byID[id]
 	if m == nil {
 		return false
 	}
-	delete(l.byID, id)
+	delete(p.byID, id)
 	if m.open > 0 {
-		l.removedInUse[m] = true
+		p.removedInUse[m] = true
 	}
-	l.services[m.Service] = slices.DeleteFunc(l.services[m.Service], func(x *member) bool { return x == m })
-	l.onRemoved(m.Addr)
+	p.services[m.Service] = slices.DeleteFunc(p.services[m.Service], func(x *member) bool { return x == m })
+	p.onRemoved(m.Addr)
 	return true
 }
 
 // Len returns the number of endpoints that accept new work.
-func (l *Pool) Len() int {
-	l.mu.RLock()
-	defer l.mu.RUnlock()
-	now := l.now()
+func (p *Pool) Len() int {
+	p.mu.RLock()
+	defer p.mu.RUnlock()
+	now := p.now()
 	n := 0
-	for _, m := range l.byID {
+	for _, m := range p.byID {
 		if !m.Draining && !m.announced.leaves(now) {
 			n++
 		}
--- a/internal/pool/restart_test.go
+++ b/internal/pool/restart_test.go
@@ -14,24 +14,24 @@
 	Convey("An endpoint that has run requests", t, func() {
 		now := time.Unix(1000, 0)
 		removals := 0
-		l := New("a", WithNow(func() time.Time { return now }), OnRemoved(func(string) { removals++ }))
+		p := New("a", WithNow(func() time.Time { return now }), OnRemoved(func(string) { removals++ }))
 		at := func(startedAt int64) Endpoint {
 			return Endpoint{ID: "e", Service: "s", Addr: "1:1", Zone: "a", Slots: 1, StartedAt: startedAt}
 		}
-		l.Put(at(100))
-		lease := l.Pick(Query{Service: "s"})
+		p.Put(at(100))
+		lease := p.Pick(Query{Service: "s"})
 		So(lease, ShouldNotBeNil)
-		So(l.Pick(Query{Service: "s"}), ShouldBeNil) // its only slot is in use
-		l.SetPeerLoads(Loads{l.byID["e"].key(): {Open: 7, Failed: 5, Ended: 5}})
+		So(p.Pick(Query{Service: "s"}), ShouldBeNil) // its only slot is in use
+		p.SetPeerLoads(Loads{p.byID["e"].key(): {Open: 7, Failed: 5, Ended: 5}})
 
 		Convey("counts as a new one once it reports a later start: no earlier state applies", func() {
-			So(l.Put(at(200)), ShouldBeTrue)
+			So(p.Put(at(200)), ShouldBeTrue)
 			So(removals, ShouldEqual, 1)
 			So(lease.ProcessState(), ShouldEqual, ProcessEnded)
-			m := l.byID["e"]
+			m := p.byID["e"]
 			So(m.open, ShouldEqual, 0)
 			So(m.peerLoad, ShouldResemble, Load{})
-			again := l.Pick(Query{Service: "s"})
+			again := p.Pick(Query{Service: "s"})
 			So(again, ShouldNotBeNil)
 
 			Convey("a lease of the previous process ends without effect", func() {
@@ -41,32 +41,32 @@
 			})
 
 			Convey("a late record of an earlier start changes nothing, alone or in a list", func() {
-				So(l.Put(at(100)), ShouldBeFalse)
-				added, removed := l.Replace([]Endpoint{at(100)})
+				So(p.Put(at(100)), ShouldBeFalse)
+				added, removed := p.Replace([]Endpoint{at(100)})
 				So(added+removed, ShouldEqual, 0)
-				So(l.byID["e"], ShouldEqual, m)
+				So(p.byID["e"], ShouldEqual, m)
 				So(m.StartedAt, ShouldEqual, 200)
 			})
 
 			Convey("a record without a start time keeps the known one", func() {
-				So(l.Put(at(0)), ShouldBeFalse)
-				So(l.byID["e"], ShouldEqual, m)
+				So(p.Put(at(0)), ShouldBeFalse)
+				So(p.byID["e"], ShouldEqual, m)
 				So(m.StartedAt, ShouldEqual, 200)
 			})
 		})
 
 		Convey("keeps its state while it reports the same start", func() {
-			l.Put(at(100))
+			p.Put(at(100))
 			So(lease.ProcessState(), ShouldEqual, ProcessRunning)
-			So(l.byID["e"].open, ShouldEqual, 1)
+			So(p.byID["e"].open, ShouldEqual, 1)
 		})
 
 		Convey("is leaving once it drains or its record is removed", func() {
 			e := at(100)
 			e.Draining = true
-			l.Put(e)
+			p.Put(e)
 			So(lease.ProcessState(), ShouldEqual, ProcessLeaving)
-			l.Remove("e")
+			p.Remove("e")
 			So(lease.ProcessState(), ShouldEqual, ProcessLeaving)
 		})
 	})
--- a/internal/pool/return_test.go
+++ b/internal/pool/return_test.go
@@ -10,8 +10,8 @@
 
 // TestStaggeredReturn guards against all instances returning to an endpoint at once. They receive its notice of rest
 // at about the same time, and used to return within a tenth of the rest with a request each: 300 at once at an
-// endpoint that works on 32. So instances that are later in an order that all know return later, twice as many in
-// each step.
+// endpoint that works on 32. So they return in steps, in an order that all instances compute, twice as many in each
+// step.
 func TestStaggeredReturn(t *testing.T) {
 	const slots, rest = 32, time.Second
 	for _, instances := range []int{6, 30, 300} {
--- a/internal/pool/silence_test.go
+++ b/internal/pool/silence_test.go
@@ -19,11 +19,11 @@
 		topics                       = 360
 		duration                     = 4 * time.Second // as long as the endpoints' records stay in the store
 		exchangeEvery                = 500 * time.Millisecond
-		life                         = 2 * time.Second
+		lifetime                     = 2 * time.Second
 		eventEvery                   = 60 * time.Millisecond
 	)
 	clock := &testClock{at: time.Unix(1000, 0)}
-	begun := clock.at
+	start := clock.at
 	pools := make([]*Pool, instances)
 	for i := range pools {
 		pools[i] = New("a", WithNow(clock.now))
@@ -43,8 +43,8 @@
 	}
 	var running []stream
 	sent := 0
-	lastEvent, lastExchange := begun, begun
-	for clock.at.Before(begun.Add(duration)) {
+	lastEvent, lastExchange := start, start
+	for clock.at.Before(start.Add(duration)) {
 		clock.pass(time.Second / requests)
 		if clock.at.Sub(lastEvent) >= eventEvery {
 			lastEvent = clock.at
@@ -62,16 +62,16 @@
 		}
 		lease := pools[random.IntN(instances)].Pick(Query{Service: "models", Affinity: fmt.Sprint("topic-", random.IntN(topics)), Prompt: 800, Shared: 600})
 		if isSilent(lease.Endpoint()) {
-			sent++ // it waits in vain
+			sent++ // the request gets no response
 			continue
 		}
-		running = append(running, stream{lease, clock.at.Add(life)})
+		running = append(running, stream{lease, clock.at.Add(lifetime)})
 	}
 	return sent
 }
 
 func TestSilenceFromPeers(t *testing.T) {
-	Convey("If many endpoints fall silent, an instance finds out from others before it has sent them requests of its own", t, func() {
+	Convey("Instances that exchange their loads send far fewer requests to endpoints that have fallen silent", t, func() {
 		isolated, exchanging := countSentToSilent(false), countSentToSilent(true)
 		So(exchanging, ShouldBeLessThan, isolated*6/10)
 	})
--- a/internal/pool/status.go
+++ b/internal/pool/status.go
@@ -11,17 +11,17 @@
 }
 
 // Statuses returns the state of all endpoints, including removed ones at which this instance still has open requests.
-func (l *Pool) Statuses() []Status {
-	now := l.now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	byID := make(map[string]*Status, len(l.byID))
-	for _, m := range l.byID {
+func (p *Pool) Statuses() []Status {
+	now := p.now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	byID := make(map[string]*Status, len(p.byID))
+	for _, m := range p.byID {
 		byID[m.ID] = &Status{
-			ID: m.ID, Open: m.open, Paused: m.pause > 0, Exclusion: l.exclusionOf(m, now), FirstToken: m.pace.first, PerToken: m.pace.token,
+			ID: m.ID, Open: m.open, Paused: m.pause > 0, Exclusion: p.exclusionOf(m, now), FirstToken: m.pace.first, PerToken: m.pace.token,
 		}
 	}
-	for m := range l.removedInUse {
+	for m := range p.removedInUse {
 		if byID[m.ID] == nil {
 			byID[m.ID] = &Status{ID: m.ID}
 		}
@@ -35,17 +35,17 @@
 }
 
 // Capacity is how many requests this instance may have open at the endpoints that may run a query.
-func (l *Pool) Capacity(q Query) int {
-	now := l.now()
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (p *Pool) Capacity(q Query) int {
+	now := p.now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	n := 0
-	for _, m := range l.services[q.Service] {
-		if !l.allowed(m, q) || l.exclusionOf(m, now) != NotExcluded || !l.healthy(m, now) {
+	for _, m := range p.services[q.Service] {
+		if !p.allowed(m, q) || p.exclusionOf(m, now) != NotExcluded || !p.healthy(m, now) {
 			continue
 		}
-		capacity := l.slotShare(m)
-		if c := l.connectionsOf(q.Service, now); c != nil {
+		capacity := p.slotShare(m)
+		if c := p.connectionsOf(q.Service, now); c != nil {
 			capacity = min(capacity, c.share)
 		}
 		if !m.window.expired(now) {
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -17,7 +17,7 @@
 	const suspended = 8 * time.Second
 	type suspendable struct {
 		*Pool
-		sleep func()
+		suspend func()
 	}
 	newPool := func(countsSuspension bool) suspendable {
 		boot := time.Hour
@@ -41,8 +41,8 @@
 		return true
 	}
 	for name, c := range map[string]struct {
-		before func(p *Pool)
-		awake  func(p *Pool) bool // what must be true after the suspension
+		before   func(p *Pool)
+		expected func(p *Pool) bool // what must be true after the suspension
 	}{
 		"the loads of other instances have expired": {
 			func(p *Pool) { p.SetPeerLoads(Loads{p.byID["e"].key(): {Open: 9}}) },
@@ -76,15 +76,15 @@
 		Convey("After a suspension "+name, t, func() {
 			k := newPool(true)
 			c.before(k.Pool)
-			So(c.awake(k.Pool), ShouldBeFalse)
-			k.sleep()
-			So(c.awake(k.Pool), ShouldBeTrue)
+			So(c.expected(k.Pool), ShouldBeFalse)
+			k.suspend()
+			So(c.expected(k.Pool), ShouldBeTrue)
 
 			Convey("but not with a clock that does not count the suspension", func() {
 				k := newPool(false)
 				c.before(k.Pool)
-				k.sleep()
-				So(c.awake(k.Pool), ShouldBeFalse)
+				k.suspend()
+				So(c.expected(k.Pool), ShouldBeFalse)
 			})
 		})
 	}
--- a/internal/pool/warm.go
+++ b/internal/pool/warm.go
@@ -13,16 +13,16 @@
 const (
 	NotExcluded       Exclusion = ""
 	ExcludedEvacuated Exclusion = "evacuated" // the operator has evacuated its availability zone
-	ExcludedCold      Exclusion = "cold"      // it has just started or lost its cache; others own its share or have capacity
+	ExcludedCold      Exclusion = "cold"      // it has just started or lost its cache; other instances or endpoints serve instead
 	ExcludedLeaving   Exclusion = "leaving"   // it has announced in a response that it leaves
 	ExcludedResting   Exclusion = "resting"   // it has asked this instance for rest in a response
-	ExcludedLimited   Exclusion = "limited"   // it names a limit for all instances, and this one's part of that is used up
+	ExcludedLimited   Exclusion = "limited"   // it has announced a limit for all instances, and this instance has used its part
 )
 
-// ownersTTL is how long it is cached who owns a cold endpoint: instances start and stop within seconds.
+// ownersTTL is how long the owners of a cold endpoint are cached: instances start and stop within seconds.
 const ownersTTL = time.Second
 
-// Owners determines which instances own what, in an order that each instance computes by itself.
+// Owners determines which instances own a key, in an order that each instance computes by itself.
 type Owners interface {
 	// IsDiscovered reports whether the other instances are known at all.
 	IsDiscovered() bool
@@ -35,10 +35,10 @@
 }
 
 // WithOwners sets which instances own cold endpoints. Without it, this instance is the only one.
-func WithOwners(o Owners) Option { return func(l *Pool) { l.owners = o } }
+func WithOwners(o Owners) Option { return func(p *Pool) { p.owners = o } }
 
 // WithColdBounds sets the operator's bounds on requests to cold endpoints.
-func WithColdBounds(b slowstart.Bounds) Option { return func(l *Pool) { l.coldBounds = b } }
+func WithColdBounds(b slowstart.Bounds) Option { return func(p *Pool) { p.coldBounds = b } }
 
 // singleInstance is a fleet of one instance.
 type singleInstance struct{}
@@ -58,73 +58,73 @@
 }
 
 // SetWarmups sets the warm-up settings of each service.
-func (l *Pool) SetWarmups(byService map[string]slowstart.Warmup) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.warmups = byService
+func (p *Pool) SetWarmups(byService map[string]slowstart.Warmup) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.warmups = byService
 }
 
-// SetEvacuated sets all availability zones whose endpoints get no new work. Those of a zone that returns may have
-// become cold a moment before, and their records report that too late, so they count as cold.
-func (l *Pool) SetEvacuated(zones []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	old := l.evacuated
-	l.evacuated = make(map[string]bool, len(zones))
+// SetEvacuated sets all availability zones whose endpoints get no new work. The endpoints of a zone that returns count
+// as cold: they may have become cold a moment before, and their records report that too late.
+func (p *Pool) SetEvacuated(zones []string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	old := p.evacuated
+	p.evacuated = make(map[string]bool, len(zones))
 	for _, zone := range zones {
-		l.evacuated[zone] = true
+		p.evacuated[zone] = true
 	}
-	now := l.now()
-	for _, m := range l.byID {
-		if old[m.Zone] && !l.evacuated[m.Zone] {
-			l.markCold(m, now, l.warmups[m.Service].Time)
+	now := p.now()
+	for _, m := range p.byID {
+		if old[m.Zone] && !p.evacuated[m.Zone] {
+			p.markCold(m, now, p.warmups[m.Service].Time)
 		}
 	}
 }
 
 // markCold marks an endpoint as cold for some time from now on. The caller holds mu.
-func (l *Pool) markCold(m *member, now time.Time, d time.Duration) {
+func (p *Pool) markCold(m *member, now time.Time, d time.Duration) {
 	if until := now.Add(d); d > 0 && until.After(m.warming.until) {
 		m.warming.until = until
 	}
 }
 
 // cold reports whether an endpoint is cold and the requests to it are bounded. The caller holds mu.
-func (l *Pool) cold(m *member, now time.Time) bool {
-	return before(now, m.warming.until) && l.warmups[m.Service].PerSecond > 0
+func (p *Pool) cold(m *member, now time.Time) bool {
+	return before(now, m.warming.until) && p.warmups[m.Service].PerSecond > 0
 }
 
 // exclusionOf returns why an endpoint gets no work now, regardless of the request. The caller holds mu.
-func (l *Pool) exclusionOf(m *member, now time.Time) Exclusion {
+func (p *Pool) exclusionOf(m *member, now time.Time) Exclusion {
 	switch {
-	case len(l.evacuated) > 0 && l.evacuated[m.Zone]:
+	case len(p.evacuated) > 0 && p.evacuated[m.Zone]:
 		return ExcludedEvacuated
-	case l.cold(m, now) && !l.admits(m, now):
+	case p.cold(m, now) && !p.admits(m, now):
 		return ExcludedCold
 	}
-	if kept := m.noticeExclusion(now); kept != NotExcluded {
-		return kept
+	if exclusion := m.noticeExclusion(now); exclusion != NotExcluded {
+		return exclusion
 	}
-	if !l.allows(m, now) {
+	if !p.allows(m, now) {
 		return ExcludedLimited
 	}
 	return NotExcluded
 }
 
 // admits reports whether this instance may send a request to a cold endpoint now. The caller holds mu.
-func (l *Pool) admits(m *member, now time.Time) bool {
+func (p *Pool) admits(m *member, now time.Time) bool {
 	w := &m.warming
 	if now.Sub(w.checked) > ownersTTL {
-		w.share = slowstart.Plan(l.warmups[m.Service], l.coldBounds, l.owners.Size())
-		w.owns = l.owners.IsDiscovered() && l.owners.Owns(m.ID, w.share.Owners)
+		w.share = slowstart.Plan(p.warmups[m.Service], p.coldBounds, p.owners.Size())
+		w.owns = p.owners.IsDiscovered() && p.owners.Owns(m.ID, w.share.Owners)
 		w.checked = now
 	}
 	return w.owns && w.bucket.Has(now, w.share)
 }
 
 // countCold counts a request to an endpoint if that is cold. The caller holds mu.
-func (l *Pool) countCold(m *member, now time.Time) {
-	if l.cold(m, now) {
+func (p *Pool) countCold(m *member, now time.Time) {
+	if p.cold(m, now) {
 		m.warming.bucket.Take(now, m.warming.share)
 	}
 }
--- a/internal/pool/warm_test.go
+++ b/internal/pool/warm_test.go
@@ -38,14 +38,14 @@
 		})
 
 		Convey("are reported as excluded by a pick whose affinity prefers one of them", func() {
-			kept := make(map[Exclusion]int)
+			exclusions := make(map[Exclusion]int)
 			for i := range 32 {
 				lease := p.Pick(Query{Service: "models", Affinity: fmt.Sprint("topic-", i)})
-				kept[lease.Exclusion()]++
+				exclusions[lease.Exclusion()]++
 				lease.Done(EndGood)
 			}
-			So(kept[ExcludedEvacuated], ShouldBeGreaterThan, 8)
-			So(kept[NotExcluded], ShouldBeGreaterThan, 2)
+			So(exclusions[ExcludedEvacuated], ShouldBeGreaterThan, 8)
+			So(exclusions[NotExcluded], ShouldBeGreaterThan, 2)
 		})
 
 		Convey("get work again once the evacuation ends", func() {
@@ -104,13 +104,13 @@
 // endpoint.
 func simulateColdZone(policy Policy, bounds slowstart.Bounds, perSecond float64) (worst int, refused float64) {
 	const (
-		instances, endpoints = 87, 90
-		requests             = 420 // a second
-		topics               = 360
-		warm, second, life   = 3 * time.Second, time.Second, 2 * time.Second
+		instances, endpoints   = 87, 90
+		requests               = 420 // a second
+		topics                 = 360
+		warm, second, lifetime = 3 * time.Second, time.Second, 2 * time.Second
 	)
 	clock := &testClock{at: time.Unix(1000, 0)}
-	begun := clock.at
+	start := clock.at
 	zones := []string{"a", "b", "c"}
 	list := make([]mesh.Peer, instances)
 	for i := range list {
@@ -133,20 +133,20 @@
 		until time.Time
 	}
 	var running []open
-	asked, none := 0, 0
-	for clock.at.Before(begun.Add(warm)) {
+	total, unserved := 0, 0
+	for clock.at.Before(start.Add(warm)) {
 		clock.pass(second / requests)
 		for len(running) > 0 && clock.at.After(running[0].until) {
 			running[0].lease.Done(EndGood)
 			running = running[1:]
 		}
-		asked++
+		total++
 		lease := pools[random.IntN(instances)].Pick(Query{Service: "models", Affinity: fmt.Sprint("topic-", random.IntN(topics)), Prompt: 12_000, Shared: 6000})
 		if lease == nil {
-			none++
+			unserved++
 			continue
 		}
-		running = append(running, open{lease, clock.at.Add(life)})
+		running = append(running, open{lease, clock.at.Add(lifetime)})
 		e := lease.Endpoint()
 		if e.Zone != "c" {
 			continue
@@ -158,7 +158,7 @@
 		sent[e.ID] = times
 		worst = max(worst, len(times))
 	}
-	return worst, float64(none) / float64(asked)
+	return worst, float64(unserved) / float64(total)
 }
 
 func TestColdZone(t *testing.T) {
--- a/internal/pool/window.go
+++ b/internal/pool/window.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// window bounds this instance's open requests at an endpoint that has asked for rest, like a congestion window: one
-// request at first, one more with each response up to a share of those that were open at the time, then slowly more.
+// window bounds this instance's open requests at an endpoint that has asked for rest, like a congestion window. It
+// starts at one request and grows by one with each response, up to a share of the requests that were open when the
+// endpoint asked for rest. Beyond that it grows slowly.
 //
 // It prevents a cascade: one endpoint rests, the others get more than they can sustain and rest in turn, and each is
 // overloaded again as it returns. TestRestCascade reproduces it.
@@ -36,8 +37,8 @@
 	return &window{size: 1, threshold: max(minThreshold, decrease*float64(open)), since: now}
 }
 
-// probeWindow returns the window of an endpoint that gets work again though nothing indicates that it accepts any. It
-// takes effect with its first request.
+// probeWindow returns the window of an endpoint that gets work again although nothing indicates that it accepts any.
+// The window takes effect with the first request.
 func probeWindow() *window { return &window{size: 1, threshold: minThreshold} }
 
 // start makes the window take effect with its first request.
--- a/internal/pool/zone.go
+++ b/internal/pool/zone.go
@@ -15,36 +15,36 @@
 	probeInterval  = 700 * time.Millisecond // between picks that probe a suspect path
 )
 
-func (l *Pool) zoneOf(m *member) *zoneHealth {
-	z := l.zones[m.Zone]
+func (p *Pool) zoneOf(m *member) *zoneHealth {
+	z := p.zones[m.Zone]
 	if z == nil {
 		z = &zoneHealth{unreachable: make(map[string]bool)}
-		l.zones[m.Zone] = z
+		p.zones[m.Zone] = z
 	}
 	return z
 }
 
 // markUnreachable records that an endpoint could not be reached. The caller holds mu.
-func (l *Pool) markUnreachable(m *member, now time.Time) {
-	z := l.zoneOf(m)
+func (p *Pool) markUnreachable(m *member, now time.Time) {
+	z := p.zoneOf(m)
 	z.unreachable[m.ID] = true
 	z.lastFailure = now
 }
 
 // markReached records that an endpoint has sent data. The caller holds mu.
-func (l *Pool) markReached(m *member) {
-	if z := l.zones[m.Zone]; z != nil && len(z.unreachable) > 0 {
+func (p *Pool) markReached(m *member) {
+	if z := p.zones[m.Zone]; z != nil && len(z.unreachable) > 0 {
 		clear(z.unreachable)
 	}
 }
 
-// zoneSuspect reports whether the path to an endpoint's zone is suspect and no probe is due. Endpoints of the own
-// zone are evaluated one by one. The caller holds mu.
-func (l *Pool) zoneSuspect(m *member, now time.Time) bool {
-	if len(l.zones) == 0 || m.Zone == l.zone {
+// zoneSuspect reports whether the path to an endpoint's zone is suspect and no probe is due. It is always false for
+// the instance's own zone, whose endpoints are evaluated one by one. The caller holds mu.
+func (p *Pool) zoneSuspect(m *member, now time.Time) bool {
+	if len(p.zones) == 0 || m.Zone == p.zone {
 		return false
 	}
-	z := l.zones[m.Zone]
+	z := p.zones[m.Zone]
 	if z == nil || len(z.unreachable) < minUnreachable || now.Sub(z.lastFailure) > suspicionTTL {
 		return false
 	}
@@ -52,8 +52,8 @@
 }
 
 // noZoneSuspect reports whether no path to a zone is suspect. The caller holds mu.
-func (l *Pool) noZoneSuspect() bool {
-	for _, z := range l.zones {
+func (p *Pool) noZoneSuspect() bool {
+	for _, z := range p.zones {
 		if len(z.unreachable) >= minUnreachable {
 			return false
 		}
@@ -62,8 +62,8 @@
 }
 
 // markProbed records that a suspect zone is probed. The caller holds mu.
-func (l *Pool) markProbed(m *member, now time.Time) {
-	if z := l.zones[m.Zone]; z != nil && len(z.unreachable) >= minUnreachable {
+func (p *Pool) markProbed(m *member, now time.Time) {
+	if z := p.zones[m.Zone]; z != nil && len(z.unreachable) >= minUnreachable {
 		z.lastProbe = now
 	}
 }
