--- a/internal/escrow/spread.go
+++ b/internal/escrow/spread.go
@@ -3,9 +3,9 @@
 import "time"
 
 // A power loss of all instances loses tokens that cannot be accounted for, so a budget may end long before its customer
-// has used it. The rest is then spread over the requests that come until the operator pays in more: they reserve with a
-// probability that falls as the rest shrinks. If requests were served in the order in which they come, the first seconds
-// after the return would use the rest, and service would end again.
+// has used it. The rest is then spread over the requests that arrive until the operator pays in more: they reserve with
+// a probability that falls as the rest shrinks. If requests were served in the order in which they arrive, the first
+// seconds after the return would use the rest, and service would end again.
 const (
 	// lossThreshold is the unproven part of the prepaid amount from which the rest is spread. It is more than the loss
 	// of one busy instance.
--- a/internal/pool/chooser.go
+++ b/internal/pool/chooser.go
@@ -78,8 +78,8 @@
 // assumedFirstToken is the time to the first token that is assumed for an endpoint without a measured one, in seconds.
 const assumedFirstToken = 0.3
 
-// expectedFirstToken returns the expected time to the first token in seconds. It grows with load. weight, from 0 to 1, is
-// how much the cached part of the prompt reduces it.
+// expectedFirstToken returns the expected time to the first token, in seconds. It grows with load. weight, from 0 to 1,
+// is how much the cached part of the prompt reduces it.
 func expectedFirstToken(c Candidate, weight float64) float64 {
 	first := c.FirstToken
 	if first <= 0 {
--- a/internal/pool/connections.go
+++ b/internal/pool/connections.go
@@ -11,7 +11,7 @@
 // would be closed to most of several hundred instances, although requests with the same affinity should reach the
 // same endpoint.
 type connections struct {
-	limit   int // to an endpoint from all instances together
+	limit   int // planned connections to an endpoint from all instances together
 	share   int // of this instance; 0: there are more instances than connections
 	place   uint64
 	size    uint64
@@ -22,8 +22,8 @@
 	// plannedConnections is the share of the connections that is divided among the instances. Instances that have
 	// just started, or probe whether an endpoint has ended, open some in addition.
 	plannedConnections = 0.9
-	// freeConnections is the share of those below which any instance may open one. It leaves a margin, since the
-	// loads of other instances arrive half a second late.
+	// freeConnections is the share of the planned connections below which any instance may open one. It leaves a
+	// margin, since the loads of other instances arrive half a second late.
 	freeConnections = 0.5
 )
 
--- a/internal/pool/connections_test.go
+++ b/internal/pool/connections_test.go
@@ -9,8 +9,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// fleetMember is the place of an instance in a fleet in which all instances are discovered. The order for a key is that of the
-// places, rotated by the key.
+// fleetMember is the place of an instance in a fleet in which all instances are discovered. The order for a key is that
+// of the places, rotated by the key.
 type fleetMember struct{ place, size int }
 
 func (fleetMember) IsDiscovered() bool     { return true }
--- a/internal/pool/pick.go
+++ b/internal/pool/pick.go
@@ -33,7 +33,7 @@
 	ReasonSpill    Reason = "spill"    // the first ones in that order are loaded
 	ReasonLoad     Reason = "load"     // less loaded than others
 	ReasonLast     Reason = "last"     // no endpoint is healthy, or all exceed the load bound
-	ReasonLimit    Reason = "limit"    // its limit admits a request that no instance sends by itself
+	ReasonLimit    Reason = "limit"    // its limit admits more requests than affinity sends there
 )
 
 // Lease is one request's use of an endpoint.
--- a/internal/pool/prompts.go
+++ b/internal/pool/prompts.go
@@ -38,7 +38,7 @@
 	block    uint64
 }
 
-// NewPrefixTable makes a table of at most size entries.
+// NewPrefixTable returns an empty table that holds at most size entries.
 func NewPrefixTable(size int) *PrefixTable {
 	return &PrefixTable{size: size, order: list.New(), seen: make(map[prefixKey]*list.Element)}
 }
