--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -26,7 +26,7 @@
 func Notice(status int, h http.Header, names Headers) pool.Notice {
 	w := pool.Notice{Leaving: slices.Contains(h.Values(names.Leaving), yes), Limit: limit.FromHeader(h.Values(names.Limit))}
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		w.Rest, _ = retryafter.Of(h, time.Now())
+		w.Backoff, _ = retryafter.Of(h, time.Now())
 	}
 	return w
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -115,8 +115,8 @@
 
 func (j *job) noEndpoint(o pool.Availability) error {
 	detail, after := "no endpoint of pool "+j.pool+" can take the request", retryAfterNoEndpoint
-	if o.Rest > 0 {
-		detail, after = "all endpoints of pool "+j.pool+" that take work have asked for rest", o.Rest
+	if o.Backoff > 0 {
+		detail, after = "all endpoints of pool "+j.pool+" that take work have asked for rest", o.Backoff
 	}
 	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, detail, verdict.WithRetryAfter(after))
 }
--- a/internal/pool/cascade_test.go
+++ b/internal/pool/cascade_test.go
@@ -15,21 +15,21 @@
 // cascade simulates some instances in front of a few endpoints. Full endpoints reject requests and ask for rest.
 // It runs in virtual time.
 type cascade struct {
-	clock           *testClock
-	random          *rand.Rand
-	pools           []*Pool
-	running         []int // requests at each endpoint
-	events          eventQueue
-	at              time.Duration
-	served          int
-	rejected        int           // by endpoints
-	refused         int           // by instances, since no endpoint accepts work
-	rest            time.Duration // that a full endpoint asks for
-	load            float64       // share of the capacity of all endpoints
-	forcedRest      int           // the endpoint that asks for rest regardless of its load, until forcedRestUntil; -1: none
-	forcedRestUntil time.Duration
-	degraded        int  // the endpoint whose capacity falls to a quarter; -1: none
-	announceLimits  bool // endpoints announce limits
+	clock              *testClock
+	random             *rand.Rand
+	pools              []*Pool
+	running            []int // requests at each endpoint
+	events             eventQueue
+	at                 time.Duration
+	served             int
+	rejected           int           // by endpoints
+	refused            int           // by instances, since no endpoint accepts work
+	backoff            time.Duration // that a full endpoint asks for
+	load               float64       // share of the capacity of all endpoints
+	forcedBackoff      int           // the endpoint that asks for rest regardless of its load, until forcedRestUntil; -1: none
+	forcedBackoffUntil time.Duration
+	degraded           int  // the endpoint whose capacity falls to a quarter; -1: none
+	announceLimits     bool // endpoints announce limits
 }
 
 // The capacity and the load of the simulated endpoints.
@@ -39,7 +39,7 @@
 	cascadeCapacity    = 20 // requests that an endpoint runs at once
 	cascadeDuration    = time.Second
 	cascadeHeaderDelay = 50 * time.Millisecond // from a request to the header of its response
-	cascadeRest        = 2 * time.Second
+	cascadeBackoff     = 2 * time.Second
 	cascadeLoad        = 0.9
 	cascadeLength      = 30 * time.Second
 	cascadeAffinities  = 40
@@ -69,7 +69,7 @@
 }
 
 func newCascade(seed uint64, policy Policy) *cascade {
-	c := &cascade{clock: &testClock{at: time.Unix(1000, 0)}, random: rand.New(rand.NewPCG(seed, seed)), running: make([]int, cascadeEndpoints), forcedRest: -1, rest: cascadeRest, load: cascadeLoad, degraded: -1}
+	c := &cascade{clock: &testClock{at: time.Unix(1000, 0)}, random: rand.New(rand.NewPCG(seed, seed)), running: make([]int, cascadeEndpoints), forcedBackoff: -1, backoff: cascadeBackoff, load: cascadeLoad, degraded: -1}
 	for range cascadeInstances {
 		p := New("a", WithNow(c.clock.now), WithPolicy(policy), WithRandom(c.random.IntN))
 		for i := range cascadeEndpoints {
@@ -107,7 +107,7 @@
 	}
 	c.after(0, arrive)
 	c.after(0, exchange)
-	c.after(2*time.Second, func() { c.forcedRest, c.forcedRestUntil = 0, c.at+100*time.Millisecond })
+	c.after(2*time.Second, func() { c.forcedBackoff, c.forcedBackoffUntil = 0, c.at+100*time.Millisecond })
 	for len(c.events) > 0 && c.events[0].at < cascadeLength {
 		e := heap.Pop(&c.events).(event)
 		c.clock.pass(e.at - c.at)
@@ -128,9 +128,9 @@
 		q.Tried[lease.Endpoint().ID] = true
 		var i int
 		_, _ = fmt.Sscanf(lease.Endpoint().ID, "e-%d", &i)
-		if c.running[i] >= c.capacity(i) || (c.forcedRest == i && c.at < c.forcedRestUntil) {
+		if c.running[i] >= c.capacity(i) || (c.forcedBackoff == i && c.at < c.forcedBackoffUntil) {
 			c.rejected++
-			lease.ObserveNotice(Notice{Rest: c.rest, Limit: c.announcedLimit(i)}, ResponseInfo{})
+			lease.ObserveNotice(Notice{Backoff: c.backoff, Limit: c.announcedLimit(i)}, ResponseInfo{})
 			lease.Done(EndBusy)
 			continue
 		}
@@ -175,7 +175,7 @@
 		simulate := func(announceLimits bool) (served, rejected, refused int) {
 			for seed := range uint64(seeds) {
 				c := newCascade(seed+1, DefaultPolicy())
-				c.announceLimits, c.degraded, c.rest, c.load = announceLimits, 0, 0, 0.8
+				c.announceLimits, c.degraded, c.backoff, c.load = announceLimits, 0, 0, 0.8
 				for _, p := range c.pools {
 					p.owners = fleetOf(cascadeInstances)
 				}
@@ -192,10 +192,10 @@
 	})
 }
 
-// TestRestCascade covers an endpoint that asks for rest. It leaves its work to four others, which already run at 90%
+// TestBackoffCascade covers an endpoint that asks for rest. It leaves its work to four others, which already run at 90%
 // of their capacity and ask for rest in turn. Without a window, all instances return at the same moment and send at
 // once all requests whose affinity prefers the endpoint, so that it asks for rest again.
-func TestRestCascade(t *testing.T) {
+func TestBackoffCascade(t *testing.T) {
 	Convey("Five endpoints at 90% of their capacity, one of which asks for rest, serve more requests with a window than without", t, func() {
 		const seeds = 8
 		simulate := func(edit func(*Policy)) (served, rejected, refused int) {
@@ -208,7 +208,7 @@
 			}
 			return served, rejected, refused
 		}
-		unbounded, rejectedUnbounded, _ := simulate(func(p *Policy) { p.RestDecrease = 0 })
+		unbounded, rejectedUnbounded, _ := simulate(func(p *Policy) { p.BackoffDecrease = 0 })
 		served, rejected, refused := simulate(func(*Policy) {})
 		t.Logf("unbounded: %d served, %d rejected; bounded: %d served, %d rejected, %d refused", unbounded, rejectedUnbounded, served, rejected, refused)
 		So(rejected, ShouldBeLessThan, rejectedUnbounded)
--- a/internal/pool/limits_test.go
+++ b/internal/pool/limits_test.go
@@ -76,7 +76,7 @@
 		Convey("is subject to a rest as well: neither bound cancels the other", func() {
 			p.clock.pass(time.Second)
 			rejected := p.lease()
-			rejected.ObserveNotice(Notice{Rest: 3 * time.Second, Limit: two.Limit}, ResponseInfo{})
+			rejected.ObserveNotice(Notice{Backoff: 3 * time.Second, Limit: two.Limit}, ResponseInfo{})
 			rejected.Done(EndBusy)
 			So(p.countTaken(2900*time.Millisecond), ShouldEqual, 0)
 			So(p.countTaken(10*time.Second), ShouldBeBetween, 15, 21)
--- a/internal/pool/notice.go
+++ b/internal/pool/notice.go
@@ -13,7 +13,7 @@
 type Notice struct {
 	Leaving bool          // it accepts no new work and is about to end
 	Moved   bool          // another endpoint has its address
-	Rest    time.Duration // for how long it accepts nothing from this instance; 0: it asks for no rest
+	Backoff time.Duration // for how long it accepts nothing from this instance; 0: it asks for no rest
 	Limit   limit.Rate    // rate that it accepts from all instances together; unset: it announces none
 }
 
@@ -45,7 +45,7 @@
 		return "moved"
 	case n.Leaving:
 		return "leaving"
-	case n.Rest > 0:
+	case n.Backoff > 0:
 		return "resting"
 	}
 	return "limited"
@@ -54,7 +54,7 @@
 // MarshalZerologObject implements zerolog.LogObjectMarshaler.
 func (n NoticeTaken) MarshalZerologObject(e *zerolog.Event) {
 	e.Str("word", n.Notice.Name()).Str("endpoint", n.Endpoint.Run()).Str("service", n.Endpoint.Service).Bool("told", n.FromPeer).
-		Str("request", n.Response.Request).Int("status", n.Response.Status).Int64("rest_ms", n.Notice.Rest.Milliseconds()).
+		Str("request", n.Response.Request).Int("status", n.Response.Status).Int64("rest_ms", n.Notice.Backoff.Milliseconds()).
 		Float64("limit", n.Notice.Limit.PerSecond()).Bool("record_draining", n.Endpoint.Draining).Int64("record_age_ms", n.Age.Milliseconds())
 }
 
@@ -116,7 +116,7 @@
 	direct            bool      // this instance itself has received that
 	recordDraining    bool      // its record reports that, too
 	canceledAt        time.Time // when its record reported that it is ready again
-	restUntil         time.Time // until when it gets nothing from this instance
+	backoffUntil      time.Time // until when it gets nothing from this instance
 	limits            limits
 }
 
@@ -125,7 +125,7 @@
 func (l *Lease) ObserveNotice(n Notice, info ResponseInfo) {
 	l.pool.mu.Lock()
 	defer l.pool.mu.Unlock()
-	if n.Leaving || n.Moved || n.Rest > 0 {
+	if n.Leaving || n.Moved || n.Backoff > 0 {
 		l.pool.observe(l.member, n, info)
 	}
 	l.pool.observeLimit(l, n.Limit, info)
@@ -144,30 +144,30 @@
 		changed = !x.leaves(now)
 		x.leavingAt, x.direct = now, true
 	}
-	if n.Rest > 0 {
-		changed = x.extendRest(now, now.Add(n.Rest+p.restJitter(n.Rest)+p.returnDelay(m))) || changed
-		m.window = m.window.shrunk(now, m.open, p.policy.RestDecrease)
+	if n.Backoff > 0 {
+		changed = x.extendBackoff(now, now.Add(n.Backoff+p.backoffJitter(n.Backoff)+p.returnDelay(m))) || changed
+		m.window = m.window.shrunk(now, m.open, p.policy.BackoffDecrease)
 	}
 	if changed {
 		p.onNotice(NoticeTaken{Endpoint: m.Endpoint, Notice: n, Response: info, Age: now.Sub(m.recordAt)})
 	}
 }
 
-// extendRest sets until when an endpoint accepts nothing. It returns true if the endpoint was not resting. The
+// extendBackoff sets until when an endpoint accepts nothing. It returns true if the endpoint was not resting. The
 // longest time counts: several requests may be under way when an endpoint asks for rest, and the last response to
 // them may announce the shortest time.
-func (x *announced) extendRest(now, until time.Time) (started bool) {
-	started = !before(now, x.restUntil)
-	if until.After(x.restUntil) {
-		x.restUntil = until
+func (x *announced) extendBackoff(now, until time.Time) (started bool) {
+	started = !before(now, x.backoffUntil)
+	if until.After(x.backoffUntil) {
+		x.backoffUntil = until
 	}
 	return started
 }
 
-// restJitter is a random delay that this instance adds to a rest.
-func (p *Pool) restJitter(rest time.Duration) time.Duration {
+// backoffJitter is a random delay that this instance adds to a rest.
+func (p *Pool) backoffJitter(backoff time.Duration) time.Duration {
 	const steps = 1 << 16
-	return time.Duration(p.policy.RestJitter * float64(rest) * float64(p.random(steps)) / steps)
+	return time.Duration(p.policy.BackoffJitter * float64(backoff) * float64(p.random(steps)) / steps)
 }
 
 // returnDelay is how much later than the first instances this instance returns to an endpoint, in an order that all
@@ -271,7 +271,7 @@
 
 // noNotice reports whether neither a notice that it leaves nor one that it rests is recorded.
 func (x *announced) noNotice() bool {
-	return x == nil || (x.leavingAt.IsZero() && x.restUntil.IsZero())
+	return x == nil || (x.leavingAt.IsZero() && x.backoffUntil.IsZero())
 }
 
 // noticeExclusion returns why an endpoint gets no work by its own notice, even if no other endpoint is left: a notice
@@ -282,8 +282,8 @@
 		return NotExcluded
 	case m.announced.leaves(now):
 		return ExcludedLeaving
-	case before(now, m.announced.restUntil):
-		return ExcludedResting
+	case before(now, m.announced.backoffUntil):
+		return ExcludedBackoff
 	}
 	return NotExcluded
 }
@@ -295,7 +295,7 @@
 		if !x.leavingAt.IsZero() {
 			m.window = probeWindow()
 		}
-		x.leavingAt, x.direct, x.restUntil = time.Time{}, false, time.Time{}
+		x.leavingAt, x.direct, x.backoffUntil = time.Time{}, false, time.Time{}
 		p.onNoticeEnded(NoticeEnded{Endpoint: m.Endpoint, Why: NoticeExpired})
 	}
 	m.window.start(now)
@@ -386,9 +386,9 @@
 
 // Availability describes whether any endpoint accepts a request now, and if not, why.
 type Availability struct {
-	Open bool
-	Full bool          // some endpoints would, but have no capacity left
-	Rest time.Duration // until the first resting endpoint accepts work again; 0: none rests
+	Open    bool
+	Full    bool          // some endpoints would, but have no capacity left
+	Backoff time.Duration // until the first resting endpoint accepts work again; 0: none rests
 	// Limited is true if some endpoints would, but this instance has used its part of their limits; Rate is the sum of
 	// these parts, in requests a second.
 	Limited bool
@@ -411,9 +411,9 @@
 				return Availability{Open: true}
 			}
 			out.Full = true
-		case ExcludedResting:
-			if left := m.announced.restUntil.Sub(now); out.Rest == 0 || left < out.Rest {
-				out.Rest = left
+		case ExcludedBackoff:
+			if left := m.announced.backoffUntil.Sub(now); out.Backoff == 0 || left < out.Backoff {
+				out.Backoff = left
 			}
 		case ExcludedLimited:
 			out.Limited = true
--- a/internal/pool/notice_test.go
+++ b/internal/pool/notice_test.go
@@ -149,7 +149,7 @@
 	Convey("A request that is not sent yet is invalid once its endpoint leaves, rests, drains, restarts, is removed or is evacuated", t, func() {
 		for _, end := range []func(*noticePool, *Lease){
 			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Leaving: true}, ResponseInfo{}) },
-			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Rest: time.Second}, ResponseInfo{}) },
+			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Backoff: time.Second}, ResponseInfo{}) },
 			func(p *noticePool, _ *Lease) { p.Put(p.record(7, true)) },
 			func(p *noticePool, _ *Lease) { p.Put(p.record(8, false)) },
 			func(p *noticePool, _ *Lease) { p.Remove("e") },
@@ -218,23 +218,23 @@
 	})
 }
 
-func TestRestNotice(t *testing.T) {
+func TestBackoffNotice(t *testing.T) {
 	Convey("An endpoint that has asked for rest gets nothing meanwhile, even as the only one", t, func() {
 		p := newNoticePool()
 		first, second := p.lease(), p.lease()
-		first.ObserveNotice(Notice{Rest: 3 * time.Second}, ResponseInfo{Status: 503})
+		first.ObserveNotice(Notice{Backoff: 3 * time.Second}, ResponseInfo{Status: 503})
 		first.Done(EndBusy)
 		p.clock.pass(time.Second)
 		So(p.takes(), ShouldBeFalse)
 		So(p.Len(), ShouldEqual, 1) // it still counts as accepting work
-		So(p.Availability(Query{Service: "s"}), ShouldResemble, Availability{Rest: 2 * time.Second})
+		So(p.Availability(Query{Service: "s"}), ShouldResemble, Availability{Backoff: 2 * time.Second})
 		So(second.ProcessState(), ShouldEqual, ProcessRunning)
 
 		Convey("the longest of the times that it asks for counts, and is reported once", func() {
-			second.ObserveNotice(Notice{Rest: time.Second}, ResponseInfo{})
+			second.ObserveNotice(Notice{Backoff: time.Second}, ResponseInfo{})
 			p.clock.pass(1900 * time.Millisecond)
 			So(p.takes(), ShouldBeFalse)
-			second.ObserveNotice(Notice{Rest: time.Second}, ResponseInfo{})
+			second.ObserveNotice(Notice{Backoff: time.Second}, ResponseInfo{})
 			p.clock.pass(900 * time.Millisecond)
 			So(p.takes(), ShouldBeFalse)
 			So(len(p.notices), ShouldEqual, 1)
@@ -278,7 +278,7 @@
 	Convey("Instances that receive the notice at the same time return at different times", t, func() {
 		p := newNoticePool()
 		p.random = func(n int) int { return n - 1 }
-		p.lease().ObserveNotice(Notice{Rest: 10 * time.Second}, ResponseInfo{})
+		p.lease().ObserveNotice(Notice{Backoff: 10 * time.Second}, ResponseInfo{})
 		p.clock.pass(10*time.Second + 900*time.Millisecond)
 		So(p.takes(), ShouldBeFalse)
 		p.clock.pass(100 * time.Millisecond)
@@ -290,10 +290,10 @@
 		p.Put(Endpoint{ID: "f", Service: "s", Addr: "10.0.0.2:80", Zone: "a", Slots: 1})
 		for range 2 {
 			lease := p.lease()
-			rest := map[string]time.Duration{"e": 4 * time.Second, "f": time.Second}[lease.Endpoint().ID]
-			lease.ObserveNotice(Notice{Rest: rest}, ResponseInfo{})
+			backoff := map[string]time.Duration{"e": 4 * time.Second, "f": time.Second}[lease.Endpoint().ID]
+			lease.ObserveNotice(Notice{Backoff: backoff}, ResponseInfo{})
 		}
-		So(p.Availability(Query{Service: "s"}), ShouldResemble, Availability{Rest: time.Second})
+		So(p.Availability(Query{Service: "s"}), ShouldResemble, Availability{Backoff: time.Second})
 		So(p.Availability(Query{Service: "none"}), ShouldResemble, Availability{})
 	})
 }
@@ -316,7 +316,7 @@
 			newest = max(newest, run)
 			return Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 4, StartedAt: int64(run) * 100}
 		}
-		leaving, resting := make(map[int64]time.Time), make(map[int64]time.Time) // until when, by the run's start
+		leaving, backingOff := make(map[int64]time.Time), make(map[int64]time.Time) // until when, by the run's start
 		var open []*Lease
 		t.Repeat(map[string]func(*rapid.T){
 			"record":  func(*rapid.T) { p.Put(record()) },
@@ -336,10 +336,10 @@
 					lease.ObserveNotice(Notice{Leaving: true}, ResponseInfo{})
 					leaving[run] = clock.at.Add(leavingTTL)
 				} else {
-					rest := time.Duration(rapid.IntRange(1, 3000).Draw(t, "rest")) * time.Millisecond
-					lease.ObserveNotice(Notice{Rest: rest}, ResponseInfo{})
-					if until := clock.at.Add(rest); until.After(resting[run]) {
-						resting[run] = until
+					backoff := time.Duration(rapid.IntRange(1, 3000).Draw(t, "rest")) * time.Millisecond
+					lease.ObserveNotice(Notice{Backoff: backoff}, ResponseInfo{})
+					if until := clock.at.Add(backoff); until.After(backingOff[run]) {
+						backingOff[run] = until
 					}
 				}
 				lease.Done(EndBusy)
@@ -351,8 +351,8 @@
 				}
 				open = append(open, lease)
 				run := lease.Endpoint().StartedAt
-				if clock.at.Before(leaving[run]) || clock.at.Before(resting[run]) {
-					t.Fatalf("run %d leaves until %v, rests until %v, and got a request at %v", run, leaving[run], resting[run], clock.at)
+				if clock.at.Before(leaving[run]) || clock.at.Before(backingOff[run]) {
+					t.Fatalf("run %d leaves until %v, rests until %v, and got a request at %v", run, leaving[run], backingOff[run], clock.at)
 				}
 			},
 		})
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -61,8 +61,8 @@
 	CrossZonePenalty      float64       // load, in requests, added to that of endpoints in other availability zones
 	ErrorShare            float64       // share of failures among recent responses above which an endpoint is avoided
 	ColdLast              bool          // cold endpoints get work only if no other endpoint is healthy
-	RestJitter            float64       // share of a rest up to which instances randomly return later, to spread them
-	RestDecrease          float64       // share of the requests open at a rest up to which the window grows fast; 0: no window
+	BackoffJitter         float64       // share of a rest up to which instances randomly return later, to spread them
+	BackoffDecrease       float64       // share of the requests open at a rest up to which the window grows fast; 0: no window
 	BusyDecrease          float64       // the same for an endpoint that is busy and does not ask for rest; 0: no window
 	PauseAfter            int           // consecutive failures from which an endpoint is paused
 	MaxPausedShare        float64       // share of a service's endpoints that may be paused at once
@@ -74,7 +74,7 @@
 func DefaultPolicy() Policy {
 	return Policy{
 		MinResponseTimeout: 700 * time.Millisecond, ResponseTimeoutFactor: 4, FirstPause: 400 * time.Millisecond, MaxPause: 4 * time.Second,
-		LoadFactor: 1.5, LoadMargin: 3, CrossZonePenalty: 0.5, ErrorShare: 0.35, ColdLast: true, RestJitter: 0.1, RestDecrease: 0.5, PauseAfter: 1, MaxPausedShare: 1,
+		LoadFactor: 1.5, LoadMargin: 3, CrossZonePenalty: 0.5, ErrorShare: 0.35, ColdLast: true, BackoffJitter: 0.1, BackoffDecrease: 0.5, PauseAfter: 1, MaxPausedShare: 1,
 	}
 }
 
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -214,7 +214,10 @@
 			func(_ *Pool, l *Lease) { l.Done(EndBusy) },
 			func(_ *Pool, l *Lease) { l.Done(EndFailed) },
 			func(_ *Pool, l *Lease) { l.Done(EndUnreachable) },
-			func(_ *Pool, l *Lease) { l.ObserveNotice(Notice{Rest: time.Second}, ResponseInfo{}); l.Done(EndBusy) },
+			func(_ *Pool, l *Lease) {
+				l.ObserveNotice(Notice{Backoff: time.Second}, ResponseInfo{})
+				l.Done(EndBusy)
+			},
 			func(p *Pool, l *Lease) { l.Done(EndGood); p.markCold(p.byID["e-0"], p.now(), time.Second) },
 		} {
 			clock := &testClock{at: time.Unix(1000, 0)}
--- a/internal/pool/return_test.go
+++ b/internal/pool/return_test.go
@@ -13,7 +13,7 @@
 // endpoint that works on 32. So they return in steps, in an order that all instances compute, twice as many in each
 // step.
 func TestStaggeredReturn(t *testing.T) {
-	const slots, rest = 32, time.Second
+	const slots, backoff = 32, time.Second
 	for _, instances := range []int{6, 30, 300} {
 		Convey(fmt.Sprintf("%d instances return to an endpoint after its rest, no more at once than it has slots, all within seconds", instances), t, func() {
 			clock := &testClock{at: time.Unix(1000, 0)}
@@ -22,7 +22,7 @@
 				p := New("a", WithNow(clock.now), WithOwners(fleetMember{place: i, size: instances}))
 				p.Put(Endpoint{ID: "e-1", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: slots})
 				lease := p.Pick(Query{Service: "s"})
-				lease.ObserveNotice(Notice{Rest: rest}, ResponseInfo{})
+				lease.ObserveNotice(Notice{Backoff: backoff}, ResponseInfo{})
 				lease.Done(EndBusy)
 				pools = append(pools, p)
 			}
@@ -37,7 +37,7 @@
 						if !returned[i] {
 							returned[i] = true
 							all++
-							if at < rest+returnStep {
+							if at < backoff+returnStep {
 								inFirstStep++
 							}
 						}
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -55,7 +55,7 @@
 		"a rest is over": {
 			func(p *Pool) {
 				lease := p.Pick(Query{Service: "s"})
-				lease.ObserveNotice(Notice{Rest: 3 * time.Second}, ResponseInfo{})
+				lease.ObserveNotice(Notice{Backoff: 3 * time.Second}, ResponseInfo{})
 				lease.Done(EndBusy)
 			},
 			takes,
--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -102,7 +102,7 @@
 // caller may retry when the first of them is available again, plus a random delay: otherwise all callers that were
 // rejected in the meantime would retry at the same moment.
 func (j *job) noEndpoint() error {
-	backoff := j.opening.Rest
+	backoff := j.opening.Backoff
 	switch {
 	case j.opening.Full:
 		return refuse(verdict.CodeEndpointRefused, "the endpoints have as much as they bear", retryAfterShort)
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -154,7 +154,7 @@
 		Convey("an endpoint that announces that it is leaving, or asks for a back-off, gets no work, and its status states why", func() {
 			leases := all()
 			leases["e0"][0].ObserveNotice(pool.Notice{Leaving: true}, pool.ResponseInfo{})
-			leases["e1"][0].ObserveNotice(pool.Notice{Rest: 2 * time.Second}, pool.ResponseInfo{})
+			leases["e1"][0].ObserveNotice(pool.Notice{Backoff: 2 * time.Second}, pool.ResponseInfo{})
 			for _, l := range leases {
 				end(l, pool.EndGood)
 			}
