--- a/internal/pool/cascade_test.go
+++ b/internal/pool/cascade_test.go
@@ -12,8 +12,8 @@
 	"github.com/ledgemount/ledgemount/internal/limit"
 )
 
-// cascade simulates some instances in front of a few endpoints. Full endpoints reject requests and ask for rest.
-// It runs in virtual time.
+// cascade simulates some instances in front of a few endpoints. Full endpoints reject requests and ask for a
+// back-off. It runs in virtual time.
 type cascade struct {
 	clock              *testClock
 	random             *rand.Rand
@@ -26,7 +26,7 @@
 	refused            int           // by instances, since no endpoint accepts work
 	backoff            time.Duration // that a full endpoint asks for
 	load               float64       // share of the capacity of all endpoints
-	forcedBackoff      int           // the endpoint that asks for rest regardless of its load, until forcedRestUntil; -1: none
+	forcedBackoff      int           // asks for a back-off whatever its load, until forcedBackoffUntil; -1: none
 	forcedBackoffUntil time.Duration
 	degraded           int  // the endpoint whose capacity falls to a quarter; -1: none
 	announceLimits     bool // endpoints announce limits
@@ -84,7 +84,8 @@
 	heap.Push(&c.events, event{at: c.at + d, n: len(c.events), do: do})
 }
 
-// run generates requests at random until the time is up. One endpoint asks for rest after two seconds.
+// run generates requests at random until the time is up. One endpoint asks for a back-off after two
+// seconds.
 func (c *cascade) run() {
 	perSecond := c.load * cascadeEndpoints * cascadeCapacity / cascadeDuration.Seconds()
 	var arrive func()
@@ -192,11 +193,11 @@
 	})
 }
 
-// TestBackoffCascade covers an endpoint that asks for rest. It leaves its work to four others, which already run at 90%
-// of their capacity and ask for rest in turn. Without a window, all instances return at the same moment and send at
-// once all requests whose affinity prefers the endpoint, so that it asks for rest again.
+// TestBackoffCascade covers an endpoint that asks for a back-off. It leaves its work to four others, which already run
+// at 90% of their capacity and ask for a back-off in turn. Without a window, all instances return at the same moment and
+// send at once all requests whose affinity prefers the endpoint, so that it asks for a back-off again.
 func TestBackoffCascade(t *testing.T) {
-	Convey("Five endpoints at 90% of their capacity, one of which asks for rest, serve more requests with a window than without", t, func() {
+	Convey("Five endpoints at 90% of their capacity, one of which asks for a back-off, serve more requests with a window than without", t, func() {
 		const seeds = 8
 		simulate := func(edit func(*Policy)) (served, rejected, refused int) {
 			for seed := range uint64(seeds) {
--- a/internal/pool/limits_test.go
+++ b/internal/pool/limits_test.go
@@ -73,7 +73,7 @@
 				p.clock.pass(time.Second)
 			}
 		})
-		Convey("is subject to a rest as well: neither bound cancels the other", func() {
+		Convey("is subject to a back-off as well: neither bound cancels the other", func() {
 			p.clock.pass(time.Second)
 			rejected := p.lease()
 			rejected.ObserveNotice(Notice{Backoff: 3 * time.Second, Limit: two.Limit}, ResponseInfo{})
--- a/internal/pool/notice.go
+++ b/internal/pool/notice.go
@@ -13,7 +13,7 @@
 type Notice struct {
 	Leaving bool          // it accepts no new work and is about to end
 	Moved   bool          // another endpoint has its address
-	Backoff time.Duration // for how long it accepts nothing from this instance; 0: it asks for no rest
+	Backoff time.Duration // for how long it accepts nothing from this instance; 0: it asks for no back-off
 	Limit   limit.Rate    // rate that it accepts from all instances together; unset: it announces none
 }
 
@@ -63,8 +63,8 @@
 	e.Str("endpoint", n.Endpoint.Run()).Str("service", n.Endpoint.Service).Str("why", string(n.Why))
 }
 
-// LogNotices returns functions that log notices: 20 lines a second at most, since endpoints that ask for short rests
-// do so again and again.
+// LogNotices returns functions that log notices: 20 lines a second at most, since endpoints that ask for short
+// back-offs do so again and again.
 func LogNotices(log zerolog.Logger) (taken func(NoticeTaken), ended func(NoticeEnded)) {
 	lines := log.Sample(&zerolog.BurstSampler{Burst: maxNoticeLines, Period: time.Second})
 	taken = func(n NoticeTaken) {
@@ -153,9 +153,9 @@
 	}
 }
 
-// extendBackoff sets until when an endpoint accepts nothing. It returns true if the endpoint was not resting. The
-// longest time counts: several requests may be under way when an endpoint asks for rest, and the last response to
-// them may announce the shortest time.
+// extendBackoff sets until when an endpoint accepts nothing. It returns true if no back-off was in progress. The longest
+// time counts: several requests may be under way when an endpoint asks for a back-off, and the last response to them may
+// announce the shortest time.
 func (x *announced) extendBackoff(now, until time.Time) (started bool) {
 	started = !before(now, x.backoffUntil)
 	if until.After(x.backoffUntil) {
@@ -164,7 +164,7 @@
 	return started
 }
 
-// backoffJitter is a random delay that this instance adds to a rest.
+// backoffJitter is a random delay that this instance adds to a back-off.
 func (p *Pool) backoffJitter(backoff time.Duration) time.Duration {
 	const steps = 1 << 16
 	return time.Duration(p.policy.BackoffJitter * float64(backoff) * float64(p.random(steps)) / steps)
@@ -269,7 +269,7 @@
 // inactive reports whether no announcement of the endpoint applies any more, and the end of each has been reported.
 func (x *announced) inactive() bool { return x.noNotice() && (x == nil || !x.limits.active) }
 
-// noNotice reports whether neither a notice that it leaves nor one that it rests is recorded.
+// noNotice reports whether neither a notice that the endpoint leaves nor a back-off is recorded.
 func (x *announced) noNotice() bool {
 	return x == nil || (x.leavingAt.IsZero() && x.backoffUntil.IsZero())
 }
@@ -388,7 +388,7 @@
 type Availability struct {
 	Open    bool
 	Full    bool          // some endpoints would, but have no capacity left
-	Backoff time.Duration // until the first resting endpoint accepts work again; 0: none rests
+	Backoff time.Duration // until the first of these back-offs is over; 0: no endpoint has asked for one
 	// Limited is true if some endpoints would, but this instance has used its part of their limits; Rate is the sum of
 	// these parts, in requests a second.
 	Limited bool
--- a/internal/pool/notice_test.go
+++ b/internal/pool/notice_test.go
@@ -146,7 +146,7 @@
 		So(p.takes(), ShouldBeFalse)
 	})
 
-	Convey("A request that is not sent yet is invalid once its endpoint leaves, rests, drains, restarts, is removed or is evacuated", t, func() {
+	Convey("A request that is not sent yet is invalid once its endpoint leaves, asks for a back-off, drains, restarts, is removed or is evacuated", t, func() {
 		for _, end := range []func(*noticePool, *Lease){
 			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Leaving: true}, ResponseInfo{}) },
 			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Backoff: time.Second}, ResponseInfo{}) },
@@ -219,7 +219,7 @@
 }
 
 func TestBackoffNotice(t *testing.T) {
-	Convey("An endpoint that has asked for rest gets nothing meanwhile, even as the only one", t, func() {
+	Convey("An endpoint that has asked for a back-off gets nothing meanwhile, even as the only one", t, func() {
 		p := newNoticePool()
 		first, second := p.lease(), p.lease()
 		first.ObserveNotice(Notice{Backoff: 3 * time.Second}, ResponseInfo{Status: 503})
@@ -298,8 +298,8 @@
 	})
 }
 
-// TestNoticesHoldProperty checks that a run that has announced that it leaves, or has asked for rest, gets no request
-// while that applies, in whatever order records arrive, are removed and are repeated.
+// TestNoticesHoldProperty checks that a run that has announced that it leaves, or has asked for a back-off, gets no
+// request while that applies, in whatever order records arrive, are removed and are repeated.
 func TestNoticesHoldProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := &testClock{at: time.Unix(1000, 0)}
@@ -352,7 +352,7 @@
 				open = append(open, lease)
 				run := lease.Endpoint().StartedAt
 				if clock.at.Before(leaving[run]) || clock.at.Before(backingOff[run]) {
-					t.Fatalf("run %d leaves until %v, rests until %v, and got a request at %v", run, leaving[run], backingOff[run], clock.at)
+					t.Fatalf("run %d leaves until %v, has a back-off until %v, and got a request at %v", run, leaving[run], backingOff[run], clock.at)
 				}
 			},
 		})
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -61,9 +61,9 @@
 	CrossZonePenalty      float64       // load, in requests, added to that of endpoints in other availability zones
 	ErrorShare            float64       // share of failures among recent responses above which an endpoint is avoided
 	ColdLast              bool          // cold endpoints get work only if no other endpoint is healthy
-	BackoffJitter         float64       // share of a rest up to which instances randomly return later, to spread them
-	BackoffDecrease       float64       // share of the requests open at a rest up to which the window grows fast; 0: no window
-	BusyDecrease          float64       // the same for an endpoint that is busy and does not ask for rest; 0: no window
+	BackoffJitter         float64       // share of a back-off up to which instances randomly return later, to spread them
+	BackoffDecrease       float64       // share of the requests open at a back-off up to which the window grows fast; 0: no window
+	BusyDecrease          float64       // the same for an endpoint that is busy and asks for no back-off; 0: no window
 	PauseAfter            int           // consecutive failures from which an endpoint is paused
 	MaxPausedShare        float64       // share of a service's endpoints that may be paused at once
 	ProbeAfterPause       bool          // an endpoint gets a single request at first when its pause ends
@@ -92,7 +92,7 @@
 	pausedUntil     time.Time
 	pause           time.Duration // length of the last pause; 0: there was a success since
 	failures        int           // consecutive
-	window          *window       // bounds open requests after a rest or a pause; nil: no bound
+	window          *window       // bounds open requests after a back-off or a pause; nil: no bound
 	pace            pace
 	errorShare      float64 // share of failures among recent responses, as of errorShareAt
 	errorShareAt    time.Time
--- a/internal/pool/suspend_test.go
+++ b/internal/pool/suspend_test.go
@@ -12,7 +12,7 @@
 
 // TestEndpointsAcrossSuspension guards against a clock that stands still while the machine is suspended. After a
 // suspension of eight seconds, all that was received about endpoints seemed eight seconds fresher than it was: loads
-// of other instances that were outdated, and pauses and rests that were long over.
+// of other instances that were outdated, and pauses and back-offs that were long over.
 func TestEndpointsAcrossSuspension(t *testing.T) {
 	const suspended = 8 * time.Second
 	type suspendable struct {
@@ -52,7 +52,7 @@
 			func(p *Pool) { p.Pick(Query{Service: "s"}).Done(EndBroken) },
 			takes,
 		},
-		"a rest is over": {
+		"a back-off is over": {
 			func(p *Pool) {
 				lease := p.Pick(Query{Service: "s"})
 				lease.ObserveNotice(Notice{Backoff: 3 * time.Second}, ResponseInfo{})
--- a/internal/pool/warm.go
+++ b/internal/pool/warm.go
@@ -15,7 +15,7 @@
 	ExcludedEvacuated Exclusion = "evacuated" // the operator has evacuated its availability zone
 	ExcludedCold      Exclusion = "cold"      // it has just started or lost its cache; other instances or endpoints serve instead
 	ExcludedLeaving   Exclusion = "leaving"   // it has announced in a response that it leaves
-	ExcludedBackoff   Exclusion = "resting"   // it has asked this instance for rest in a response
+	ExcludedBackoff   Exclusion = "resting"   // it has asked this instance for a back-off in a response
 	ExcludedLimited   Exclusion = "limited"   // it has announced a limit for all instances, and this instance has used its part
 )
 
--- a/internal/pool/window.go
+++ b/internal/pool/window.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// window bounds this instance's open requests at an endpoint that has asked for rest, like a congestion window. It
+// window bounds this instance's open requests at an endpoint that has asked for a back-off, like a congestion window. It
 // starts at one request and grows by one with each response, up to a share of the requests that were open when the
-// endpoint asked for rest. Beyond that it grows slowly.
+// endpoint asked for the back-off. Beyond that it grows slowly.
 //
-// It prevents a cascade: one endpoint rests, the others get more than they can sustain and rest in turn, and each is
-// overloaded again as it returns. TestRestCascade reproduces it.
+// It prevents a cascade: while one endpoint gets no work, the others get more than they can sustain and ask for a
+// back-off in turn, and each is overloaded again as it returns. TestBackoffCascade reproduces it.
 type window struct {
 	size      float64   // requests open at once
 	threshold float64   // size up to which it grows by one with each response
@@ -22,11 +22,11 @@
 	linearIncrease  = 0.1             // requests by which it grows beyond that, for as many responses as its size
 	doublingTime    = 8 * time.Second // time in which it doubles by itself, since an endpoint's capacity changes
 	expiryDoublings = 5               // doublings after which it expires
-	mergePeriod     = time.Second     // time within which several requests for rest count as one
+	mergePeriod     = time.Second     // time within which several back-offs count as one
 )
 
-// shrunk returns the window of an endpoint that asks for rest while some requests are open. What the endpoint asks
-// for several times within mergePeriod counts once.
+// shrunk returns the window of an endpoint that asks for a back-off, or is busy, while some requests are open. Several
+// such responses within mergePeriod count once.
 func (w *window) shrunk(now time.Time, open int, decrease float64) *window {
 	switch {
 	case decrease <= 0:
