--- a/internal/escrow/group_test.go
+++ b/internal/escrow/group_test.go
@@ -10,14 +10,14 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// ledWorld returns three nodes, of which the first leads the others.
-func ledWorld() (w *world, leader, member *simNode) {
+// ledWorld returns a world of three nodes, the first of which leads the second. The third writes its own rows.
+func ledWorld() (w *world, leader, follower *simNode) {
 	w = newWorld(DefaultPolicy())
-	leader, member = w.nodes[0], w.nodes[1]
-	member.link = linkUp
+	leader, follower = w.nodes[0], w.nodes[1]
+	follower.link = linkUp
 	w.refresh(leader)
-	w.refresh(member)
-	return w, leader, member
+	w.refresh(follower)
+	return w, leader, follower
 }
 
 // useTokens advances time by a second and uses a few tokens at a node, so that it has something to report.
@@ -36,8 +36,8 @@
 func TestLedZone(t *testing.T) {
 	const north = "north"
 	Convey("A holder whose zone has a leader", t, func() {
-		w, leader, member := ledWorld()
-		h := member.holder
+		w, leader, follower := ledWorld()
+		h := follower.holder
 		row := func() Row { return w.page(north).Accounts[north].Rows[h.id] }
 
 		Convey("gets its grants through the leader's writes", func() {
@@ -48,7 +48,7 @@
 		})
 
 		Convey("has its rows written once, however often they arrive", func() {
-			w.useTokens(member, north, 10)
+			w.useTokens(follower, north, 10)
 			s := h.submission(true)
 			leader.holder.enqueue(s)
 			leader.holder.enqueue(s)
@@ -57,11 +57,11 @@
 		})
 
 		Convey("keeps a newer write of its own if submitted rows arrive later", func() {
-			member.link = linkDelayed
-			w.useTokens(member, north, 10)
-			w.refresh(member)
-			member.link = linkNone
-			w.refresh(member)
+			follower.link = linkDelayed
+			w.useTokens(follower, north, 10)
+			w.refresh(follower)
+			follower.link = linkNone
+			w.refresh(follower)
 			own := row()
 			So(w.page(north).Holders[h.id].Count, ShouldEqual, 2)
 			w.refresh(leader)
@@ -72,28 +72,28 @@
 		Convey("spends no more than the smallest row that may be in force while the leader may still write, even after the page has changed", func() {
 			h.stopping = true
 			for range 3 {
-				w.useTokens(member, north, 10)
-				w.refresh(member)
+				w.useTokens(follower, north, 10)
+				w.refresh(follower)
 			}
 			h.accounts[north].target = 1
-			member.link = linkDelayed
-			w.useTokens(member, north, 10)
-			w.refresh(member)
+			follower.link = linkDelayed
+			w.useTokens(follower, north, 10)
+			w.refresh(follower)
 			available := h.View(north).Available
 			w.refresh(w.nodes[2])
-			w.observe(member)
+			w.observe(follower)
 			So(h.View(north).Available, ShouldEqual, available)
 			w.refresh(leader)
-			w.observe(member)
+			w.observe(follower)
 			So(h.pageOf(north).submitted, ShouldBeFalse)
 			So(h.View(north).Granted, ShouldEqual, row().Granted)
 		})
 
 		Convey("keeps its grant if no leader has received its rows", func() {
-			w.useTokens(member, north, 10)
+			w.useTokens(follower, north, 10)
 			before := h.View(north).Available
-			member.link = linkDown
-			w.refresh(member)
+			follower.link = linkDown
+			w.refresh(follower)
 			So(h.View(north).Available, ShouldBeGreaterThanOrEqualTo, before)
 			So(h.pageOf(north).submitted, ShouldBeFalse)
 		})
@@ -110,26 +110,26 @@
 			p.Leave(h.id, nil, false)
 			raw, _ := p.Encode()
 			w.store.Put(h.pageOf(north).key, raw)
-			w.useTokens(member, north, 10)
+			w.useTokens(follower, north, 10)
 			leader.holder.pageOf(north).known = false
-			w.refresh(member)
+			w.refresh(follower)
 			So(h.View(north).Available, ShouldBeLessThanOrEqualTo, 0)
 		})
 	})
 
 	Convey("A zone's leader that relays its zone's rows", t, func() {
-		w, leader, member := ledWorld()
+		w, leader, follower := ledWorld()
 		relayLeader := w.nodes[2]
-		relayLeader.leadsZone, relayLeader.link, member.inLedZone = true, linkUp, true
+		relayLeader.leadsZone, relayLeader.link, follower.inLedZone = true, linkUp, true
 		w.refresh(relayLeader)
-		h := member.holder
+		h := follower.holder
 		row := func() Row { return w.page(north).Accounts[north].Rows[h.id] }
 
 		Convey("has them written by the leader of another zone, together with its own", func() {
 			before := leader.store.commits
-			w.useTokens(member, north, 10)
+			w.useTokens(follower, north, 10)
 			w.useTokens(relayLeader, north, 20)
-			w.refresh(member)
+			w.refresh(follower)
 			So(row().Spent, ShouldEqual, 10)
 			So(w.page(north).Accounts[north].Rows[relayLeader.holder.id].Spent, ShouldEqual, 20)
 			So(h.pageOf(north).submitted, ShouldBeFalse)
@@ -142,8 +142,8 @@
 			w.refresh(leader)
 			before := leader.store.reads
 			for range 5 {
-				w.useTokens(member, north, 10)
-				w.refresh(member)
+				w.useTokens(follower, north, 10)
+				w.refresh(follower)
 			}
 			So(leader.store.reads, ShouldEqual, before)
 			So(row().Spent, ShouldEqual, 50)
@@ -154,16 +154,16 @@
 			relayLeader.holder.times.MinGroupGap = time.Hour
 			for range 3 {
 				w.useTokens(relayLeader, north, 10)
-				w.useTokens(member, north, 10)
-				w.refresh(member)
+				w.useTokens(follower, north, 10)
+				w.refresh(follower)
 			}
 			So(row().Spent, ShouldEqual, 30)
 		})
 
 		Convey("returns its own zone's demand to them, not the writer's", func() {
 			for range 3 {
-				w.useTokens(member, north, 100)
-				w.refresh(member)
+				w.useTokens(follower, north, 100)
+				w.refresh(follower)
 			}
 			So(h.accounts[north].zoneRate, ShouldBeGreaterThan, 0)
 			So(h.accounts[north].zoneRate, ShouldEqual, relayLeader.holder.accounts[north].zoneRate)
@@ -172,8 +172,8 @@
 		Convey("writes them itself if the other leader cannot be reached, and only once if its response was lost", func() {
 			for i, link := range []int{linkDown, linkReplyLost, linkDelayed} {
 				relayLeader.link = link
-				w.useTokens(member, north, 10)
-				w.refresh(member)
+				w.useTokens(follower, north, 10)
+				w.refresh(follower)
 				So(row().Spent, ShouldEqual, 10*(i+1))
 				So(h.pageOf(north).submitted, ShouldBeFalse)
 				w.refresh(leader)
@@ -183,9 +183,9 @@
 	})
 
 	Convey("A loan", t, func() {
-		w, leader, member := ledWorld()
+		w, leader, follower := ledWorld()
 		ctx := context.Background()
-		loan := Loan{Holder: member.holder.id, Number: 1, Customer: north, MaxTokens: 100}
+		loan := Loan{Holder: follower.holder.id, Number: 1, Customer: north, MaxTokens: 100}
 
 		Convey("is a part of the leader's grant until it is repaid, and what was used of it is spent there", func() {
 			before := leader.holder.View(north).Available
@@ -215,15 +215,15 @@
 		})
 
 		Convey("whose response was lost is repaid, and the request is rejected as not run", func() {
-			w.useTokens(member, north, 8000)
-			member.link = linkReplyLost
-			maxTokens := member.holder.View(north).Available + 10
+			w.useTokens(follower, north, 8000)
+			follower.link = linkReplyLost
+			maxTokens := follower.holder.View(north).Available + 10
 			before := leader.holder.View(north).Available
 			So(before, ShouldBeGreaterThan, maxTokens)
-			_, err := member.holder.Reserve(ctx, north, maxTokens, 0)
+			_, err := follower.holder.Reserve(ctx, north, maxTokens, 0)
 			So(verdict.Of(err), ShouldEqual, verdict.NotRun)
-			member.link = linkUp
-			member.holder.repayAll(ctx)
+			follower.link = linkUp
+			follower.holder.repayAll(ctx)
 			So(leader.holder.View(north).Available, ShouldEqual, before)
 		})
 	})
