--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -102,7 +102,7 @@
 // caller may retry a random delay after the first of them is available again. Without the random delay, all callers that
 // were rejected in the meantime would retry at the same moment.
 func (j *job) noEndpoint() error {
-	backoff := j.availability.Rest
+	backoff := j.availability.Backoff
 	switch {
 	case j.availability.Full:
 		return refuse(verdict.CodeEndpointRefused, "the endpoints have as much as they bear", retryAfterShort)
