--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,5 +1,5 @@
 // Package admit queues requests for the limited number of slots at the endpoints. It orders them by priority, is fair
-// between customers, enforces deadlines, and lets no short request wait behind long ones.
+// between customers and enforces deadlines. Short requests do not wait behind long ones of the same priority.
 package admit
 
 import (
@@ -81,7 +81,7 @@
 	return g.wait(ctx, w)
 }
 
-// rejectEarly rejects a request that cannot be served before its deadline, or for which the queue has no room.
+// rejectEarly rejects a request that cannot be served before its deadline, or that finds the queue full.
 func (g *Gate) rejectEarly(req Request) error {
 	slots := g.capacity()
 	if g.waiting >= max(minQueueLimit, queuePerSlot*slots) && !g.displace(req.Priority) {
@@ -110,8 +110,8 @@
 	return time.Duration(float64(ahead) * g.avgHold / float64(max(slots, 1)) * float64(time.Second))
 }
 
-// displace makes room in a full queue by dropping the newest request of the least urgent priority, if that is less
-// urgent than the given one.
+// displace frees a place in a full queue. It drops the newest request of the least urgent priority, if that is less
+// urgent than the given one, and reports whether it has dropped one.
 func (g *Gate) displace(priority int) bool {
 	lowest := queueKey{priority: priority}
 	found := false
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -15,27 +15,27 @@
 }
 
 // enqueue queues a request and sends its name once it is admitted, or the name and " refused" if it is rejected.
-func enqueue(t *testing.T, g *Gate, a Request, name string, in chan<- string) {
+func enqueue(t *testing.T, g *Gate, req Request, name string, results chan<- string) {
 	t.Helper()
 	_, before := g.Counts()
 	go func() {
-		leave, err := g.Admit(context.Background(), a)
+		release, err := g.Admit(context.Background(), req)
 		if err != nil {
-			in <- name + " refused"
+			results <- name + " refused"
 			return
 		}
-		in <- name
-		leave()
+		results <- name
+		release()
 	}()
 	for _, n := g.Counts(); n == before; _, n = g.Counts() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func receive(n int, in <-chan string) []string {
+func receive(n int, results <-chan string) []string {
 	out := make([]string, n)
 	for i := range out {
-		out[i] = <-in
+		out[i] = <-results
 	}
 	return out
 }
@@ -43,26 +43,26 @@
 func TestGate(t *testing.T) {
 	Convey("Given a single slot that is in use", t, func() {
 		g := New(func() int { return 1 }, time.Now)
-		leave, err := g.Admit(context.Background(), newRequest(1, "a", false))
+		release, err := g.Admit(context.Background(), newRequest(1, "a", false))
 		So(err, ShouldBeNil)
 		admitted := make(chan string, 10)
 		Convey("urgent requests precede others, whenever they arrived", func() {
 			enqueue(t, g, newRequest(5, "a", false), "batch", admitted)
 			enqueue(t, g, newRequest(1, "a", false), "urgent", admitted)
-			leave()
+			release()
 			So(receive(2, admitted), ShouldResemble, []string{"urgent", "batch"})
 		})
-		Convey("customers take turns", func() {
+		Convey("customers are served in turn", func() {
 			enqueue(t, g, newRequest(1, "a", false), "a1", admitted)
 			enqueue(t, g, newRequest(1, "a", false), "a2", admitted)
 			enqueue(t, g, newRequest(1, "b", false), "b1", admitted)
-			leave()
+			release()
 			So(receive(3, admitted), ShouldResemble, []string{"a1", "b1", "a2"})
 		})
 		Convey("short requests precede long ones of the same priority", func() {
 			enqueue(t, g, newRequest(1, "a", true), "long", admitted)
 			enqueue(t, g, newRequest(1, "a", false), "short", admitted)
-			leave()
+			release()
 			So(receive(2, admitted), ShouldResemble, []string{"short", "long"})
 		})
 		Convey("a caller that leaves the queue gets a not-run error and no longer counts as waiting", func() {
@@ -72,14 +72,14 @@
 			So(verdict.Of(err), ShouldEqual, verdict.NotRun)
 			_, waiting := g.Counts()
 			So(waiting, ShouldEqual, 0)
-			leave()
+			release()
 		})
 		Convey("a request whose deadline has passed is rejected at once", func() {
-			a := newRequest(1, "a", false)
-			a.Deadline = time.Now().Add(-time.Second)
-			_, err := g.Admit(context.Background(), a)
+			req := newRequest(1, "a", false)
+			req.Deadline = time.Now().Add(-time.Second)
+			_, err := g.Admit(context.Background(), req)
 			So(verdict.From(err).Code(), ShouldEqual, verdict.CodeDeadline)
-			leave()
+			release()
 		})
 	})
 	Convey("Long requests never occupy every slot", t, func() {
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -1,9 +1,9 @@
 // Package evacuation tracks which availability zones are evacuated: their endpoints get no new work until the
 // operator withdraws the order.
 //
-// Orders reach an instance as changes of the store, in full reads of the store, and from other instances: late,
-// twice, or in another order. For each zone the order with the highest revision of the store is in force, so that a
-// late order never undoes a newer one. The state does not depend on a clock: an order is in force until a later one
+// Orders reach an instance as changes of the store, in full reads of the store, and from other instances. They may
+// arrive late, twice or out of sequence. For each zone the order with the highest revision of the store is in force, so
+// that a late order never undoes a newer one. The state does not depend on a clock: an order is in force until a later one
 // replaces it, also while the store is unavailable.
 package evacuation
 
@@ -41,8 +41,8 @@
 	return before != o.On
 }
 
-// Replace applies all orders as of a revision, and returns those that have changed, sorted by zone: evacuated zones
-// first. Orders that are newer than the set stay in force.
+// Replace applies all orders as of a revision, and returns those that have changed: first the evacuated zones, then the
+// others, each sorted by name. Orders that are newer than the set stay in force.
 func (s *State) Replace(set Set) []Order {
 	var changed []Order
 	apply := func(zone string, on bool) {
--- a/internal/external/backoff_test.go
+++ b/internal/external/backoff_test.go
@@ -20,25 +20,25 @@
 	calls int
 }
 
-func (r *busyStore) Read(ctx context.Context, key string) (external.Entry, int64, error) {
-	r.calls++
-	if r.after > 0 {
-		return external.Entry{}, 0, &external.RetryAfterError{After: r.after, Detail: "busy"}
+func (s *busyStore) Read(ctx context.Context, key string) (external.Entry, int64, error) {
+	s.calls++
+	if s.after > 0 {
+		return external.Entry{}, 0, &external.RetryAfterError{After: s.after, Detail: "busy"}
 	}
-	return r.Store.Read(ctx, key)
+	return s.Store.Read(ctx, key)
 }
 
-// TestStoreBackoff guards against calls during a back-off: a store that had rejected a call and asked for 1 s was
-// called again after 150 ms by each instance.
+// TestStoreBackoff guards against calls during a back-off. Every instance used to call a store again after 150 ms,
+// although the store had rejected its call and asked for a back-off of 1 s.
 func TestStoreBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A store that asks for a back-off is not called until it is over, for any purpose", t, func() {
 			ctx := context.Background()
 			store := &busyStore{Store: memkv.New(), after: time.Second}
 			o := external.Observe(store)
-			calls, rests := 0, 0
+			calls, backoffs := 0, 0
 			o.OnCall(func(external.Call) { calls++ })
-			o.OnBackoff(func(time.Duration) { rests++ })
+			o.OnBackoff(func(time.Duration) { backoffs++ })
 			read := func(ctx context.Context) error {
 				_, _, err := o.Read(ctx, "a")
 				return err
@@ -53,7 +53,7 @@
 			}
 			So(store.calls, ShouldEqual, 1)
 			So(calls, ShouldEqual, 1)
-			So(rests, ShouldEqual, 1)
+			So(backoffs, ShouldEqual, 1)
 
 			Convey("except for the final call of an instance that stops", func() {
 				So(read(external.WithFinalCall(ctx)), ShouldBeNil)
--- a/internal/external/epoch.go
+++ b/internal/external/epoch.go
@@ -36,14 +36,14 @@
 // NumberOf returns a revision's number within its epoch.
 func NumberOf(revision int64) int64 { return revision & (1<<numberBits - 1) }
 
-// MaxCopyAge is an upper bound of the age of a copy from which a store is restored. The copy contains all that was
-// written before that.
+// MaxCopyAge is an upper bound of the age of a copy from which a store is restored. Every copy contains all that was
+// written more than MaxCopyAge before the restoration.
 const MaxCopyAge = 30 * time.Second
 
 // ErrEarlierEpoch reports a response of an earlier epoch than the current one. It matches ErrUnavailable.
 var ErrEarlierEpoch = fmt.Errorf("%w: its response is of an earlier epoch", ErrUnavailable)
 
-// EpochError is the error of a call whose response named the store's epoch.
+// EpochError is the error of a failed call whose response named the store's epoch.
 type EpochError struct {
 	Epoch int64
 	Err   error
@@ -58,7 +58,7 @@
 // Restoration describes a rise of the store's epoch.
 type Restoration struct {
 	Before, Epoch int64
-	// Known is the greatest number observed in the epoch before. Number is the one that the first response of the new
+	// Known is the greatest number observed in the previous epoch. Number is the one that the first response of the new
 	// epoch named; 0: none.
 	Known, Number int64
 	Age           time.Duration // lower bound of the copy's age when this instance detected the restoration; 0: unknown
@@ -143,8 +143,8 @@
 	return e.current > e.first
 }
 
-// Observe takes an epoch that was named, and a number within it; 0: no number. It returns ErrEarlierEpoch if the
-// current epoch is a later one.
+// Observe records an epoch that a response or another instance has named, and a number within it; 0: no number. It
+// returns ErrEarlierEpoch if the current epoch is a later one.
 func (e *Epochs) Observe(epoch, number int64) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -202,7 +202,7 @@
 	return 0
 }
 
-// observeError takes the epoch that the response of a failed call has named. It returns the call's error, or
+// observeError records the epoch that the response of a failed call has named, if any. It returns the call's error, or
 // ErrEarlierEpoch.
 func (e *Epochs) observeError(err error) error {
 	var named *EpochError
--- a/internal/external/etcdstore/client.go
+++ b/internal/external/etcdstore/client.go
@@ -1,7 +1,7 @@
 // Package etcdstore is the store adapter for the etcd v3 JSON gateway.
 //
 // Source of the wire format: the published etcd v3 API, HTTP JSON mapping (kv/range, kv/txn, lease/grant,
-// lease/keepalive, watch). Keys and values travel as base64; 64-bit integers as strings.
+// lease/keepalive, watch). Keys and values are encoded as base64, 64-bit integers as strings.
 package etcdstore
 
 import (
@@ -112,7 +112,7 @@
 	return int64(out.Header.Revision), nil
 }
 
-// Lease implements external.Store. The store measures leases in whole seconds, so ttl is rounded up.
+// Lease implements external.Store. The store grants leases in whole seconds, so ttl is rounded up.
 func (c *Client) Lease(ctx context.Context, ttl time.Duration) (int64, error) {
 	var out LeaseResponse
 	secs := int64((ttl + time.Second - 1) / time.Second)
@@ -153,11 +153,11 @@
 		return nil, eris.Wrapf(external.ErrUnavailable, "watching %s: status %d", key, resp.StatusCode)
 	}
 	ch := make(chan external.Entry)
-	go pump(ctx, resp.Body, ch)
+	go forwardEvents(ctx, resp.Body, ch)
 	return ch, nil
 }
 
-func pump(ctx context.Context, body io.ReadCloser, ch chan<- external.Entry) {
+func forwardEvents(ctx context.Context, body io.ReadCloser, ch chan<- external.Entry) {
 	defer close(ch)
 	defer func() { _ = body.Close() }()
 	dec := json.NewDecoder(body)
@@ -184,20 +184,20 @@
 	return nil
 }
 
-// write makes a call that must not be repeated blindly. It returns ErrUnavailable if the call never reached the store,
-// and ErrAmbiguous if the response was lost.
+// write makes a call that must not be repeated blindly. It returns ErrUnavailable if the store has not executed the
+// call, and ErrAmbiguous if it may have.
 func (c *Client) write(ctx context.Context, path string, in, out any) error {
 	err := c.call(ctx, path, in, out)
 	if err == nil {
 		return nil
 	}
-	if neverSent(err) {
+	if notExecuted(err) {
 		return eris.Wrapf(external.ErrUnavailable, "%v", err)
 	}
 	return eris.Wrapf(external.ErrAmbiguous, "%v", err)
 }
 
-func neverSent(err error) bool {
+func notExecuted(err error) bool {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return true
--- a/internal/external/fenced.go
+++ b/internal/external/fenced.go
@@ -14,8 +14,9 @@
 // fencePrefix is the location of the fences under the fleet's own prefix.
 const fencePrefix = "epoch/"
 
-// Fenced is a KV that never confuses revisions of different epochs. Reads continue within one epoch only. A conditional
-// write takes effect only in the epoch in which its conditions were read, however late the store executes it.
+// Fenced is a KV that never confuses revisions of different epochs. It returns the changes since a revision only within
+// one epoch. A conditional write takes effect only in the epoch in which its conditions were read, however late the store
+// executes it.
 //
 // Each conditional write has one more condition: the fence of its epoch is unchanged. A fence is a key that the first
 // writer in an epoch creates; it drops the fences of earlier epochs at the same time. A store that names no epoch has
@@ -32,17 +33,17 @@
 
 var _ KV = (*Fenced)(nil)
 
-// Fence wraps a store. Fences are stored under prefix, the fleet's own one.
+// Fence wraps a store. prefix is the fleet's own prefix, under which the fences are stored.
 func Fence(next KV, prefix string, epochs *Epochs) *Fenced {
 	return &Fenced{next: next, prefix: prefix + fencePrefix, epochs: epochs}
 }
 
-// observe takes the revision or the error of a response.
+// observe records the epoch of a response, from its revision or its error.
 func (f *Fenced) observe(revision int64, err error) error {
 	switch {
 	case err != nil:
 		return f.epochs.observeError(err)
-	case revision == 0: // of an empty store
+	case revision == 0: // the store is empty
 		return nil
 	}
 	return f.epochs.Observe(EpochOf(revision), NumberOf(revision))
@@ -99,7 +100,7 @@
 	return f.commitFenced(ctx, c, fence)
 }
 
-// write makes a write and takes the epoch that its response names. If that is an earlier epoch than the current one,
+// write makes a write and records the epoch that its response names. If that is an earlier epoch than the current one,
 // the outcome is unknown.
 func (f *Fenced) write(ctx context.Context, c Commit) (int64, error) {
 	at, err := f.next.Commit(ctx, c)
--- a/internal/external/kv.go
+++ b/internal/external/kv.go
@@ -55,7 +55,7 @@
 type finalCallKey struct{}
 
 // WithFinalCall marks calls under ctx as the last ones of an instance that stops. They are made even during a back-off
-// of the store, because no one can make them later.
+// of the store, because the instance cannot make them later.
 func WithFinalCall(ctx context.Context) context.Context {
 	return context.WithValue(ctx, finalCallKey{}, true)
 }
--- a/internal/external/observed.go
+++ b/internal/external/observed.go
@@ -33,7 +33,7 @@
 // OnCall sets the callback for each call.
 func (o *Observed) OnCall(f func(Call)) { o.onCall.Store(&f) }
 
-// OnBackoff sets the callback for the start of a back-off, with the duration that the store asked for.
+// OnBackoff sets the callback for the start of a back-off. It gets the duration that the store asked for.
 func (o *Observed) OnBackoff(f func(time.Duration)) { o.onBackoff.Store(&f) }
 
 // call makes a call, unless a back-off is in progress, and reports it.
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -31,8 +31,8 @@
 const (
 	peerCallTimeout    = 450 * time.Millisecond  // of one request to a leader
 	peerCallsTimeout   = 500 * time.Millisecond  // of all such requests in a step: the store call needs time too
-	maxLeaderAge       = 1300 * time.Millisecond // a zone's leader whose data is older than this is skipped
-	maxFleetLeaderAge  = 800 * time.Millisecond  // likewise, for the leader that the zones' leaders ask
+	maxLeaderAge       = 1300 * time.Millisecond // a leader of the own zone whose data is older than this is skipped
+	maxFleetLeaderAge  = 800 * time.Millisecond  // likewise, for the instances that a zone's leader asks
 	discoveryTimeout   = 1500 * time.Millisecond // for the other instances to be discovered after the start
 	leaderStartTimeout = 700 * time.Millisecond  // for a leader that is starting at the same time
 	leaderStartRetry   = 50 * time.Millisecond   // interval between requests to such a leader
@@ -88,9 +88,9 @@
 	At        int64           `cbor:"2,keyasint"`
 	ConfigAt  int64           `cbor:"3,keyasint"`
 	Config    []byte          `cbor:"4,keyasint,omitempty"` // packed; empty: not changed
-	Whole     bool            `cbor:"5,keyasint,omitempty"`
+	Complete  bool            `cbor:"5,keyasint,omitempty"`
 	Endpoints []pool.Endpoint `cbor:"6,keyasint,omitempty"`
-	Gone      []string        `cbor:"7,keyasint,omitempty"`
+	Removed   []string        `cbor:"7,keyasint,omitempty"`
 	AgeMs     int64           `cbor:"8,keyasint,omitempty"`
 	All       []byte          `cbor:"9,keyasint,omitempty"` // packed []pool.Endpoint: all of them, in place of Endpoints
 	// Evacuated lists all availability zones that are evacuated as of OperatorAt.
@@ -141,7 +141,7 @@
 	}
 	epoch := external.EpochOf(u.At)
 	reply := updateReply{
-		Known: true, At: external.NumberOf(u.At), ConfigAt: numberIn(epoch, u.ConfigAt), Whole: u.Complete, Endpoints: u.Endpoints, Gone: u.Removed,
+		Known: true, At: external.NumberOf(u.At), ConfigAt: numberIn(epoch, u.ConfigAt), Complete: u.Complete, Endpoints: u.Endpoints, Removed: u.Removed,
 		AgeMs: u.Age.Milliseconds(), OperatorAt: numberIn(epoch, u.OperatorAt), Evacuated: u.Evacuated.Zones, Epoch: epoch,
 	}
 	var err error
@@ -184,7 +184,7 @@
 	return s.config.data, err
 }
 
-// newEncoded encodes a value of a version or revision.
+// newEncoded encodes a value that has the given version or revision.
 func newEncoded(v any, version int64) (encoded, error) {
 	data, err := pack(v)
 	if err != nil {
@@ -228,8 +228,8 @@
 	now    func() time.Time
 	epochs *external.Epochs
 	call   time.Duration // timeout of a call for changes to the store
-	// slowStore reports that the store's last response did not arrive completely in time. No leader is further ahead
-	// then, so the store is asked at once.
+	// slowStore reports that the store's last response did not arrive completely in time. No leader had recent data before
+	// that call, so the next snapshot is read from the store without asking the leaders again.
 	slowStore atomic.Bool
 	backoff   storeBackoff
 }
@@ -272,8 +272,8 @@
 	return u, err
 }
 
-// awaitDiscovery waits until the other instances have been discovered. Otherwise each instance of a large fleet would
-// start with its own calls to the store.
+// awaitDiscovery waits until the other instances have been discovered, for discoveryTimeout at most. Without this wait,
+// each instance of a large fleet would start with its own calls to the store.
 func (s *Source) awaitDiscovery(ctx context.Context) {
 	t := time.NewTimer(discoveryTimeout)
 	defer t.Stop()
@@ -361,7 +361,7 @@
 		return follow.Update{}, errLeadersStarting
 	case age > maxAge:
 		return follow.Update{}, errLeadersStale
-	case !reply.Whole && (since.At == 0 || external.EpochOf(since.At) < s.epochs.Current()):
+	case !reply.Complete && (since.At == 0 || external.EpochOf(since.At) < s.epochs.Current()):
 		return follow.Update{}, errNoLeader
 	}
 	if err := s.checkEpoch(&reply); err != nil {
@@ -369,7 +369,7 @@
 	}
 	operator := external.Revision(reply.Epoch, reply.OperatorAt)
 	u := follow.Update{
-		At: external.Revision(reply.Epoch, reply.At), ConfigAt: external.Revision(reply.Epoch, reply.ConfigAt), Complete: reply.Whole, Endpoints: reply.Endpoints, Removed: reply.Gone,
+		At: external.Revision(reply.Epoch, reply.At), ConfigAt: external.Revision(reply.Epoch, reply.ConfigAt), Complete: reply.Complete, Endpoints: reply.Endpoints, Removed: reply.Removed,
 		Events: 1, FromPeer: true, Age: age, OperatorAt: operator, Evacuated: &evacuation.Set{At: operator, Zones: reply.Evacuated},
 	}
 	if len(reply.All) > 0 {
--- a/internal/feed/fuzz_test.go
+++ b/internal/feed/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/ledgemount/ledgemount/internal/route"
 )
 
-// FuzzNews checks that no update reply makes the process panic or decompress without bound.
-func FuzzNews(f *testing.F) {
+// FuzzUpdateReply checks that no update reply makes the process panic or decompress without bound.
+func FuzzUpdateReply(f *testing.F) {
 	all, err := pack([]pool.Endpoint{endpoint("e-1")})
 	if err != nil {
 		f.Fatal(err)
@@ -19,22 +19,22 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	raw, err := cbor.Marshal(updateReply{Known: true, At: 9, Whole: true, All: all, Config: conf})
+	raw, err := cbor.Marshal(updateReply{Known: true, At: 9, Complete: true, All: all, Config: conf})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(raw)
 	f.Add(all)
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var n updateReply
-		if cbor.Unmarshal(raw, &n) != nil {
-			n.All, n.Config = raw, raw
+		var reply updateReply
+		if cbor.Unmarshal(raw, &reply) != nil {
+			reply.All, reply.Config = raw, raw
 		}
-		list, err := unpack[[]pool.Endpoint](n.All)
+		list, err := unpack[[]pool.Endpoint](reply.All)
 		if err == nil {
 			pool.New("a").Replace(list)
 		}
-		if c, err := unpack[*route.Config](n.Config); err == nil && c != nil {
+		if c, err := unpack[*route.Config](reply.Config); err == nil && c != nil {
 			_, _ = route.Compile(*c)
 		}
 	})
--- a/internal/fleettime/fleettime.go
+++ b/internal/fleettime/fleettime.go
@@ -3,7 +3,7 @@
 // A machine's own time of day may step by seconds, and its steady clock starts again after a loss of power. The time on
 // which most clocks of a fleet agree does not step while fewer than seven in ten of them step. It therefore tells how
 // much time has passed across a loss of power. One instance is the coordinator: the others report their clocks to it,
-// and it answers with the bounds.
+// and it replies with the bounds.
 package fleettime
 
 import (
@@ -16,18 +16,18 @@
 	"github.com/ledgemount/ledgemount/internal/peers"
 )
 
-// KindAsk reports an instance's clock and requests the bounds.
-const KindAsk mesh.Kind = "fleettime.ask"
+// KindReport reports an instance's clock and requests the bounds.
+const KindReport mesh.Kind = "fleettime.ask"
 
 const (
-	initialInterval = 200 * time.Millisecond // between requests until the time is known
-	askInterval     = time.Second            // between requests later on
-	askTimeout      = 300 * time.Millisecond
-	maxDelay        = 100 * time.Millisecond // replies that took longer are too inaccurate
-	minClocks       = 3                      // minimum number of clocks for bounds
-	minClockShare   = 0.6                    // likewise, as a share of the coordinator's group of instances
-	trimShare       = 0.3                    // share of clocks that lie below the lower bound, and above the upper one
-	readingLifetime = 5 * time.Second        // how long a clock's reading counts
+	initialSyncInterval = 200 * time.Millisecond // between requests until the time is known
+	syncInterval        = time.Second            // between requests later on
+	syncTimeout         = 300 * time.Millisecond
+	maxDelay            = 100 * time.Millisecond // replies that took longer are too inaccurate
+	minClocks           = 3                      // minimum number of clocks for bounds
+	minClockShare       = 0.6                    // likewise, as a share of the coordinator's group of instances
+	trimShare           = 0.3                    // share of the clocks below the lower bound, and likewise above the upper one
+	readingLifetime     = 5 * time.Second        // how long a clock's reading counts
 )
 
 // clockReport is the time of day of the sender's clock.
@@ -89,7 +89,7 @@
 	for _, opt := range opts {
 		opt(c)
 	}
-	mesh.Handle(router, KindAsk, c.handleReport)
+	mesh.Handle(router, KindReport, c.handleReport)
 	return c
 }
 
@@ -100,9 +100,9 @@
 func (c *Clock) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		c.Sync(ctx)
-		wait := askInterval
+		wait := syncInterval
 		if _, known := c.Now(); !known {
-			wait = initialInterval
+			wait = initialSyncInterval
 		}
 		t := time.NewTimer(wait)
 		select {
@@ -135,17 +135,17 @@
 		return
 	}
 	for _, p := range coordinators {
-		if c.ask(ctx, p) {
+		if c.syncWith(ctx, p) {
 			return
 		}
 	}
 }
 
-func (c *Clock) ask(ctx context.Context, coordinator mesh.Peer) bool {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (c *Clock) syncWith(ctx context.Context, coordinator mesh.Peer) bool {
+	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	start := c.steady()
-	reply, err := peers.Call[clockReport, boundsReply](ctx, c.dir, coordinator, KindAsk, clockReport{WallMs: c.wall().UnixMilli()})
+	reply, err := peers.Call[clockReport, boundsReply](ctx, c.dir, coordinator, KindReport, clockReport{WallMs: c.wall().UnixMilli()})
 	if err != nil {
 		return false
 	}
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -133,8 +133,8 @@
 // OnRejected sets the callback for a record that cannot be decoded. It is called once for each revision of the record.
 func OnRejected(g func()) Option { return func(f *Follower) { f.onRejected = g } }
 
-// WithFleetRecords sets whether to read the records that the fleet itself writes. A small fleet reads them in the same
-// call. In a large fleet that would make each instance read what all others write.
+// WithFleetRecords sets whether to read the records that the fleet itself writes. The instances of a small fleet read
+// them in the same call. In a large fleet, each instance would then read what all others write.
 func WithFleetRecords(g func() bool) Option { return func(f *Follower) { f.withFleetRecords = g } }
 
 // New makes a follower that keeps a pool's endpoints up to date.
@@ -152,19 +152,20 @@
 // Name implements kernel.Service.
 func (*Follower) Name() string { return "follow" }
 
-// Table is the configuration in force; nil until one is known.
+// Table returns the configuration in force; nil before the first one.
 func (f *Follower) Table() *route.Table { return f.table.Load() }
 
-// Age is the time since the store last answered.
+// Age returns the time since the store last answered.
 func (f *Follower) Age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.now().Sub(f.answered)
 }
 
-// LastContact is the time at which this instance's data was last known to be current: the start of the last successful
-// call, less the age of the data if another instance sent it. The start counts, because a response may have waited in a
-// socket while this machine was suspended. It is the zero time before the first successful call.
+// LastContact returns the time at which this instance's data was last known to be current: the start of the last
+// successful call, less the age of the data if another instance sent it. It uses the start of the call, because a
+// response may have waited in a socket while this machine was suspended. Before the first successful call it returns
+// the zero time.
 func (f *Follower) LastContact() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -204,7 +205,7 @@
 	return nil
 }
 
-// wait is the time until the next call, given the error of the last one.
+// wait returns the time until the next call, given the error of the last one.
 func (f *Follower) wait(err error) time.Duration {
 	switch {
 	case err != nil && f.withFleetRecords():
@@ -311,7 +312,8 @@
 	}
 }
 
-// BadRecord is a record that cannot be decoded. Other writers may leave such records. It stands for no endpoint.
+// BadRecord is a record that cannot be decoded. Other writers may leave such records. An endpoint whose record is bad
+// counts as removed.
 type BadRecord struct {
 	Key      string
 	Revision int64
@@ -384,7 +386,7 @@
 	if added+removed == 0 {
 		return
 	}
-	f.log.Info().Str("event", event).Int("came", added).Int("went", removed).Int64("revision", at).Msg("all endpoints read")
+	f.log.Info().Str("event", event).Int("came", added).Int("went", removed).Int64("revision", at).Msg("full list of endpoints applied")
 }
 
 // applyConfig puts a configuration in force if it is newer than the current one.
--- a/internal/follow/restoration.go
+++ b/internal/follow/restoration.go
@@ -16,7 +16,7 @@
 	// store's list lacks it.
 	missingGrace = 3 * time.Second
 	// staleGrace is how long after a restoration a record in a list does not make an endpoint ready that was known to
-	// be draining or removed. The record of an endpoint that has ended expires within that time.
+	// be draining or removed. The record of an endpoint whose process has exited expires within that time.
 	staleGrace = 6 * time.Second
 )
 
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -22,13 +22,13 @@
 const KindBeat mesh.Kind = "member.beat"
 
 const (
-	defaultBeat      = 500 * time.Millisecond
-	defaultList      = 2 * time.Second
-	maxMissedBeats   = 5
-	crossZoneLinks   = 2
-	deadRetention    = 10 * time.Minute
-	beatConcurrency  = 64
-	loadBeatInterval = 2 // one heartbeat in this many carries the requests in progress
+	defaultBeatInterval = 500 * time.Millisecond
+	defaultListInterval = 2 * time.Second
+	maxMissedBeats      = 5
+	crossZoneLinks      = 2
+	deadRetention       = 10 * time.Minute
+	beatConcurrency     = 64
+	beatsPerLoad        = 2 // one heartbeat in this many carries the requests in progress
 )
 
 // Beat is a heartbeat: its sender, whether the sender is leaving, and the version of its configuration.
@@ -55,23 +55,23 @@
 
 // View is the membership service.
 type View struct {
-	self     mesh.Peer
-	list     external.InstanceList
-	caller   mesh.Caller
-	now      func() time.Time
-	every    time.Duration
-	poll     time.Duration
-	log      zerolog.Logger
-	config   func() int64
-	inFlight func() map[string]int
-
-	mu        sync.RWMutex
-	peers     map[string]*peerState
-	leaving   bool
-	beats     int // heartbeats sent so far; used by Run only
-	listeners []Listener
-	zoneCache []mesh.Peer
-	cacheTill time.Time
+	self         mesh.Peer
+	list         external.InstanceList
+	caller       mesh.Caller
+	now          func() time.Time
+	beatInterval time.Duration
+	listInterval time.Duration
+	log          zerolog.Logger
+	config       func() int64
+	inFlight     func() map[string]int
+
+	mu         sync.RWMutex
+	peers      map[string]*peerState
+	leaving    bool
+	beats      int // heartbeats sent so far; used by Run only
+	listeners  []Listener
+	zoneCache  []mesh.Peer
+	cacheUntil time.Time
 }
 
 // Option changes a View.
@@ -82,7 +82,7 @@
 
 // WithIntervals sets the interval between heartbeats and that between reads of the platform's list.
 func WithIntervals(beat, list time.Duration) Option {
-	return func(v *View) { v.every, v.poll = beat, list }
+	return func(v *View) { v.beatInterval, v.listInterval = beat, list }
 }
 
 // WithConfigVersion makes heartbeats carry the version of the configuration.
@@ -97,16 +97,16 @@
 // New makes a view and registers its message handler.
 func New(self mesh.Peer, list external.InstanceList, caller mesh.Caller, router *mesh.Router, opts ...Option) *View {
 	v := &View{
-		self:     self,
-		list:     list,
-		caller:   caller,
-		now:      time.Now,
-		every:    defaultBeat,
-		poll:     defaultList,
-		log:      zerolog.Nop(),
-		config:   func() int64 { return 0 },
-		inFlight: func() map[string]int { return nil },
-		peers:    make(map[string]*peerState),
+		self:         self,
+		list:         list,
+		caller:       caller,
+		now:          time.Now,
+		beatInterval: defaultBeatInterval,
+		listInterval: defaultListInterval,
+		log:          zerolog.Nop(),
+		config:       func() int64 { return 0 },
+		inFlight:     func() map[string]int { return nil },
+		peers:        make(map[string]*peerState),
 	}
 	for _, opt := range opts {
 		opt(v)
@@ -132,13 +132,13 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.leaving = true
-	v.cacheTill = time.Time{}
+	v.cacheUntil = time.Time{}
 }
 
 // Run implements kernel.Service.
 func (v *View) Run(ctx context.Context) error {
 	v.refresh(ctx)
-	beat, list := time.NewTicker(v.every), time.NewTicker(v.poll)
+	beat, list := time.NewTicker(v.beatInterval), time.NewTicker(v.listInterval)
 	defer beat.Stop()
 	defer list.Stop()
 	v.beatAll(ctx)
@@ -208,7 +208,7 @@
 		v.peers[b.Peer.ID] = s
 	}
 	if s.lastBeat.IsZero() || s.leaving != b.Leaving || s.peer.Incarnation != b.Peer.Incarnation {
-		v.cacheTill = time.Time{}
+		v.cacheUntil = time.Time{}
 	}
 	s.peer, s.lastBeat, s.leaving, s.config = b.Peer, v.now(), b.Leaving, b.Config
 	if b.Loaded {
@@ -250,7 +250,7 @@
 
 func (v *View) beatAll(ctx context.Context) {
 	v.beats++
-	zoneBeat, farBeat := v.beat(v.beats%loadBeatInterval == 0), v.beat(false)
+	zoneBeat, farBeat := v.beat(v.beats%beatsPerLoad == 0), v.beat(false)
 	var wg sync.WaitGroup
 	sem := make(chan struct{}, beatConcurrency)
 	for _, p := range v.targets() {
@@ -268,7 +268,7 @@
 }
 
 func (v *View) send(ctx context.Context, p mesh.Peer, b Beat) {
-	ctx, cancel := context.WithTimeout(ctx, v.every)
+	ctx, cancel := context.WithTimeout(ctx, v.beatInterval)
 	defer cancel()
 	reply, err := mesh.Call[Beat, Beat](ctx, v.caller, p.Addr, KindBeat, b)
 	if err == nil {
@@ -284,7 +284,7 @@
 	var zone, far []mesh.Peer
 	now := v.now()
 	for _, s := range v.peers {
-		if !s.listed && now.Sub(s.lastBeat) > time.Duration(maxMissedBeats)*v.every {
+		if !s.listed && now.Sub(s.lastBeat) > time.Duration(maxMissedBeats)*v.beatInterval {
 			continue
 		}
 		if s.peer.Zone == v.self.Zone {
@@ -298,13 +298,13 @@
 }
 
 func (v *View) fresh(s *peerState, now time.Time) bool {
-	return !s.lastBeat.IsZero() && now.Sub(s.lastBeat) <= time.Duration(maxMissedBeats)*v.every
+	return !s.lastBeat.IsZero() && now.Sub(s.lastBeat) <= time.Duration(maxMissedBeats)*v.beatInterval
 }
 
 // Alive reports whether a heartbeat of a process, named as by mesh.Peer.IncarnationID, was received recently. Leaving
 // processes are alive.
-func (v *View) Alive(who string) bool {
-	id, inc := mesh.SplitIncarnationID(who)
+func (v *View) Alive(incarnationID string) bool {
+	id, inc := mesh.SplitIncarnationID(incarnationID)
 	if id == v.self.ID {
 		return inc == v.self.Incarnation
 	}
@@ -319,7 +319,7 @@
 func (v *View) Zone() []mesh.Peer {
 	now := v.now()
 	v.mu.RLock()
-	if now.Before(v.cacheTill) {
+	if now.Before(v.cacheUntil) {
 		out := v.zoneCache
 		v.mu.RUnlock()
 		return out
@@ -337,7 +337,7 @@
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].ID < out[j].ID })
-	v.zoneCache, v.cacheTill = out, now.Add(v.every/2)
+	v.zoneCache, v.cacheUntil = out, now.Add(v.beatInterval/2)
 	return out
 }
 
@@ -357,8 +357,8 @@
 }
 
 // Find returns the instance of a process in any zone. The process itself may have been replaced.
-func (v *View) Find(who string) (mesh.Peer, bool) {
-	id, _ := mesh.SplitIncarnationID(who)
+func (v *View) Find(incarnationID string) (mesh.Peer, bool) {
+	id, _ := mesh.SplitIncarnationID(incarnationID)
 	if id == v.self.ID {
 		return v.self, true
 	}
@@ -373,8 +373,8 @@
 
 // Lost reports whether a process is neither listed nor has sent a recent heartbeat, or was replaced by another process
 // of its instance.
-func (v *View) Lost(who string) bool {
-	id, inc := mesh.SplitIncarnationID(who)
+func (v *View) Lost(incarnationID string) bool {
+	id, inc := mesh.SplitIncarnationID(incarnationID)
 	if id == v.self.ID {
 		return inc != v.self.Incarnation
 	}
--- a/internal/peers/directory.go
+++ b/internal/peers/directory.go
@@ -33,7 +33,7 @@
 	InitialRead time.Duration // minimum interval between reads after the start; it doubles with each read, up to Read
 	Read        time.Duration // interval between reads later on
 	Call        time.Duration // timeout of one call to the store
-	Settle      time.Duration // how long after the start others may lack records or links
+	Settle      time.Duration // how long after the start other instances may still lack records or links
 	FirstPause  time.Duration // first pause in calls to an instance that could not be reached
 	MaxPause    time.Duration // upper limit of that pause, which doubles with each failure
 }
@@ -47,7 +47,7 @@
 	}
 }
 
-// DefaultLargeFleet is the number of instances from which on a fleet counts as large.
+// DefaultLargeFleet is the default minimum number of instances of a large fleet.
 const DefaultLargeFleet = 17
 
 // maxLeaders is the number of leaders that an instance tries before it does the work itself.
@@ -111,7 +111,7 @@
 // WithLogger sets the logger.
 func WithLogger(log zerolog.Logger) Option { return func(d *Directory) { d.log = log } }
 
-// WithLargeFleet sets the number of instances from which on a fleet counts as large.
+// WithLargeFleet sets the minimum number of instances of a large fleet.
 func WithLargeFleet(n int) Option { return func(d *Directory) { d.largeFleet = n } }
 
 // WithoutPools turns off the pooling of customers' tokens within zones.
@@ -172,8 +172,9 @@
 	return d.disconnect()
 }
 
-// Discovered returns a channel that is closed once no more instances are expected to become known soon. A large fleet
-// is linked then. A small one existed before this instance's process started, or its instances have had time to start.
+// Discovered returns a channel that is closed once no more instances are expected to be discovered soon. In a large
+// fleet this is when the links are open. In a small one it is when the other instances have had time to start, or at
+// once if this instance has restarted, because the others are running already.
 func (d *Directory) Discovered() <-chan struct{} { return d.discovered }
 
 // checkDiscovered closes the channel of Discovered if the fleet is discovered by now.
@@ -336,8 +337,8 @@
 	return nil
 }
 
-// Settled reports whether enough instances are known to begin work. In a large fleet it also waits some seconds for a
-// leader to be reachable.
+// Settled reports whether enough instances are known to begin work. In a large fleet, a leader must also be reachable.
+// Some seconds after the start it returns true in any case, unless the records were never read.
 func (d *Directory) Settled() bool {
 	if d.self.Peer.Addr == "" {
 		return true
--- a/internal/peers/keys.go
+++ b/internal/peers/keys.go
@@ -26,7 +26,7 @@
 	defer cancel()
 	read := ctx
 	if d.restoredAt.Load() == nil {
-		read = external.WithStale(ctx) // only a restoration changes it, so a read from a copy is good enough
+		read = external.WithStale(ctx) // only a restoration changes the authority, so a read from a copy suffices
 	}
 	e, _, err := d.store.Read(read, d.prefix+authorityKey)
 	if err != nil {
--- a/internal/peers/leaders.go
+++ b/internal/peers/leaders.go
@@ -7,7 +7,8 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// Leads reports whether this instance leads its zone, as far as it can tell.
+// Leads reports whether this instance has no leader to ask: the fleet is small, this instance leads its zone, or it
+// cannot reach the leaders.
 func (d *Directory) Leads() bool { return len(d.Leaders()) == 0 }
 
 // LeadersUnreachable reports whether this instance does the work itself only because it cannot reach the leaders that
@@ -93,8 +94,8 @@
 }
 
 // NotifyTargets returns the instances to notify of a change that concerns the whole fleet. In a small fleet these are
-// all others. In a large one it is the first leader of the zone that can be reached; a leader notifies the leaders of
-// the other zones.
+// all others. In a large one it is the first reachable leader of the own zone. If this instance leads the zone, they are
+// the leaders of the other zones.
 func (d *Directory) NotifyTargets() []mesh.Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/peers/lenders.go
+++ b/internal/peers/lenders.go
@@ -8,7 +8,7 @@
 const (
 	minPoolZoneSize = 4 // from this size on, a zone's tokens are pooled at a few of its instances
 	poolHolders     = 2 // number of instances that hold a zone's pools; customers are spread over them
-	maxLenders      = 4 // number of instances of a large fleet that one loan is requested from
+	maxLenders      = 4 // in a large fleet, the maximum number of instances from which one loan is requested
 )
 
 // Pool reports whether the own zone pools a customer's tokens, and whether this instance holds that pool.
@@ -38,9 +38,9 @@
 
 // Lenders returns the instances from which to borrow a customer's tokens, best first: those of the own zone, then one
 // of each other zone. In a small fleet it returns all other instances, because each holds a part of the customer's
-// tokens. If it returned one of each other zone there, two of five other instances would never be asked. In the request
-// logs of two stable days, between one in nine and one in three of the requests that were rejected during a network
-// partition would have found enough tokens at another instance.
+// tokens. If it returned only one instance of each other zone, two of five other instances would never be asked for a
+// loan. In the request logs of two stable days, between one in nine and one in three of the requests that were rejected
+// during a network partition would have found enough tokens at another instance.
 func (d *Directory) Lenders(customer string) []mesh.Peer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -216,7 +216,7 @@
 	})
 }
 
-func TestMet(t *testing.T) {
+func TestDiscovered(t *testing.T) {
 	ctx := context.Background()
 	isDiscovered := func(d *Directory) bool {
 		d.checkDiscovered()
@@ -299,20 +299,20 @@
 		f.exchangeRecords(ctx)
 
 		Convey("two instances of a zone hold its pools, each for a part of the customers", func() {
-			keepers := make(map[string]int)
+			holders := make(map[string]int)
 			for i := range 40 {
 				customer := fmt.Sprintf("customer-%d", i)
 				for _, d := range f.dirs {
 					pooled, here := d.Pool(customer)
 					So(pooled, ShouldBeTrue)
 					if here {
-						keepers[d.self.Peer.ID]++
+						holders[d.self.Peer.ID]++
 					}
 				}
 				So(f.dirs[5].Lenders(customer)[0].ID, ShouldBeIn, "i-0", "i-1")
 			}
-			So(keepers, ShouldHaveLength, 2)
-			So(keepers["i-0"]+keepers["i-1"], ShouldEqual, 40)
+			So(holders, ShouldHaveLength, 2)
+			So(holders["i-0"]+holders["i-1"], ShouldEqual, 40)
 		})
 
 		Convey("the pool is asked first, then the zone's other pool, then one instance of each other zone", func() {
@@ -339,18 +339,18 @@
 		store := memkv.New()
 		router := mesh.NewRouter()
 		mesh.Handle(router, kindEcho, func(_ context.Context, from mesh.Peer, _ string) (string, error) { return from.ID, nil })
-		ends := make([]*mesh.Transport, 0, 2)
+		transports := make([]*mesh.Transport, 0, 2)
 		for _, id := range []string{"i-0", "i-1"} {
 			self := mesh.Peer{ID: id, Zone: "a", Addr: "127.0.0.1:0"}
 			d := New(store, "p/", Record{Peer: self}, router)
 			cfg, err := d.identity(ctx)
 			So(err, ShouldBeNil)
-			end, err := mesh.Listen(self, cfg, router)
+			transport, err := mesh.Listen(self, cfg, router)
 			So(err, ShouldBeNil)
-			defer func() { _ = end.Close() }()
-			ends = append(ends, end)
+			defer func() { _ = transport.Close() }()
+			transports = append(transports, transport)
 		}
-		got, err := mesh.Call[string, string](ctx, ends[1], ends[0].Self().Addr, kindEcho, "")
+		got, err := mesh.Call[string, string](ctx, transports[1], transports[0].Self().Addr, kindEcho, "")
 		So(err, ShouldBeNil)
 		So(got, ShouldEqual, "i-1")
 
--- a/internal/peers/peerstest/peerstest.go
+++ b/internal/peers/peerstest/peerstest.go
@@ -17,17 +17,17 @@
 // Instance is one instance of a fleet under test.
 type Instance struct {
 	Self   mesh.Peer
-	Router *mesh.Router // of its messages
+	Router *mesh.Router // handles its messages
 	Dir    *peers.Directory
 }
 
 const (
-	runTime   = 10 * time.Millisecond // of one instance at a time
+	runTime   = 10 * time.Millisecond // duration of one run of an instance
 	maxRounds = 200                   // rounds until all are discovered; on a busy machine a round may do nothing
 )
 
-// Fleet makes the instances of a fleet, ranked in the order of the list, and lets them discover each other. Their links
-// are those of net. They share the clock now. The fleet counts as large from large instances on.
+// Fleet makes the instances of a fleet, ranked in the order of the list, and runs them until they have discovered each
+// other. They use the links of net and share the clock now. large is the minimum number of instances of a large fleet.
 func Fleet(ctx context.Context, net *meshtest.Net, now func() time.Time, large int, list []mesh.Peer) ([]Instance, error) {
 	store := memkv.New()
 	out := make([]Instance, 0, len(list))
@@ -49,10 +49,10 @@
 			return out, nil
 		}
 	}
-	return nil, eris.New("the instances did not find each other")
+	return nil, eris.New("the instances did not discover each other")
 }
 
-// run lets a directory write its record, read the existing ones, and open its links.
+// run runs a directory for a short time, in which it writes its record, reads the existing ones and opens its links.
 func run(ctx context.Context, d *peers.Directory) error {
 	ctx, cancel := context.WithTimeout(ctx, runTime)
 	defer cancel()
--- a/internal/peers/rank.go
+++ b/internal/peers/rank.go
@@ -70,7 +70,7 @@
 }
 
 // Position returns this instance's position among all instances, ordered by ID, and their number.
-func (d *Directory) Position() (place, size int) {
+func (d *Directory) Position() (position, size int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.position, max(1, len(d.records))
--- a/internal/peers/restore_test.go
+++ b/internal/peers/restore_test.go
@@ -75,7 +75,7 @@
 			So(f.records(ctx), ShouldResemble, []string{"i-0", "i-1"})
 		})
 
-		Convey("an instance that last wrote before any copy's age writes nothing", func() {
+		Convey("an instance whose record is older than any copy writes nothing", func() {
 			f.at = f.at.Add(external.MaxCopyAge + time.Second)
 			So(f.dirs[0].readRecords(ctx), ShouldBeNil)
 			before := f.store.Number()
--- a/internal/pressure/pressure.go
+++ b/internal/pressure/pressure.go
@@ -17,12 +17,12 @@
 type Policy struct {
 	Window        time.Duration // samples older than this are ignored
 	MinSamples    int           // samples that are needed within Window
-	SlowDial      time.Duration // a connection that takes this long waits for the link
+	SlowDial      time.Duration // a connection that takes this long was delayed by the link
 	Onset         time.Duration // the link must be congested for this long before callers are diverted
 	BusyShare     float64       // fraction of the link's capacity above which callers are diverted
 	CountInterval time.Duration // over which bytes are counted
 	HoldTime      time.Duration // callers are diverted for this long after the last congestion, at first
-	MaxHoldTime   time.Duration // to which HoldTime grows if the link is congested again soon after
+	MaxHoldTime   time.Duration // upper limit of the hold time, which doubles each time the link is congested again
 }
 
 // DefaultPolicy suits links on which a connection is established in a few milliseconds.
@@ -157,7 +157,7 @@
 	m.divertUntil = now.Add(m.holdTime)
 }
 
-// dialsSlow reports whether even the fastest of the recent connections waited for the link. The caller holds mu.
+// dialsSlow reports whether even the fastest of the recent connections was slow. The caller holds mu.
 func (m *Monitor) dialsSlow(now time.Time) bool {
 	recent := m.samples[:0]
 	fastest := m.policy.SlowDial
--- a/internal/pressure/pressure_test.go
+++ b/internal/pressure/pressure_test.go
@@ -19,8 +19,8 @@
 		p := m.policy
 		advance := func(d time.Duration) { now = now.Add(d) }
 		// carry simulates some count intervals in which the link carries a fraction of its capacity.
-		carry := func(spans int, share float64) {
-			for range spans {
+		carry := func(intervals int, share float64) {
+			for range intervals {
 				advance(p.CountInterval)
 				m.in.Add(int64(share * 1e6 * p.CountInterval.Seconds()))
 				m.Diverting()
@@ -45,7 +45,7 @@
 			So(m.Diverting(), ShouldBeFalse)
 			So(changes, ShouldResemble, []bool{true, false})
 
-			Convey("for longer if that fills it again", func() {
+			Convey("for longer if the link then becomes busy again", func() {
 				carry(1, 1.1*p.BusyShare)
 				advance(p.HoldTime + time.Second)
 				So(m.Diverting(), ShouldBeTrue)
@@ -85,7 +85,7 @@
 		})
 	})
 
-	Convey("A link of unknown capacity is judged by its connections alone", t, func() {
+	Convey("For a link of unknown capacity, only the connection times count", t, func() {
 		now := time.Unix(1000, 0)
 		m := New(WithNow(func() time.Time { return now }))
 		m.Diverting()
--- a/internal/retry/shared.go
+++ b/internal/retry/shared.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// FleetBudget limits the retries to each service to this instance's share of a budget of the whole fleet. In each window,
-// the fleet may retry a ratio of its requests plus a fixed number. Instances need no communication to apply it.
+// FleetBudget limits this instance's retries to each service to its share of a budget of the whole fleet. In each window,
+// the fleet may retry a fraction of its requests, plus a fixed number. The instances apply the budget without
+// communication.
 type FleetBudget struct {
 	ratio  float64
 	slack  float64 // fixed number of retries per window, for all instances together
--- a/internal/rollout/cache.go
+++ b/internal/rollout/cache.go
@@ -27,7 +27,7 @@
 	CacheEvents(ctx context.Context, url string, after int64) ([]wire.CacheEvent, error)
 }
 
-// CacheTable is updated from cache events.
+// CacheTable tracks what the endpoints have cached, from their cache events.
 type CacheTable interface {
 	// CacheEvents applies an endpoint's events. gap means that some events before them are missing.
 	CacheEvents(endpoint string, events []wire.CacheEvent, gap bool)
--- a/internal/rollout/cache_test.go
+++ b/internal/rollout/cache_test.go
@@ -36,7 +36,7 @@
 		srv := httptest.NewServer(e.Handler())
 		defer srv.Close()
 		d := endpoint.NewDriver()
-		ask := func(prompt string) []uint64 {
+		send := func(prompt string) []uint64 {
 			body := []byte(`{"model":"m","max_tokens":1,"messages":[{"role":"user","content":"` + strings.Repeat(prompt, 200) + `"}]}`)
 			req, err := http.NewRequestWithContext(ctx, http.MethodPost, srv.URL+wire.PathCompletions, strings.NewReader(string(body)))
 			So(err, ShouldBeNil)
@@ -49,7 +49,7 @@
 		tb := &recordingTable{}
 		s := &Cache{reader: d, table: tb, members: singleInstance{}, lastSeq: make(map[string]int64)}
 		Convey("its blocks are reported, and can be moved to another engine", func() {
-			blocks := ask("hello ")
+			blocks := send("hello ")
 			s.read(ctx, "e", srv.URL)
 			So(len(tb.events), ShouldEqual, len(blocks))
 			So(tb.gaps, ShouldEqual, 0)
@@ -65,7 +65,7 @@
 		})
 		Convey("a gap is detected", func() {
 			e.Set(engine.CacheGap, true)
-			ask("other ")
+			send("other ")
 			s.read(ctx, "e", srv.URL)
 			So(tb.gaps, ShouldEqual, 1)
 		})
--- a/internal/rollout/feed.go
+++ b/internal/rollout/feed.go
@@ -26,7 +26,7 @@
 )
 
 const (
-	readersPerZone    = 2
+	readersPerZone    = 2 // instances of a zone that watch the store and push new documents to the others
 	defaultPoll       = 30 * time.Second
 	watchPause        = 300 * time.Millisecond
 	pushTimeout       = time.Second
@@ -199,7 +199,7 @@
 	return false
 }
 
-// HandleBeat processes a heartbeat. If the sender has a newer version, it is fetched from the sender.
+// HandleBeat processes a heartbeat. If the sender has a newer configuration, the feed fetches it from the sender.
 func (f *Feed) HandleBeat(_ context.Context, b member.Beat) {
 	if b.Config <= f.Version() {
 		return
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -38,12 +38,12 @@
 	hook      step.Hook
 	log       zerolog.Logger
 
-	takenFences map[string]int64 // last fence that each endpoint has taken
+	acceptedFences map[string]int64 // fencing number of the last order that each endpoint has accepted
 }
 
 // NewOrders makes the service.
 func NewOrders(feed *Feed, m members, c Commander, weights external.WeightStore, hook step.Hook, log zerolog.Logger) *Orders {
-	return &Orders{feed: feed, members: m, commander: c, weights: weights, hook: hook, log: log, takenFences: make(map[string]int64)}
+	return &Orders{feed: feed, members: m, commander: c, weights: weights, hook: hook, log: log, acceptedFences: make(map[string]int64)}
 }
 
 // Name implements kernel.Service.
@@ -60,20 +60,20 @@
 	doc := o.feed.Document()
 	for name, e := range doc.Decl.Endpoints {
 		fence := doc.Fences[name]
-		if !e.ChecksFence || o.takenFences[name] >= fence || !isOwner(o.members, name, e.Zone) {
+		if !e.ChecksFence || o.acceptedFences[name] >= fence || !isOwner(o.members, name, e.Zone) {
 			continue
 		}
-		if err := o.giveOrder(ctx, doc, e, fence); err != nil {
+		if err := o.sendOrder(ctx, doc, e, fence); err != nil {
 			o.log.Warn().Str("event", "order_failed").Str("endpoint", name).Err(err).Msg("endpoint did not accept its order")
 			continue
 		}
-		o.takenFences[name] = fence
+		o.acceptedFences[name] = fence
 		o.log.Info().Str("event", "order_taken").Str("endpoint", name).Int64("fence", fence).Msg("endpoint accepted its order")
 	}
 }
 
-// isOwner reports whether this instance is the one of an endpoint's zone that communicates with the endpoint for all.
-// It is safe if two instances both act as owner.
+// isOwner reports whether this instance owns an endpoint: it is the one instance of the endpoint's zone that sends the
+// endpoint its orders and reads its cache events. It is safe if two instances both act as owner.
 func isOwner(m members, endpoint, zone string) bool {
 	self := m.Self()
 	if zone != self.Zone {
@@ -83,7 +83,7 @@
 	return ok && p.ID == self.ID
 }
 
-func (o *Orders) giveOrder(ctx context.Context, doc *declare.Document, e declare.Endpoint, fence int64) error {
+func (o *Orders) sendOrder(ctx context.Context, doc *declare.Document, e declare.Endpoint, fence int64) error {
 	if err := o.hook(ctx, step.Drain); err != nil {
 		return err
 	}
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -4,9 +4,9 @@
 // This matters when an availability zone comes back with all its endpoints cold, when a quarter of the endpoints of a
 // service restart together, or when the operator withdraws an evacuation: affinity would send all their sessions back
 // there in the same second, from every instance. The bound on the requests to one cold endpoint holds for all
-// instances together, also for those that reach neither the store nor each other, so it cannot depend on
-// communication. Instead, a few instances own each cold endpoint, by an order that every instance computes alone, and
-// each owner sends a fixed small share. Tests: TestColdZone in internal/pool, TestShare here.
+// instances together, even if some reach neither the store nor each other, so it cannot depend on communication.
+// Instead, a few instances own each cold endpoint. Every instance computes the owners by itself, and each owner sends a
+// fixed small share. Tests: TestColdZone in internal/pool, TestShare here.
 package slowstart
 
 import (
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Warmup is the declaration of a service about endpoints that have just started.
+// Warmup describes the endpoints of a service that have just started, as the service declares it.
 type Warmup struct {
 	Time      time.Duration // for which they are cold
 	PerSecond float64       // requests per second that a cold endpoint sustains; 0: not bounded
@@ -48,7 +48,7 @@
 	return Share{Owners: owners, PerSecond: max(0, rate)}
 }
 
-// Bucket counts the requests that this instance may still send to one cold endpoint. The zero value is full.
+// Bucket is a token bucket that limits the requests of this instance to one cold endpoint. The zero value is full.
 type Bucket struct {
 	used float64 // requests, as of at
 	at   time.Time
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -26,7 +26,7 @@
 					So(worstSecond(s), ShouldBeLessThanOrEqualTo, bound)
 					So(float64(s.Owners)*s.PerSecond, ShouldBeLessThanOrEqualTo, c.warmup.PerSecond)
 
-					Convey("also if some more instances take themselves for owners", func() {
+					Convey("also if some more instances consider themselves owners", func() {
 						s.Owners += s.Owners / 4
 						So(worstSecond(s), ShouldBeLessThanOrEqualTo, bound)
 					})
