--- a/internal/external/memkv/memkv.go
+++ b/internal/external/memkv/memkv.go
@@ -48,7 +48,7 @@
 // SetLoseResponses makes writes take effect without a response.
 func (s *Store) SetLoseResponses(on bool) { s.set(func() { s.loseResponses = on }) }
 
-// SetDelayWrites holds writes back without a response until ReleaseWrites.
+// SetDelayWrites delays writes until ReleaseWrites is called. They get no response.
 func (s *Store) SetDelayWrites(on bool) { s.set(func() { s.delayWrites = on }) }
 
 // SetEpoch makes the store name its epoch, which rises with each restoration.
@@ -123,8 +123,8 @@
 	return lost
 }
 
-// Rewrite makes lost changes again under the given prefixes, except for keys that were written after the revision
-// restored.
+// Rewrite makes lost changes again under the given prefixes, except for keys that were written since the restoration.
+// restored is the revision to which the store was restored.
 func (s *Store) Rewrite(lost []external.Change, restored int64, prefixes ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,8 +147,7 @@
 	f()
 }
 
-// ReleaseWrites executes the writes that were held back, if their conditions still hold. It returns how many were
-// executed.
+// ReleaseWrites executes the delayed writes whose conditions still hold, and returns their number.
 func (s *Store) ReleaseWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/rollout/feed.go
+++ b/internal/rollout/feed.go
@@ -29,7 +29,7 @@
 	readersPerZone    = 2 // instances of a zone that watch the store and push new documents to the others
 	defaultPoll       = 30 * time.Second
 	watchPause        = 300 * time.Millisecond
-	pushTimeout       = time.Second
+	peerCallTimeout   = time.Second
 	roleCheckInterval = time.Second
 )
 
@@ -53,14 +53,14 @@
 	poll    time.Duration
 	log     zerolog.Logger
 
-	mu        sync.RWMutex
-	doc       *declare.Document
-	data      []byte
-	rev       int64
-	listeners []Listener
-	changed   chan struct{}
-	adoptedAt time.Time
-	pushes    sync.WaitGroup
+	mu         sync.RWMutex
+	doc        *declare.Document
+	data       []byte
+	rev        int64
+	listeners  []Listener
+	changed    chan struct{}
+	adoptedAt  time.Time
+	background sync.WaitGroup
 }
 
 // members is the part of the membership view that this package uses.
@@ -72,7 +72,7 @@
 // FeedOption changes a Feed.
 type FeedOption func(*Feed)
 
-// WithPoll sets the interval between reads of the store that back up the watch.
+// WithPoll sets the interval between the reads of the store that every instance makes as a backup for the watches.
 func WithPoll(d time.Duration) FeedOption { return func(f *Feed) { f.poll = d } }
 
 // WithFeedLogger sets the logger.
@@ -181,8 +181,8 @@
 		if p.ID == self.ID {
 			continue
 		}
-		f.pushes.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), pushTimeout)
+		f.background.Go(func() {
+			ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 			defer cancel()
 			_, _ = mesh.Call[Snapshot, mesh.Empty](ctx, f.caller, p.Addr, KindPush, s)
 		})
@@ -204,8 +204,8 @@
 	if b.Config <= f.Version() {
 		return
 	}
-	f.pushes.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), pushTimeout)
+	f.background.Go(func() {
+		ctx, cancel := context.WithTimeout(context.Background(), peerCallTimeout)
 		defer cancel()
 		s, err := mesh.Call[mesh.Empty, Snapshot](ctx, f.caller, b.Peer.Addr, KindFetch, mesh.Empty{})
 		if err == nil {
@@ -225,7 +225,7 @@
 
 // Run implements kernel.Service. Readers watch the store; every instance also reads it at long intervals.
 func (f *Feed) Run(ctx context.Context) error {
-	defer f.pushes.Wait()
+	defer f.background.Wait()
 	if err := f.Read(ctx); err != nil {
 		f.log.Debug().Str("event", "config_unread").Err(err).Msg("configuration not read")
 	}
@@ -235,7 +235,7 @@
 	var watch sync.WaitGroup
 	defer watch.Wait()
 	var stop context.CancelFunc
-	toggle := func() {
+	updateWatch := func() {
 		switch reader := f.isReader(); {
 		case reader && stop == nil:
 			var wctx context.Context
@@ -246,7 +246,7 @@
 			stop = nil
 		}
 	}
-	toggle()
+	updateWatch()
 	for {
 		select {
 		case <-ctx.Done():
@@ -255,7 +255,7 @@
 			}
 			return nil
 		case <-role.C:
-			toggle()
+			updateWatch()
 		case <-poll.C:
 			_ = f.Read(ctx)
 		}
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -16,7 +16,7 @@
 
 // Warmup describes the endpoints of a service that have just started, as the service declares it.
 type Warmup struct {
-	Time      time.Duration // for which they are cold
+	Time      time.Duration // how long they stay cold
 	PerSecond float64       // requests per second that a cold endpoint sustains; 0: not bounded
 }
 
