--- a/internal/bench/budget.go
+++ b/internal/bench/budget.go
@@ -30,7 +30,7 @@
 }
 
 // newHolder makes a holder with a store of n budgets.
-func newHolder(ctx context.Context, n int) (*budget.Home, *memstore.Store, float64, error) {
+func newHolder(ctx context.Context, n int) (*budget.Holder, *memstore.Store, float64, error) {
 	store := memstore.New()
 	row, err := fillPages(ctx, store, n)
 	if err != nil {
@@ -38,21 +38,21 @@
 	}
 	zone := peersOf("zone", 2)
 	times := budget.DefaultTimes()
-	h := budget.NewHome(store, fixedMembers{self: zone[0], zone: zone}, nil, mesh.NewRouter(), noStopper{}, budget.WithTimes(times))
+	h := budget.NewHolder(store, fixedMembers{self: zone[0], zone: zone}, nil, mesh.NewRouter(), noStopper{}, budget.WithTimes(times))
 	return h, store, row, nil
 }
 
 const benchClient = "zone-1~x"
 
-func reserve(ctx context.Context, h *budget.Home, request string, i int) error {
+func reserve(ctx context.Context, h *budget.Holder, request string, i int) error {
 	_, err := h.Reserve(ctx, benchClient, budget.ReserveReq{
 		Request: request, Budget: budgetID(i), Customer: benchCustomer, Tokens: 500, Place: budget.Place{Run: request},
 	})
 	return err
 }
 
-func settle(ctx context.Context, h *budget.Home, request string, i int) error {
-	return h.Settle(ctx, budget.SettleReq{Request: request, Budget: budgetID(i), Run: request, Holder: h.Holder(), Tokens: 200})
+func settle(ctx context.Context, h *budget.Holder, request string, i int) error {
+	return h.Settle(ctx, budget.SettleReq{Request: request, Budget: budgetID(i), Run: request, Holder: h.ID(), Tokens: 200})
 }
 
 // MeasureBudget measures reservations, settlements and memory of a holder.
@@ -102,7 +102,7 @@
 }
 
 // touchEach makes one request on every budget, those of a page together, so that few writes serve them.
-func touchEach(ctx context.Context, h *budget.Home, n int) error {
+func touchEach(ctx context.Context, h *budget.Holder, n int) error {
 	byPage := make(map[uint16][]int)
 	for i := range n {
 		p := budget.PageOf(budgetID(i))
@@ -134,7 +134,7 @@
 const reserveRounds = 100_000
 
 // measureReserve times reserve and settle on random budgets that are drawn already.
-func measureReserve(ctx context.Context, h *budget.Home, n int, res *BudgetResult) error {
+func measureReserve(ctx context.Context, h *budget.Holder, n int, res *BudgetResult) error {
 	rng := rand.New(rand.NewPCG(1, 1)) //nolint:gosec // a benchmark
 	ids := make([]string, reserveRounds)
 	at := make([]int, reserveRounds)
--- a/internal/bench/store.go
+++ b/internal/bench/store.go
@@ -60,7 +60,7 @@
 	store *external.Meter
 	mem   *memstore.Store
 	zones [][]mesh.Peer
-	homes map[string]*budget.Home
+	homes map[string]*budget.Holder
 	rng   *rand.Rand
 	zipf  *rand.Zipf
 	n     int
@@ -71,7 +71,7 @@
 func newStoreSim(ctx context.Context, zones, budgets int, away float64) (*storeSim, error) {
 	s := &storeSim{
 		away:  away,
-		clock: clock.New(), mem: memstore.New(), homes: make(map[string]*budget.Home),
+		clock: clock.New(), mem: memstore.New(), homes: make(map[string]*budget.Holder),
 		rng: rand.New(rand.NewPCG(7, 7)), //nolint:gosec // a simulation
 	}
 	s.store = external.NewMeter(s.mem)
@@ -86,7 +86,7 @@
 		peers := peersOf(fmt.Sprintf("z%02d", z), perZone)
 		s.zones = append(s.zones, peers)
 		for _, p := range peers {
-			s.homes[p.ID] = budget.NewHome(s.store, fixedMembers{self: p, zone: peers}, nil, mesh.NewRouter(), noStopper{},
+			s.homes[p.ID] = budget.NewHolder(s.store, fixedMembers{self: p, zone: peers}, nil, mesh.NewRouter(), noStopper{},
 				budget.WithTimes(times), budget.WithClock(s.clock.Now))
 		}
 	}
@@ -129,14 +129,14 @@
 	if err := s.play(ctx, req, rank, zone, client); err != nil {
 		return err
 	}
-	home := budget.Homes(budgetID(rank), s.zones[zone], client.ID)[0]
+	home := budget.HolderCandidates(budgetID(rank), s.zones[zone], client.ID)[0]
 	return s.play(ctx, req+"-own", rank, zone, home)
 }
 
 func (s *storeSim) play(ctx context.Context, req string, rank, zone int, client mesh.Peer) error {
 	id := budgetID(rank)
 	peers := s.zones[zone]
-	h := s.homes[budget.Homes(id, peers, client.ID)[0].ID]
+	h := s.homes[budget.HolderCandidates(id, peers, client.ID)[0].ID]
 	_, err := h.Reserve(ctx, client.IncarnationID(), budget.ReserveReq{
 		Request: req, Budget: id, Customer: benchCustomer, Tokens: reserveMost, Place: budget.Place{Run: req},
 	})
@@ -147,7 +147,7 @@
 		}
 		return err
 	}
-	return h.Settle(ctx, budget.SettleReq{Request: req, Budget: id, Run: req, Holder: h.Holder(), Tokens: costTokens})
+	return h.Settle(ctx, budget.SettleReq{Request: req, Budget: id, Run: req, Holder: h.ID(), Tokens: costTokens})
 }
 
 func sum(calls map[external.Duty]external.Calls) (out external.Calls) {
--- a/internal/budget/client.go
+++ b/internal/budget/client.go
@@ -139,9 +139,9 @@
 	return nil
 }
 
-// Homes ranks the instances that may hold a budget's escrow for requests served by self, best first. Self ranks last:
+// HolderCandidates ranks the instances that may hold a budget's escrow for requests served by self, best first. Self ranks last:
 // while another instance can hold the escrow, each reservation is known to two processes.
-func Homes(budget string, zone []mesh.Peer, self string) []mesh.Peer {
+func HolderCandidates(budget string, zone []mesh.Peer, self string) []mesh.Peer {
 	out := pageHomes(PageOf(budget), zone)
 	others := out[:0]
 	ownPeer := mesh.Peer{}
@@ -180,7 +180,7 @@
 // the outcome is Granted.
 func (c *Client) Reserve(ctx context.Context, a ReserveParams) (*Hold, ReserveResp, error) {
 	self := c.members.Self()
-	homes := Homes(a.Budget, c.members.Zone(), self.ID)
+	homes := HolderCandidates(a.Budget, c.members.Zone(), self.ID)
 	if len(homes) == 0 {
 		return nil, ReserveResp{}, verdict.New(verdict.NotRun, verdict.CodeStopping, "this instance is leaving")
 	}
--- a/internal/budget/draw.go
+++ b/internal/budget/draw.go
@@ -30,14 +30,14 @@
 var errFenced = errors.New("this holder has been fenced")
 
 // topUp starts a draw ahead of need if the account is low. The caller holds the lock.
-func (h *Home) topUp(a *account, now time.Time) {
+func (h *Holder) topUp(a *account, now time.Time) {
 	if h.needsTopUp(a, now, topUpShare) {
 		h.startDraw(a, 0)
 	}
 }
 
 // needsTopUp reports whether the available tokens are below a share of the target grant, and a draw may be attempted.
-func (h *Home) needsTopUp(a *account, now time.Time, share float64) bool {
+func (h *Holder) needsTopUp(a *account, now time.Time, share float64) bool {
 	if a.busy != nil || now.Before(a.blockedUntil) {
 		return false
 	}
@@ -57,7 +57,7 @@
 
 // startDraw queues a draw; a.busy is closed when it ends. One write of a page serves all accounts of this holder that
 // wait for it, and those that will need more soon. The caller holds the lock.
-func (h *Home) startDraw(a *account, need int64) {
+func (h *Holder) startDraw(a *account, need int64) {
 	page := PageOf(a.budget)
 	a.busy = make(chan struct{})
 	h.queuedDraws[page] = append(h.queuedDraws[page], &pendingDraw{a: a, need: need})
@@ -65,12 +65,12 @@
 		return
 	}
 	h.drawingPages[page] = true
-	holder := h.holder
+	holder := h.id
 	h.jobs.Go(func() { h.drawQueued(page, holder) })
 }
 
 // drawQueued writes a page until no draw is queued for it.
-func (h *Home) drawQueued(page uint16, holder string) {
+func (h *Holder) drawQueued(page uint16, holder string) {
 	for {
 		batch := h.dequeueBatch(page, holder)
 		if len(batch) == 0 {
@@ -82,10 +82,10 @@
 
 // dequeueBatch takes the draws that are queued for a page, and adds draws for the page's accounts that will need one
 // soon.
-func (h *Home) dequeueBatch(page uint16, holder string) []*pendingDraw {
+func (h *Holder) dequeueBatch(page uint16, holder string) []*pendingDraw {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.holder != holder {
+	if h.id != holder {
 		return nil
 	}
 	batch := h.queuedDraws[page]
@@ -104,7 +104,7 @@
 	return batch
 }
 
-func (h *Home) drawBatch(page uint16, holder string, batch []*pendingDraw) {
+func (h *Holder) drawBatch(page uint16, holder string, batch []*pendingDraw) {
 	ctx, cancel := context.WithTimeout(external.WithDuty(h.ctx, external.DutyDraw), storeTimeout)
 	defer cancel()
 	h.drawPage(ctx, page, holder, batch)
@@ -118,7 +118,7 @@
 }
 
 // drawAfterRecall asks the other holders to return escrow that they do not need, and draws again.
-func (h *Home) drawAfterRecall(page uint16, holder string, d *pendingDraw) {
+func (h *Holder) drawAfterRecall(page uint16, holder string, d *pendingDraw) {
 	ctx, cancel := context.WithTimeout(external.WithDuty(h.ctx, external.DutyDraw), storeTimeout)
 	defer cancel()
 	if h.recall(ctx, d.a, d.need) {
@@ -128,7 +128,7 @@
 	h.finishDraw(d)
 }
 
-func (h *Home) finishDraw(d *pendingDraw) {
+func (h *Holder) finishDraw(d *pendingDraw) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := d.a
@@ -138,10 +138,10 @@
 	switch {
 	case d.err == nil:
 		a.drawErr = nil
-		h.stats.Draws++
+		h.stats.Increases++
 	case d.need > 0:
 		a.drawErr = d.err
-		a.blockedUntil = now.Add(h.times.DrawBackoff)
+		a.blockedUntil = now.Add(h.times.IncreaseBackoff)
 	default:
 		a.blockedUntil = now.Add(topUpBackoff) // a draw ahead of need failed; no reservation is rejected because of it
 		a.drawErr = nil
@@ -150,7 +150,7 @@
 
 // drawPage raises this holder's grants on one page with a single write, and records the result in each draw. A draw
 // whose outcome is unknown does not count as drawn: if it took effect, the next write of the row picks the grant up.
-func (h *Home) drawPage(ctx context.Context, page uint16, holder string, batch []*pendingDraw) {
+func (h *Holder) drawPage(ctx context.Context, page uint16, holder string, batch []*pendingDraw) {
 	err := h.hook(ctx, step.Draw)
 	if err == nil {
 		err = h.ensurePageListed(ctx, page)
@@ -172,7 +172,7 @@
 }
 
 // assignSeqs assigns each draw the next sequence number of its account.
-func (h *Home) assignSeqs(batch []*pendingDraw) {
+func (h *Holder) assignSeqs(batch []*pendingDraw) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, d := range batch {
@@ -182,7 +182,7 @@
 }
 
 // editDraws edits the rows of a batch. It reports whether any row has changed.
-func (h *Home) editDraws(p *Page, holder string, batch []*pendingDraw) (bool, error) {
+func (h *Holder) editDraws(p *Page, holder string, batch []*pendingDraw) (bool, error) {
 	changed := false
 	for _, d := range batch {
 		d.drawn, d.err = false, nil
@@ -199,12 +199,12 @@
 	return changed, nil
 }
 
-func (h *Home) editDraw(row *Row, holder string, d *pendingDraw) error {
+func (h *Holder) editDraw(row *Row, holder string, d *pendingDraw) error {
 	size, g, err := h.sizeDraw(d.a, row, d.need, holder, d.seq)
 	if err != nil {
 		return err
 	}
-	if err := row.Draw(holder, size, g.Settled, d.seq); err != nil {
+	if err := row.Increase(holder, size, g.Settled, d.seq); err != nil {
 		return err
 	}
 	d.drawn, d.grant, d.customer = true, row.Grants[holder], row.Customer
@@ -230,7 +230,7 @@
 // updatePage edits a page by compare-and-swap. edit reports whether there is anything to write. After a lost
 // response, applied reports from the reread page whether the write took effect; updatePage retries until the outcome
 // is known or the attempts are used up.
-func (h *Home) updatePage(ctx context.Context, page uint16, edit func(*Page) (bool, error), applied func(*Page) bool) error {
+func (h *Holder) updatePage(ctx context.Context, page uint16, edit func(*Page) (bool, error), applied func(*Page) bool) error {
 	key := PageKey(page)
 	ambiguous := false
 	var last error
@@ -266,7 +266,7 @@
 	return eris.Wrapf(last, "changing page %d", page)
 }
 
-func (h *Home) readPage(ctx context.Context, key string) (*Page, int64, error) {
+func (h *Holder) readPage(ctx context.Context, key string) (*Page, int64, error) {
 	e, err := h.store.Get(ctx, key)
 	if err != nil {
 		return nil, 0, err
@@ -275,7 +275,7 @@
 	return p, e.Revision, err
 }
 
-func (h *Home) writePage(ctx context.Context, key string, p *Page, rev int64, edit func(*Page) (bool, error)) error {
+func (h *Holder) writePage(ctx context.Context, key string, p *Page, rev int64, edit func(*Page) (bool, error)) error {
 	changed, err := edit(p)
 	if err != nil || !changed {
 		return err
@@ -289,7 +289,7 @@
 }
 
 // updateRow edits one budget's row.
-func (h *Home) updateRow(ctx context.Context, budget string, edit func(*Row) error, applied func(*Row) bool) error {
+func (h *Holder) updateRow(ctx context.Context, budget string, edit func(*Row) error, applied func(*Row) bool) error {
 	return h.updatePage(ctx, PageOf(budget),
 		func(p *Page) (bool, error) {
 			row, err := p.Row(budget)
@@ -318,10 +318,10 @@
 }
 
 // sizeDraw decides how much to draw, and checks that the row still contains what this holder was granted.
-func (h *Home) sizeDraw(a *account, row *Row, need int64, holder string, seq uint64) (int64, Grant, error) {
+func (h *Holder) sizeDraw(a *account, row *Row, need int64, holder string, seq uint64) (int64, Grant, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.holder != holder {
+	if h.id != holder {
 		return 0, Grant{}, errFenced
 	}
 	g, ok := row.Grants[holder]
@@ -355,10 +355,10 @@
 	return max(size, 0), g, nil
 }
 
-func (h *Home) adoptGrant(d *pendingDraw, holder string) error {
+func (h *Holder) adoptGrant(d *pendingDraw, holder string) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.holder != holder {
+	if h.id != holder {
 		return errFenced
 	}
 	d.a.granted = d.grant.Granted
@@ -368,7 +368,7 @@
 }
 
 // ensurePageListed makes sure that the journal lists the page before a grant on it is drawn.
-func (h *Home) ensurePageListed(ctx context.Context, page uint16) error {
+func (h *Holder) ensurePageListed(ctx context.Context, page uint16) error {
 	h.mu.Lock()
 	listed := h.journal.pages[page]
 	h.mu.Unlock()
@@ -380,7 +380,7 @@
 
 // recall asks the other holders of a budget to return escrow that they do not need. It reports whether any was
 // returned.
-func (h *Home) recall(ctx context.Context, a *account, need int64) bool {
+func (h *Holder) recall(ctx context.Context, a *account, need int64) bool {
 	page, _, err := h.readPage(ctx, PageKey(PageOf(a.budget)))
 	if err != nil {
 		return false
@@ -392,10 +392,10 @@
 	return h.recallFromHolders(ctx, a.budget, need, row) > 0
 }
 
-func (h *Home) recallFromHolders(ctx context.Context, budget string, need int64, row *Row) int64 {
+func (h *Holder) recallFromHolders(ctx context.Context, budget string, need int64, row *Row) int64 {
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
-	self := h.Holder()
+	self := h.ID()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var total int64
@@ -422,7 +422,7 @@
 
 // returnEscrow returns a budget's unreserved escrow to the store. The amount leaves the account before the write, and
 // stays out of it if the outcome of the write is unknown.
-func (h *Home) returnEscrow(ctx context.Context, budget string, need int64) (int64, error) {
+func (h *Holder) returnEscrow(ctx context.Context, budget string, need int64) (int64, error) {
 	if err := h.hook(ctx, step.Return); err != nil {
 		return 0, err
 	}
@@ -439,7 +439,7 @@
 	}
 	a.granted -= n
 	a.seq++
-	seq, holder, stored := a.seq, h.holder, a.stored
+	seq, holder, stored := a.seq, h.id, a.stored
 	a.busy = make(chan struct{})
 	h.mu.Unlock()
 
@@ -449,12 +449,12 @@
 	return h.finishReturn(a, holder, n, stored, err)
 }
 
-func (h *Home) finishReturn(a *account, holder string, n, stored int64, err error) (int64, error) {
+func (h *Holder) finishReturn(a *account, holder string, n, stored int64, err error) (int64, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	close(a.busy)
 	a.busy = nil
-	if h.holder != holder {
+	if h.id != holder {
 		return 0, errFenced
 	}
 	if err != nil {
--- a/internal/budget/home.go
+++ b/internal/budget/home.go
@@ -17,8 +17,8 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// HomeName is the holder's name in the kernel.
-const HomeName = "budget.home"
+// HolderName is the holder's name in the kernel.
+const HolderName = "budget.home"
 
 // Members is the part of the membership view that the package uses.
 type Members interface {
@@ -46,7 +46,7 @@
 	Idle            time.Duration // unused escrow is returned after this time
 	OrphanTimeout   time.Duration // an orphan is resolved after this time; longer than the clients' DefaultMaxHold
 	DeadTimeout     time.Duration // a holder that is missing this long is reclaimed
-	DrawBackoff     time.Duration // no draw is attempted for this long after a failed one
+	IncreaseBackoff time.Duration // no draw is attempted for this long after a failed one
 	DoneRetention   time.Duration // how long settled keyed requests are remembered
 }
 
@@ -60,7 +60,7 @@
 		Idle:            time.Hour,
 		OrphanTimeout:   12 * time.Second,
 		DeadTimeout:     12 * time.Second,
-		DrawBackoff:     300 * time.Millisecond,
+		IncreaseBackoff: 300 * time.Millisecond,
 		DoneRetention:   15 * time.Minute,
 	}
 }
@@ -68,8 +68,8 @@
 // BilledFunc receives every charge that has become durable.
 type BilledFunc func(c ledger.Charge)
 
-// Home is the holder: the part of an instance that owns escrow and serves reservations of its zone.
-type Home struct {
+// Holder is the holder: the part of an instance that owns escrow and serves reservations of its zone.
+type Holder struct {
 	store    external.Store
 	members  Members
 	caller   mesh.Caller
@@ -90,7 +90,7 @@
 
 	mu               sync.Mutex
 	gen              int
-	holder           string
+	id               string
 	accounts         map[string]*account
 	byPage           map[uint16][]*account     // the same accounts by page
 	queuedDraws      map[uint16][]*pendingDraw // draws that wait for a write of their page
@@ -118,7 +118,7 @@
 
 // Stats contains counters since the start.
 type Stats struct {
-	Reserved, Refused, Draws, Returns, Flushes, Reclaims, Orphans, Fenced int64
+	Reserved, Refused, Increases, Returns, Flushes, Reclaims, Orphans, Fenced int64
 }
 
 // KeyCheck asks the home of a keyed request's key whether an orphaned run of the request is to be billed. sure is
@@ -126,33 +126,33 @@
 type KeyCheck func(ctx context.Context, customer, request string, place Place, tokens int64) (bill, sure bool)
 
 // WithKeyCheck sets the check that runs before a keyed orphan is billed.
-func WithKeyCheck(f KeyCheck) HomeOption { return func(h *Home) { h.keyCheck = f } }
+func WithKeyCheck(f KeyCheck) HolderOption { return func(h *Holder) { h.keyCheck = f } }
 
-// HomeOption configures a Home.
-type HomeOption func(*Home)
+// HolderOption configures a Home.
+type HolderOption func(*Holder)
 
 // WithSize replaces the sizing policy.
-func WithSize(p SizePolicy) HomeOption { return func(h *Home) { h.size = p } }
+func WithSize(p SizePolicy) HolderOption { return func(h *Holder) { h.size = p } }
 
 // WithTimes replaces the intervals.
-func WithTimes(t Times) HomeOption { return func(h *Home) { h.times = t } }
+func WithTimes(t Times) HolderOption { return func(h *Holder) { h.times = t } }
 
 // WithClock replaces the clock.
-func WithClock(now func() time.Time) HomeOption { return func(h *Home) { h.now = now } }
+func WithClock(now func() time.Time) HolderOption { return func(h *Holder) { h.now = now } }
 
 // WithHook sets the hook that is called at each step.
-func WithHook(hook step.Hook) HomeOption { return func(h *Home) { h.hook = hook } }
+func WithHook(hook step.Hook) HolderOption { return func(h *Holder) { h.hook = hook } }
 
 // WithLogger sets the logger.
-func WithLogger(log zerolog.Logger) HomeOption { return func(h *Home) { h.log = log } }
+func WithLogger(log zerolog.Logger) HolderOption { return func(h *Holder) { h.log = log } }
 
 // OnBilled sets the function that receives durable charges.
-func OnBilled(b BilledFunc) HomeOption { return func(h *Home) { h.billed = b } }
+func OnBilled(b BilledFunc) HolderOption { return func(h *Holder) { h.billed = b } }
 
-// NewHome creates a holder and registers its message handlers.
-func NewHome(store external.Store, members Members, caller mesh.Caller, router *mesh.Router, stopper Stopper, opts ...HomeOption) *Home {
+// NewHolder creates a holder and registers its message handlers.
+func NewHolder(store external.Store, members Members, caller mesh.Caller, router *mesh.Router, stopper Stopper, opts ...HolderOption) *Holder {
 	ctx, cancel := context.WithCancel(context.Background())
-	h := &Home{
+	h := &Holder{
 		abandonedRuns: make(map[string]time.Time),
 		journalSem:    semaphore.NewWeighted(1),
 		store:         store,
@@ -185,11 +185,11 @@
 const genSeparator = "#"
 
 // reset begins a new incarnation with empty state. The caller holds the lock.
-func (h *Home) reset() {
+func (h *Holder) reset() {
 	h.gen++
-	h.holder = h.members.Self().IncarnationID()
+	h.id = h.members.Self().IncarnationID()
 	if h.gen > 1 {
-		h.holder = fmt.Sprintf("%s%s%d", h.holder, genSeparator, h.gen)
+		h.id = fmt.Sprintf("%s%s%d", h.id, genSeparator, h.gen)
 	}
 	for _, batch := range h.queuedDraws {
 		for _, d := range batch {
@@ -207,7 +207,7 @@
 	h.inheritedSettled = make(map[string]string)
 }
 
-func (h *Home) register(r *mesh.Router) {
+func (h *Holder) register(r *mesh.Router) {
 	mesh.Handle(r, KindReserve, func(ctx context.Context, from mesh.Peer, req ReserveReq) (ReserveResp, error) {
 		return h.Reserve(ctx, from.IncarnationID(), req)
 	})
@@ -227,24 +227,24 @@
 }
 
 // Name implements kernel.Service.
-func (h *Home) Name() string { return HomeName }
+func (h *Holder) Name() string { return HolderName }
 
-// Holder returns the id of the current incarnation.
-func (h *Home) Holder() string {
+// ID returns the id of the current incarnation.
+func (h *Holder) ID() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.holder
+	return h.id
 }
 
 // Stats returns the counters.
-func (h *Home) Stats() Stats {
+func (h *Holder) Stats() Stats {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.stats
 }
 
 // Reserve reserves tokens for a request. Its errors have the verdict NotRun.
-func (h *Home) Reserve(ctx context.Context, client string, req ReserveReq) (ReserveResp, error) {
+func (h *Holder) Reserve(ctx context.Context, client string, req ReserveReq) (ReserveResp, error) {
 	if req.Tokens <= 0 || req.Tokens > maxTokens || req.Request == "" || req.Budget == "" {
 		return ReserveResp{}, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the reservation is not valid")
 	}
@@ -274,7 +274,7 @@
 
 // ensureClientListed makes sure that the journal in the store lists the client among those that may have reservations
 // at this holder.
-func (h *Home) ensureClientListed(ctx context.Context, client string) error {
+func (h *Holder) ensureClientListed(ctx context.Context, client string) error {
 	h.mu.Lock()
 	closing, known := h.closing, h.journal.clients[client]
 	h.mu.Unlock()
@@ -291,7 +291,7 @@
 }
 
 // tryReserve responds immediately, or returns a channel that is closed when a pending draw ends.
-func (h *Home) tryReserve(client string, req ReserveReq) (ReserveResp, <-chan struct{}, error) {
+func (h *Holder) tryReserve(client string, req ReserveReq) (ReserveResp, <-chan struct{}, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.journal.clients[client] || h.closing {
@@ -315,7 +315,7 @@
 		})
 		h.stats.Reserved++
 		h.topUp(a, now)
-		return ReserveResp{Outcome: Granted, Holder: h.holder, Tokens: req.Tokens, Place: req.Place}, nil, nil
+		return ReserveResp{Outcome: Granted, Holder: h.id, Tokens: req.Tokens, Place: req.Place}, nil, nil
 	}
 	if a.busy != nil {
 		return ReserveResp{}, a.busy, nil
@@ -329,18 +329,18 @@
 }
 
 // existingResponse returns the response to a request that is already open or settled.
-func (h *Home) existingResponse(a *account, client string, req ReserveReq) (ReserveResp, bool) {
+func (h *Holder) existingResponse(a *account, client string, req ReserveReq) (ReserveResp, bool) {
 	if m, ok := a.done[req.Request]; ok {
-		return ReserveResp{Outcome: Settled, Holder: h.holder, Tokens: m.tokens, Place: m.place}, true
+		return ReserveResp{Outcome: Settled, Holder: h.id, Tokens: m.tokens, Place: m.place}, true
 	}
 	r, ok := a.open[req.Request]
 	if !ok {
 		return ReserveResp{}, false
 	}
 	if r.owner == client && r.place.Run == req.Place.Run {
-		return ReserveResp{Outcome: Granted, Holder: h.holder, Tokens: r.tokens, Place: r.place}, true
+		return ReserveResp{Outcome: Granted, Holder: h.id, Tokens: r.tokens, Place: r.place}, true
 	}
-	resp := ReserveResp{Outcome: Existing, Holder: h.holder, Tokens: r.tokens, Owner: r.owner, Place: r.place}
+	resp := ReserveResp{Outcome: Existing, Holder: h.id, Tokens: r.tokens, Owner: r.owner, Place: r.place}
 	if req.Takeover {
 		r.owner = client
 		r.orphanedAt = time.Time{}
@@ -349,7 +349,7 @@
 	return resp, true
 }
 
-func (h *Home) account(budget string, now time.Time) *account {
+func (h *Holder) account(budget string, now time.Time) *account {
 	a, ok := h.accounts[budget]
 	if !ok {
 		a = newAccount(budget, now)
@@ -360,7 +360,7 @@
 }
 
 // dropAccount removes an account that has neither a grant nor open reservations. The caller holds the lock.
-func (h *Home) dropAccount(a *account) {
+func (h *Holder) dropAccount(a *account) {
 	delete(h.accounts, a.budget)
 	page := PageOf(a.budget)
 	for i, b := range h.byPage[page] {
@@ -376,7 +376,7 @@
 }
 
 // denial converts the error of the last failed draw into the error of a rejected reservation.
-func (h *Home) denial(a *account, budget string) error {
+func (h *Holder) denial(a *account, budget string) error {
 	switch {
 	case errors.Is(a.drawErr, ErrUnknown):
 		return unknownBudget(budget)
@@ -388,7 +388,7 @@
 }
 
 // Update moves an open reservation.
-func (h *Home) Update(client string, req UpdateReq) error {
+func (h *Holder) Update(client string, req UpdateReq) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a, ok := h.accounts[req.Budget]
@@ -402,13 +402,13 @@
 }
 
 // Settle closes a reservation. A repeated settlement, or one for another run, has no effect.
-func (h *Home) Settle(ctx context.Context, req SettleReq) error {
+func (h *Holder) Settle(ctx context.Context, req SettleReq) error {
 	if err := h.hook(ctx, step.Settle); err != nil {
 		return err
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if req.Holder != "" && req.Holder != h.holder {
+	if req.Holder != "" && req.Holder != h.id {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeConflict, "the holder has changed")
 	}
 	if req.Holder == "" {
@@ -427,7 +427,7 @@
 }
 
 // closeReservation settles a reservation and adds its charge to the book. The caller holds the lock.
-func (h *Home) closeReservation(a *account, r *reservation, tokens int64) {
+func (h *Holder) closeReservation(a *account, r *reservation, tokens int64) {
 	now := h.now()
 	used := a.settle(r, tokens, now)
 	if used == 0 {
@@ -440,11 +440,11 @@
 }
 
 // Sync reports to a client which of its charges are in the store, and which of its open requests this holder has.
-func (h *Home) Sync(client string, req SyncReq) SyncResp {
+func (h *Holder) Sync(client string, req SyncReq) SyncResp {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	resp := SyncResp{Holder: h.holder}
-	if req.Holder != h.holder {
+	resp := SyncResp{Holder: h.id}
+	if req.Holder != h.id {
 		return resp
 	}
 	h.book.Confirm(req.Confirm)
@@ -464,7 +464,7 @@
 	return resp
 }
 
-func (h *Home) isOpen(request string) bool {
+func (h *Holder) isOpen(request string) bool {
 	for _, a := range h.accounts {
 		if _, ok := a.open[request]; ok {
 			return true
--- a/internal/budget/home_test.go
+++ b/internal/budget/home_test.go
@@ -34,7 +34,7 @@
 	deposit  = 10_000
 )
 
-func newTestHome(t *testing.T) (*Home, *memstore.Store) {
+func newTestHome(t *testing.T) (*Holder, *memstore.Store) {
 	t.Helper()
 	store := memstore.New()
 	var page Page
@@ -53,10 +53,10 @@
 	view := pairView{mesh.Peer{ID: "a", Zone: "z", Incarnation: "x"}, mesh.Peer{ID: "b", Zone: "z", Incarnation: "x"}}
 	times := DefaultTimes()
 	times.Flush = 0
-	return NewHome(store, view, nil, mesh.NewRouter(), noopStopper{}, WithTimes(times)), store
+	return NewHolder(store, view, nil, mesh.NewRouter(), noopStopper{}, WithTimes(times)), store
 }
 
-func reserve(h *Home, request string, n int64) error {
+func reserve(h *Holder, request string, n int64) error {
 	_, err := h.Reserve(context.Background(), clientID, ReserveReq{
 		Request: request, Budget: "budget", Customer: "c", Tokens: n, Place: Place{Run: "run-" + request},
 	})
@@ -74,7 +74,7 @@
 		})
 		Convey("a request that was settled as not run can be reserved again", func() {
 			So(reserve(h, "r", 10), ShouldBeNil)
-			So(h.Settle(ctx, SettleReq{Request: "r", Budget: "budget", Run: "run-r", Holder: h.Holder()}), ShouldBeNil)
+			So(h.Settle(ctx, SettleReq{Request: "r", Budget: "budget", Run: "run-r", Holder: h.ID()}), ShouldBeNil)
 			So(reserve(h, "r", 10), ShouldBeNil)
 		})
 		Convey("another customer's budget is reported as unknown", func() {
@@ -94,7 +94,7 @@
 		})
 		Convey("a clean stop leaves the spent tokens and no grant in the store", func() {
 			So(reserve(h, "r", 100), ShouldBeNil)
-			So(h.Settle(ctx, SettleReq{Request: "r", Budget: "budget", Run: "run-r", Holder: h.Holder(), Tokens: 60}), ShouldBeNil)
+			So(h.Settle(ctx, SettleReq{Request: "r", Budget: "budget", Run: "run-r", Holder: h.ID(), Tokens: 60}), ShouldBeNil)
 			So(h.Stop(ctx), ShouldBeNil)
 			v, err := Inspect(ctx, store, "budget")
 			So(err, ShouldBeNil)
--- a/internal/budget/journal.go
+++ b/internal/budget/journal.go
@@ -25,7 +25,7 @@
 
 // writeJournal writes the journal with all pending charges. It adds a client or a page to the journal's lists if one
 // is given.
-func (h *Home) writeJournal(ctx context.Context, client string, page *uint16) error {
+func (h *Holder) writeJournal(ctx context.Context, client string, page *uint16) error {
 	if err := h.journalSem.Acquire(ctx, 1); err != nil {
 		return eris.Wrap(err, "waiting to write the journal")
 	}
@@ -50,7 +50,7 @@
 }
 
 // alreadyJournaled reports whether another writer has added the client and the page while this one waited.
-func (h *Home) alreadyJournaled(client string, page *uint16) bool {
+func (h *Holder) alreadyJournaled(client string, page *uint16) bool {
 	if client == "" && page == nil {
 		return false
 	}
@@ -59,19 +59,19 @@
 	return (client == "" || h.journal.clients[client]) && (page == nil || h.journal.pages[*page])
 }
 
-func (h *Home) prepareWrite(client string, page *uint16) *journalWrite {
+func (h *Holder) prepareWrite(client string, page *uint16) *journalWrite {
 	zone := h.members.Zone()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	clients := h.currentClients(zone, client)
 	pages := h.currentPages(zone, page)
 	h.journal.seq++
-	w := &journalWrite{holder: h.holder, rev: h.journal.rev, snap: h.book.Snapshot(), stored: make(map[string]int64)}
+	w := &journalWrite{holder: h.id, rev: h.journal.rev, snap: h.book.Snapshot(), stored: make(map[string]int64)}
 	for _, c := range w.snap.Charges {
 		w.stored[c.Budget] = h.accounts[c.Budget].settled
 	}
 	w.journal = ledger.Journal{
-		Holder: h.holder, Zone: h.members.Self().Zone, Seq: h.journal.seq, Clients: sortedKeys(clients),
+		Holder: h.id, Zone: h.members.Self().Zone, Seq: h.journal.seq, Clients: sortedKeys(clients),
 		Pages: pages, Settled: w.snap.Settled, Recent: w.snap.Recent,
 	}
 	return w
@@ -83,7 +83,7 @@
 // currentPages lists the pages on which the holder may have grants: those that it has listed before, the given one,
 // and all pages for which this instance is a likely home, so that these need no write of their own. The caller holds
 // the lock.
-func (h *Home) currentPages(zone []mesh.Peer, page *uint16) []uint16 {
+func (h *Holder) currentPages(zone []mesh.Peer, page *uint16) []uint16 {
 	listed := make(map[uint16]bool, len(h.journal.pages))
 	for n := range h.journal.pages {
 		listed[n] = true
@@ -118,7 +118,7 @@
 // owners of open reservations and the given client. A client that is left out must be listed again before its next
 // reservation. This instance itself is listed only while it must be: if it crashes, no process can report for it. The
 // caller holds the lock.
-func (h *Home) currentClients(zone []mesh.Peer, client string) map[string]bool {
+func (h *Holder) currentClients(zone []mesh.Peer, client string) map[string]bool {
 	self := h.members.Self().IncarnationID()
 	listed := make(map[string]bool)
 	for _, p := range zone {
@@ -153,7 +153,7 @@
 
 // putJournal writes the journal. After a lost response, it reads the journal back and retries until the outcome is
 // known or the attempts are used up.
-func (h *Home) putJournal(ctx context.Context, w *journalWrite) error {
+func (h *Holder) putJournal(ctx context.Context, w *journalWrite) error {
 	key := ledger.Key(w.journal.Zone, w.holder)
 	data, err := w.journal.Encode()
 	if err != nil {
@@ -183,7 +183,7 @@
 }
 
 // readBack resolves a write whose outcome is unknown. It reports whether the write has taken effect.
-func (h *Home) readBack(ctx context.Context, key string, w *journalWrite) (bool, error) {
+func (h *Holder) readBack(ctx context.Context, key string, w *journalWrite) (bool, error) {
 	e, err := h.store.Get(ctx, key)
 	if err != nil {
 		return false, nil //nolint:nilerr // still unknown; the caller tries again
@@ -209,9 +209,9 @@
 	return false, nil
 }
 
-func (h *Home) recordWrite(w *journalWrite) {
+func (h *Holder) recordWrite(w *journalWrite) {
 	h.mu.Lock()
-	if h.holder != w.holder {
+	if h.id != w.holder {
 		h.mu.Unlock()
 		return
 	}
@@ -240,10 +240,10 @@
 }
 
 // abandonIncarnation ends an incarnation whose escrow a successor has taken over, and begins a new one.
-func (h *Home) abandonIncarnation(holder string) {
+func (h *Holder) abandonIncarnation(holder string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.holder != holder {
+	if h.id != holder {
 		return
 	}
 	h.log.Warn().Str("event", "holder_fenced").Str("holder", holder).Msg("a successor took over this holder's escrow")
--- a/internal/budget/orphan.go
+++ b/internal/budget/orphan.go
@@ -23,7 +23,7 @@
 // resolveOrphans settles reservations whose serving instance has been missing for longer than any reservation may be
 // used. The endpoint reports how far the run came, and guarantees that it does not start the run later. While the
 // endpoint does not respond, or cannot guarantee that, the tokens stay reserved.
-func (h *Home) resolveOrphans(ctx context.Context) {
+func (h *Holder) resolveOrphans(ctx context.Context) {
 	for _, o := range h.dueOrphans() {
 		if !h.members.Lost(o.owner) {
 			continue
@@ -47,7 +47,7 @@
 
 // checkKey checks for a keyed orphan whether another run of the same request has been billed, and returns the tokens
 // to bill. ok is false while this cannot be determined.
-func (h *Home) checkKey(ctx context.Context, o orphan, used int64) (tokens int64, ok bool) {
+func (h *Holder) checkKey(ctx context.Context, o orphan, used int64) (tokens int64, ok bool) {
 	if !o.r.keyed || used == 0 {
 		return used, true
 	}
@@ -59,7 +59,7 @@
 }
 
 // dueOrphans lists the reservations that are due, and records when their owners were first missing.
-func (h *Home) dueOrphans() []orphan {
+func (h *Holder) dueOrphans() []orphan {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
@@ -78,7 +78,7 @@
 }
 
 // isOrphaned reports whether a reservation's owner has been missing for long enough.
-func (h *Home) isOrphaned(r *reservation, now time.Time) bool {
+func (h *Holder) isOrphaned(r *reservation, now time.Time) bool {
 	if h.members.Alive(r.owner) {
 		r.orphanedAt = time.Time{}
 		return false
@@ -89,13 +89,13 @@
 	return now.Sub(r.orphanedAt) >= h.times.OrphanTimeout
 }
 
-func (h *Home) postpone(o orphan) {
+func (h *Holder) postpone(o orphan) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	o.r.orphanedAt = h.now()
 }
 
-func (h *Home) settleOrphan(o orphan, used int64) {
+func (h *Holder) settleOrphan(o orphan, used int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r, ok := o.account.open[o.r.request]
--- a/internal/budget/property_test.go
+++ b/internal/budget/property_test.go
@@ -51,7 +51,7 @@
 	h := m.holder(t)
 	n := rapid.Int64Range(1, 3_000).Draw(t, "n")
 	m.seq++
-	if err := m.row.Draw(h, n, m.holders[h].stored, m.seq); err == nil {
+	if err := m.row.Increase(h, n, m.holders[h].stored, m.seq); err == nil {
 		m.holders[h].granted += n
 	} else if !errors.Is(err, ErrExhausted) {
 		t.Fatal(err)
@@ -247,7 +247,7 @@
 			"draw": func(t *rapid.T) {
 				h := holder.Draw(t, "h")
 				seq++
-				_ = r.Draw(h, amount.Draw(t, "n"), r.Grants[h].Settled, seq)
+				_ = r.Increase(h, amount.Draw(t, "n"), r.Grants[h].Settled, seq)
 			},
 			"return": func(t *rapid.T) {
 				h := holder.Draw(t, "h")
--- a/internal/budget/reclaim.go
+++ b/internal/budget/reclaim.go
@@ -35,7 +35,7 @@
 }
 
 // sweepIfDue looks for dead holders of the zone if this instance has that duty and the sweep interval has passed.
-func (h *Home) sweepIfDue(ctx context.Context) {
+func (h *Holder) sweepIfDue(ctx context.Context) {
 	now := h.now()
 	h.mu.Lock()
 	due := now.Sub(h.sweptAt) >= h.times.DeadTimeout/sweepFactor
@@ -53,14 +53,14 @@
 
 // isJanitor reports whether this instance has the duty of reclaiming the zone's dead holders. It does no harm if two
 // instances both assume the duty.
-func (h *Home) isJanitor() bool {
+func (h *Holder) isJanitor() bool {
 	self := h.members.Self()
 	p, ok := member.Top("janitor", h.members.Zone(), "")
 	return ok && p.ID == self.ID
 }
 
 // Sweep lists the zone's journals and reclaims the holders that are dead.
-func (h *Home) Sweep(ctx context.Context) error {
+func (h *Holder) Sweep(ctx context.Context) error {
 	ctx = external.WithDuty(ctx, external.DutyReclaim)
 	entries, err := h.store.List(ctx, ledger.Prefix+h.members.Self().Zone+"/")
 	if err != nil {
@@ -83,10 +83,10 @@
 
 // isDead reports whether a holder is dead: it is fenced already, or its instance is not alive and its journal has not
 // changed for DeadTimeout.
-func (h *Home) isDead(j *ledger.Journal) bool {
+func (h *Holder) isDead(j *ledger.Journal) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if j.Holder == h.holder {
+	if j.Holder == h.id {
 		return false
 	}
 	f, ok := h.fences[j.Holder]
@@ -109,7 +109,7 @@
 
 // Reclaim takes over a dead holder: it fences the holder's journal, collects the reports of all its clients and moves
 // its grants. Any instance can repeat it at any point.
-func (h *Home) Reclaim(ctx context.Context, e external.Entry, j *ledger.Journal) error {
+func (h *Holder) Reclaim(ctx context.Context, e external.Entry, j *ledger.Journal) error {
 	if err := h.hook(ctx, step.Reclaim); err != nil {
 		return err
 	}
@@ -136,8 +136,8 @@
 	return h.finishReclaim(ctx, j, grantsLeft)
 }
 
-func (h *Home) fenceJournal(ctx context.Context, e external.Entry, j *ledger.Journal) error {
-	j.Fenced = h.Holder()
+func (h *Holder) fenceJournal(ctx context.Context, e external.Entry, j *ledger.Journal) error {
+	j.Fenced = h.ID()
 	data, err := j.Encode()
 	if err != nil {
 		return err
@@ -163,7 +163,7 @@
 
 // collectReports asks every client of the dead holder. All must respond, unless an operator has released them: a
 // client that does not respond may still spend.
-func (h *Home) collectReports(ctx context.Context, j *ledger.Journal) ([]Report, error) {
+func (h *Holder) collectReports(ctx context.Context, j *ledger.Journal) ([]Report, error) {
 	seen := make(map[string]bool)
 	var out []Report
 	for _, id := range j.Clients {
@@ -184,14 +184,14 @@
 	return out, nil
 }
 
-func (h *Home) requestReports(ctx context.Context, id, holder string) ([]Report, error) {
+func (h *Holder) requestReports(ctx context.Context, id, holder string) ([]Report, error) {
 	p, ok := h.members.Find(id)
 	if !ok {
 		return nil, eris.New("its address is not known")
 	}
 	ctx, cancel := context.WithTimeout(ctx, fenceTimeout)
 	defer cancel()
-	req := FenceReq{Client: id, Holder: holder, Successor: h.Holder(), Peer: h.members.Self()}
+	req := FenceReq{Client: id, Holder: holder, Successor: h.ID(), Peer: h.members.Self()}
 	resp, err := mesh.Call[FenceReq, FenceResp](ctx, h.caller, p.Addr, KindFence, req)
 	if err == nil && resp.Client != id {
 		err = eris.New("its process has been replaced")
@@ -200,7 +200,7 @@
 }
 
 // isReleased reports whether an operator has confirmed that a client of a holder can spend nothing any more.
-func (h *Home) isReleased(holder, client string) bool {
+func (h *Holder) isReleased(holder, client string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.releases[Release{Holder: holder, Client: client}]
@@ -213,7 +213,7 @@
 }
 
 // SetReleases replaces the confirmed releases.
-func (h *Home) SetReleases(rs []Release) {
+func (h *Holder) SetReleases(rs []Release) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.releases = make(map[Release]bool, len(rs))
--- a/internal/budget/reclaim_move.go
+++ b/internal/budget/reclaim_move.go
@@ -51,7 +51,7 @@
 }
 
 // reclaimPage moves the dead holder's grants on one page. It reports whether there were any.
-func (h *Home) reclaimPage(ctx context.Context, n uint16, j *ledger.Journal, reports []Report) (bool, error) {
+func (h *Holder) reclaimPage(ctx context.Context, n uint16, j *ledger.Journal, reports []Report) (bool, error) {
 	if err := h.ensurePageListed(ctx, n); err != nil {
 		return false, err
 	}
@@ -89,7 +89,7 @@
 )
 
 // tryMove attempts one compare-and-swap of a page. No other write of the affected accounts runs at the same time.
-func (h *Home) tryMove(ctx context.Context, e external.Entry, page *Page, j *ledger.Journal, reports []Report) (moveResult, error) {
+func (h *Holder) tryMove(ctx context.Context, e external.Entry, page *Page, j *ledger.Journal, reports []Report) (moveResult, error) {
 	budgets := budgetsGrantedTo(page, j.Holder)
 	if len(budgets) == 0 {
 		return moveNothing, nil
@@ -122,7 +122,7 @@
 
 // resolveMove resolves a take-over whose response was lost. If the outcome stays unknown, this incarnation ends: the
 // next one reclaims it from the same reports, so that nothing is spent twice.
-func (h *Home) resolveMove(ctx context.Context, key string, moves []move) (moveResult, error) {
+func (h *Holder) resolveMove(ctx context.Context, key string, moves []move) (moveResult, error) {
 	applied, known := h.readBackMoves(ctx, key, moves)
 	switch {
 	case !known:
@@ -151,7 +151,7 @@
 
 // lockAccounts waits until no store operation of the budgets' accounts is in progress, and blocks new ones until
 // release is called.
-func (h *Home) lockAccounts(ctx context.Context, budgets []string) (release func(), err error) {
+func (h *Holder) lockAccounts(ctx context.Context, budgets []string) (release func(), err error) {
 	var locked []*account
 	release = func() {
 		h.mu.Lock()
@@ -172,7 +172,7 @@
 	return release, nil
 }
 
-func (h *Home) lockAccount(ctx context.Context, budget string) (*account, error) {
+func (h *Holder) lockAccount(ctx context.Context, budget string) (*account, error) {
 	for {
 		h.mu.Lock()
 		a := h.account(budget, h.now())
@@ -202,9 +202,9 @@
 	grant    Grant // the successor's grant after the move
 }
 
-func (h *Home) moveGrants(page *Page, budgets []string, j *ledger.Journal, reports []Report) ([]move, error) {
+func (h *Holder) moveGrants(page *Page, budgets []string, j *ledger.Journal, reports []Report) ([]move, error) {
 	var out []move
-	holder := h.Holder()
+	holder := h.ID()
 	for _, budget := range budgets {
 		row, err := page.Row(budget)
 		if err != nil {
@@ -224,7 +224,7 @@
 	return out, nil
 }
 
-func (h *Home) nextSeq(budget string) uint64 {
+func (h *Holder) nextSeq(budget string) uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.account(budget, h.now())
@@ -234,7 +234,7 @@
 
 // readBackMoves reads a page back to determine whether a take-over whose response was lost took effect. known is
 // false if the store does not respond.
-func (h *Home) readBackMoves(ctx context.Context, key string, moves []move) (applied, known bool) {
+func (h *Holder) readBackMoves(ctx context.Context, key string, moves []move) (applied, known bool) {
 	for try := range casTries {
 		e, err := h.store.Get(ctx, key)
 		if err == nil {
@@ -265,12 +265,12 @@
 }
 
 // adoptMoves adds the open reservations and settled requests of a dead holder to this holder's in-memory state.
-func (h *Home) adoptMoves(moves []move) {
+func (h *Holder) adoptMoves(moves []move) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
 	for _, m := range moves {
-		if m.holder != h.holder {
+		if m.holder != h.id {
 			continue
 		}
 		a := h.account(m.budget, now)
@@ -297,7 +297,7 @@
 	h.notifyBilled(moves)
 }
 
-func (h *Home) notifyBilled(moves []move) {
+func (h *Holder) notifyBilled(moves []move) {
 	for _, m := range moves {
 		for _, r := range m.totals.newCharges {
 			h.billed(ledger.Charge{Request: r.Request, Budget: m.budget, Tokens: r.Tokens})
@@ -307,7 +307,7 @@
 
 // finishReclaim removes a fenced journal once no grant of the holder has appeared for fenceRetention: a delayed write
 // of the paused holder may still arrive.
-func (h *Home) finishReclaim(ctx context.Context, j *ledger.Journal, grantsLeft bool) error {
+func (h *Holder) finishReclaim(ctx context.Context, j *ledger.Journal, grantsLeft bool) error {
 	h.mu.Lock()
 	now := h.now()
 	f, ok := h.fences[j.Holder]
--- a/internal/budget/row.go
+++ b/internal/budget/row.go
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// Draw raises a holder's grant by n and records what the holder has spent.
-func (r *Row) Draw(holder string, n, settled int64, seq uint64) error {
+// Increase raises a holder's grant by n and records what the holder has spent.
+func (r *Row) Increase(holder string, n, settled int64, seq uint64) error {
 	if n < 0 {
 		return ErrInvalid
 	}
--- a/internal/budget/tick.go
+++ b/internal/budget/tick.go
@@ -13,7 +13,7 @@
 )
 
 // Run implements kernel.Service. It flushes charges, returns idle escrow, resolves orphans and reclaims dead holders.
-func (h *Home) Run(ctx context.Context) error {
+func (h *Holder) Run(ctx context.Context) error {
 	kernel.Every(ctx, h.times.Tick, h.Tick)
 	h.cancel()
 	h.jobs.Wait()
@@ -21,7 +21,7 @@
 }
 
 // Tick does the periodic work that is due. Tests call it directly.
-func (h *Home) Tick(ctx context.Context) {
+func (h *Holder) Tick(ctx context.Context) {
 	if h.flushDue() {
 		if err := h.writeJournal(ctx, "", nil); err != nil {
 			h.log.Debug().Str("event", "flush_failed").Err(err).Msg("flush failed; charges stay pending")
@@ -34,7 +34,7 @@
 }
 
 // flushDue reports whether the journal should be written. A holder that has never drawn does not write one.
-func (h *Home) flushDue() bool {
+func (h *Holder) flushDue() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
@@ -45,7 +45,7 @@
 	return j.rev > 0 && now.Sub(j.writtenAt) >= h.times.RefreshInterval
 }
 
-func (h *Home) pruneDone() {
+func (h *Holder) pruneDone() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
@@ -61,7 +61,7 @@
 
 // returnIdle returns the escrow of budgets that are idle at this holder, and closes their grants once the journal no
 // longer references them.
-func (h *Home) returnIdle(ctx context.Context) {
+func (h *Holder) returnIdle(ctx context.Context) {
 	for _, a := range h.idleAccounts() {
 		h.mu.Lock()
 		hasUnreserved := a.available() > 0
@@ -80,7 +80,7 @@
 
 const idlePerTick = 8
 
-func (h *Home) idleAccounts() []*account {
+func (h *Holder) idleAccounts() []*account {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
@@ -98,14 +98,14 @@
 
 // closeGrant closes a fully spent grant on its row. It does nothing while the journal may still contain the budget's
 // total.
-func (h *Home) closeGrant(ctx context.Context, a *account) error {
+func (h *Holder) closeGrant(ctx context.Context, a *account) error {
 	h.mu.Lock()
 	if a.busy != nil || len(a.open) > 0 || a.available() != 0 || a.stored != a.settled || h.book.References(a.budget) {
 		h.mu.Unlock()
 		return nil
 	}
 	a.busy = make(chan struct{})
-	holder, settled := h.holder, a.settled
+	holder, settled := h.id, a.settled
 	h.mu.Unlock()
 
 	err := h.closeRow(ctx, a.budget, holder, settled)
@@ -114,7 +114,7 @@
 	defer h.mu.Unlock()
 	close(a.busy)
 	a.busy = nil
-	if err != nil || h.holder != holder {
+	if err != nil || h.id != holder {
 		return err
 	}
 	a.granted, a.settled, a.stored = 0, 0, 0
@@ -126,7 +126,7 @@
 
 // Stop shuts the holder down cleanly: it accepts no new reservations, waits until open ones end or pass to a
 // successor, flushes charges and closes every grant. ctx limits the wait for open reservations.
-func (h *Home) Stop(ctx context.Context) error {
+func (h *Holder) Stop(ctx context.Context) error {
 	h.mu.Lock()
 	h.closing = true
 	h.mu.Unlock()
@@ -145,13 +145,13 @@
 	return h.removeJournal(ctx)
 }
 
-func (h *Home) hasJournal() bool {
+func (h *Holder) hasJournal() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.journal.rev > 0 || h.book.Pending() > 0
 }
 
-func (h *Home) waitForOpen(ctx context.Context) error {
+func (h *Holder) waitForOpen(ctx context.Context) error {
 	for {
 		if h.OpenCount() == 0 {
 			return nil
@@ -163,7 +163,7 @@
 }
 
 // OpenCount returns the number of open reservations.
-func (h *Home) OpenCount() int {
+func (h *Holder) OpenCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
@@ -174,13 +174,13 @@
 }
 
 // closeRow ends a holder's grant on a row.
-func (h *Home) closeRow(ctx context.Context, budget, holder string, settled int64) error {
+func (h *Holder) closeRow(ctx context.Context, budget, holder string, settled int64) error {
 	return h.updateRow(external.WithDuty(ctx, external.DutyReturn), budget,
 		func(row *Row) error { return row.Close(holder, settled) },
 		func(row *Row) bool { _, ok := row.Grants[holder]; return !ok })
 }
 
-func (h *Home) closeGrants(ctx context.Context) error {
+func (h *Holder) closeGrants(ctx context.Context) error {
 	h.mu.Lock()
 	var granted []*account
 	for _, a := range h.accounts {
@@ -197,9 +197,9 @@
 	return nil
 }
 
-func (h *Home) closeFinalGrant(ctx context.Context, a *account) error {
+func (h *Holder) closeFinalGrant(ctx context.Context, a *account) error {
 	h.mu.Lock()
-	holder, settled := h.holder, a.settled
+	holder, settled := h.id, a.settled
 	h.mu.Unlock()
 	err := h.closeRow(ctx, a.budget, holder, settled)
 	if errors.Is(err, ErrNoGrant) {
@@ -209,13 +209,13 @@
 }
 
 // removeJournal deletes the journal. After a lost response, the absence of the key shows that the delete took effect.
-func (h *Home) removeJournal(ctx context.Context) error {
+func (h *Holder) removeJournal(ctx context.Context) error {
 	if err := h.journalSem.Acquire(ctx, 1); err != nil {
 		return eris.Wrap(err, "waiting to remove the journal")
 	}
 	defer h.journalSem.Release(1)
 	h.mu.Lock()
-	key := ledger.Key(h.members.Self().Zone, h.holder)
+	key := ledger.Key(h.members.Self().Zone, h.id)
 	h.mu.Unlock()
 	return deleteKey(external.WithDuty(ctx, external.DutyFlush), h.store, key)
 }
@@ -253,7 +253,7 @@
 }
 
 // Accounts lists the accounts of this holder.
-func (h *Home) Accounts() []AccountView {
+func (h *Holder) Accounts() []AccountView {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
--- a/internal/demo/audit.go
+++ b/internal/demo/audit.go
@@ -291,7 +291,7 @@
 		return false
 	}
 	for _, n := range f.live("") {
-		if n.in.Client().Open() > 0 || n.in.Home().OpenCount() > 0 {
+		if n.in.Client().Open() > 0 || n.in.Holder().OpenCount() > 0 {
 			return false
 		}
 	}
@@ -302,7 +302,7 @@
 func (f *fleet) deadGrants(ctx context.Context) int {
 	alive := make(map[string]bool)
 	for _, n := range f.live("") {
-		alive[n.in.Home().Holder()] = true
+		alive[n.in.Holder().ID()] = true
 	}
 	es, err := f.storeClient().List(ctx, budget.PagePrefix)
 	if err != nil {
--- a/internal/demo/faults.go
+++ b/internal/demo/faults.go
@@ -110,7 +110,7 @@
 func mostHome(nodes []*node) *node {
 	best := nodes[0]
 	for _, n := range nodes[1:] {
-		if n.in.Home().Stats().Reserved > best.in.Home().Stats().Reserved {
+		if n.in.Holder().Stats().Reserved > best.in.Holder().Stats().Reserved {
 			best = n
 		}
 	}
@@ -120,7 +120,7 @@
 func leastHome(nodes []*node) *node {
 	best := nodes[0]
 	for _, n := range nodes[1:] {
-		if n.in.Home().Stats().Reserved < best.in.Home().Stats().Reserved {
+		if n.in.Holder().Stats().Reserved < best.in.Holder().Stats().Reserved {
 			best = n
 		}
 	}
--- a/internal/gateway/attach.go
+++ b/internal/gateway/attach.go
@@ -79,7 +79,7 @@
 
 func (g *Gateway) startKeyed(ctx context.Context, j *job) error {
 	resp, err := g.keys.Begin(ctx, j.customer, j.keyRecord(budget.Place{}, false, 0))
-	if errors.Is(err, once.ErrHomeUnreachable) {
+	if errors.Is(err, once.ErrRegistrarUnreachable) {
 		j.provisional = true
 		g.detach(ctx, j.run)
 		return nil
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -46,7 +46,7 @@
 	transport *mesh.Transport
 	view      *member.View
 	feed      *rollout.Feed
-	home      *budget.Home
+	holder    *budget.Holder
 	client    *budget.Client
 	keys      *once.Keys
 	targets   *targets.Targets
@@ -177,7 +177,7 @@
 		in.transport,
 		in.view,
 		in.feed,
-		in.home,
+		in.holder,
 		in.client,
 		in.keys,
 		rollout.NewOrders(in.feed, in.view, in.driver, external.NewRateWeights(in.set.Platform.WeightLoads), in.hook, in.log),
@@ -245,7 +245,7 @@
 	times.Flush, times.RefreshInterval, times.Horizon = b.Flush, b.RefreshInterval, b.Horizon
 	times.Idle, times.DeadTimeout, times.OrphanTimeout = b.Idle, b.DeadTimeout, b.OrphanTimeout
 	in.opts.adjustTimes(&times)
-	opts := []budget.HomeOption{
+	opts := []budget.HolderOption{
 		budget.WithTimes(times), budget.WithHook(in.hook), budget.WithLogger(in.log), budget.OnBilled(in.opts.billed),
 		budget.WithKeyCheck(func(ctx context.Context, customer, request string, place budget.Place, tokens int64) (bill, sure bool) {
 			return in.keys.BillOrphan(ctx, customer, request, place, tokens)
@@ -255,10 +255,10 @@
 		opts = append(opts, budget.WithSize(in.opts.policy))
 	}
 	stopper := endpoint.NewStopper(in.driver, in.targets)
-	in.home = budget.NewHome(in.store, in.view, in.transport, in.router, stopper, opts...)
+	in.holder = budget.NewHolder(in.store, in.view, in.transport, in.router, stopper, opts...)
 	in.client = budget.NewClient(in.store, in.view, in.transport, in.router,
 		budget.WithClientLogger(in.log), budget.WithMaxHold(in.opts.maxHold))
-	in.feed.OnChange(func(doc *declare.Document) { in.home.SetReleases(releasesOf(doc)) })
+	in.feed.OnChange(func(doc *declare.Document) { in.holder.SetReleases(releasesOf(doc)) })
 	return nil
 }
 
@@ -318,7 +318,7 @@
 func (in *Instance) listen() error {
 	op := operator.New(operator.Deps{
 		Keys: in.set.Operators.Keys, Feed: in.feed, Members: in.view, Caller: in.transport, Router: in.router, Planner: in.planner,
-		Store: in.store, Targets: in.targets, Home: in.home, Recorder: in.recorder, Metrics: in.metrics.Handler(),
+		Store: in.store, Targets: in.targets, Holder: in.holder, Recorder: in.recorder, Metrics: in.metrics.Handler(),
 		Calls: in.store.Calls, Now: time.Now,
 	})
 	var err error
@@ -365,8 +365,8 @@
 // Feed returns the feed of the configuration.
 func (in *Instance) Feed() *rollout.Feed { return in.feed }
 
-// Home returns the holder of this instance's escrow.
-func (in *Instance) Home() *budget.Home { return in.home }
+// Holder returns the holder of this instance's escrow.
+func (in *Instance) Holder() *budget.Holder { return in.holder }
 
 // View returns the membership view.
 func (in *Instance) View() *member.View { return in.view }
@@ -388,7 +388,7 @@
 	in.view.Leave()
 	err := in.gateway.Drain(ctx)
 	if err == nil {
-		err = in.home.Stop(ctx)
+		err = in.holder.Stop(ctx)
 	}
 	if err == nil {
 		err = in.waitFlushed(ctx)
--- a/internal/matrix/cell_test.go
+++ b/internal/matrix/cell_test.go
@@ -345,7 +345,7 @@
 	out := make(map[string]bool)
 	for _, n := range w.nodes {
 		if !n.isDead() {
-			out[n.home.Holder()] = true
+			out[n.home.ID()] = true
 		}
 	}
 	return out
@@ -353,7 +353,7 @@
 
 // homeOf is the instance that holds the test budget's escrow for a serving instance.
 func (w *world) homeOf(n *node) *node {
-	homes := budget.Homes(testBudget, members{n}.Zone(), n.peer.ID)
+	homes := budget.HolderCandidates(testBudget, members{n}.Zone(), n.peer.ID)
 	return w.node(homes[0].ID)
 }
 
--- a/internal/matrix/node_test.go
+++ b/internal/matrix/node_test.go
@@ -22,7 +22,7 @@
 	w    *world
 	peer mesh.Peer
 
-	home    *budget.Home
+	home    *budget.Holder
 	client  *budget.Client
 	keys    *once.Keys
 	feed    *rollout.Feed
--- a/internal/matrix/world_test.go
+++ b/internal/matrix/world_test.go
@@ -65,7 +65,7 @@
 
 var testTimes = budget.Times{
 	Tick: time.Millisecond, Flush: 0, RefreshInterval: time.Second, Horizon: time.Minute, Idle: time.Hour, OrphanTimeout: 10 * time.Second,
-	DeadTimeout: 4 * time.Second, DrawBackoff: 10 * time.Millisecond, DoneRetention: time.Hour,
+	DeadTimeout: 4 * time.Second, IncreaseBackoff: 10 * time.Millisecond, DoneRetention: time.Hour,
 }
 
 func newWorld(t *testing.T) *world { return newWorldWith(t, func(*world) {}) }
@@ -203,7 +203,7 @@
 	n.feed.OnChange(tg.SetDocument)
 	driver := endpoint.NewDriverWith(gatedHTTP{n})
 	stopper := endpoint.NewStopper(driver, tg)
-	n.home = budget.NewHome(store, m, caller, router, stopper, budget.WithTimes(testTimes), budget.WithClock(w.clock.Now), budget.WithHook(n.hook),
+	n.home = budget.NewHolder(store, m, caller, router, stopper, budget.WithTimes(testTimes), budget.WithClock(w.clock.Now), budget.WithHook(n.hook),
 		budget.WithKeyCheck(func(ctx context.Context, customer, request string, place budget.Place, tokens int64) (bill, sure bool) {
 			return n.keys.BillOrphan(ctx, customer, request, place, tokens)
 		}))
@@ -332,7 +332,7 @@
 		if n.isDead() {
 			continue
 		}
-		holders[n.home.Holder()] = true
+		holders[n.home.ID()] = true
 		if n.client.Open() > 0 || n.home.OpenCount() > 0 {
 			return false
 		}
--- a/internal/once/keys.go
+++ b/internal/once/keys.go
@@ -43,8 +43,8 @@
 	maxDropsPerTick   = 32
 )
 
-// ErrHomeUnreachable means that the home of a key, the instance that should have its record, cannot be asked.
-var ErrHomeUnreachable = errors.New("the home of the key does not answer")
+// ErrRegistrarUnreachable means that the home of a key, the instance that should have its record, cannot be asked.
+var ErrRegistrarUnreachable = errors.New("the home of the key does not answer")
 
 // Record is the registry's entry for a keyed request.
 type Record struct {
@@ -248,7 +248,7 @@
 		return BeginResp{}, err
 	}
 	if resp.Inconclusive {
-		return BeginResp{}, ErrHomeUnreachable
+		return BeginResp{}, ErrRegistrarUnreachable
 	}
 	if resp.New {
 		k.trackOwned(rec, customer, home)
@@ -364,7 +364,7 @@
 	var zero Resp
 	p, ok := k.homeOf(request, customer)
 	if !ok {
-		return zero, "", ErrHomeUnreachable
+		return zero, "", ErrRegistrarUnreachable
 	}
 	var last error
 	for range callAttempts {
@@ -379,5 +379,5 @@
 			break
 		}
 	}
-	return zero, "", errors.Join(ErrHomeUnreachable, last)
+	return zero, "", errors.Join(ErrRegistrarUnreachable, last)
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -47,7 +47,7 @@
 	Planner  *intent.Service
 	Store    external.Store
 	Targets  *targets.Targets
-	Home     *budget.Home
+	Holder   *budget.Holder
 	Recorder *burn.Recorder
 	Metrics  http.Handler
 	Calls    func() map[external.Duty]external.Calls
@@ -233,7 +233,9 @@
 	return c.JSON(http.StatusOK, s.deps.Members.Statuses())
 }
 
-func (s *Server) accounts(c echo.Context) error { return c.JSON(http.StatusOK, s.deps.Home.Accounts()) }
+func (s *Server) accounts(c echo.Context) error {
+	return c.JSON(http.StatusOK, s.deps.Holder.Accounts())
+}
 
 func (s *Server) store(c echo.Context) error { return c.JSON(http.StatusOK, s.deps.Calls()) }
 
