--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -19,14 +19,14 @@
 	tokens     int64
 	keyed      bool
 	since      time.Time
-	orphanedAt time.Time // start of the wait for a missing owner; zero while it is alive
+	orphanedAt time.Time // when the wait for a missing owner began; zero while the owner is alive
 }
 
 // account is a holder's in-memory state for one budget. The holder's lock guards it.
 type account struct {
 	budget   string
 	customer string
-	granted  int64 // total drawn, less what was returned
+	granted  int64 // total granted, less what was returned
 	settled  int64 // total spent
 	stored   int64 // the part of settled whose charges are in the journal
 	reserved int64
@@ -41,8 +41,8 @@
 	lastUse     time.Time
 
 	busy         chan struct{} // closed when the store operation in progress ends; nil if none
-	blockedUntil time.Time     // no draw is attempted before this time
-	drawErr      error         // error of the last draw; nil unless a reservation needed that draw
+	blockedUntil time.Time     // the grant is not increased before this time
+	increaseErr  error         // error of the last increase of the grant, if a reservation waited for it; otherwise nil
 }
 
 type doneMark struct {
@@ -62,7 +62,7 @@
 	}
 }
 
-// available returns the tokens that can be reserved without a draw.
+// available returns the tokens that can be reserved without an increase of the grant.
 func (a *account) available() int64 { return a.granted - a.settled - a.reserved }
 
 // recordUse adds n spent tokens to the rate.
--- a/internal/budget/client.go
+++ b/internal/budget/client.go
@@ -22,26 +22,26 @@
 const ClientName = "budget.client"
 
 const (
-	// DefaultMaxHold limits the time between the request for a reservation and its first dispatch, by the serving
-	// instance's own clock. Holders wait longer than this before they resolve an orphan.
+	// DefaultMaxHold limits the time from the request for a reservation to the first dispatch, measured by the serving
+	// instance's clock. Holders wait longer than this before they resolve an orphan.
 	DefaultMaxHold = 5 * time.Second
 
 	// reserveTimeout is how long a serving instance waits for a holder's response to one reservation.
 	reserveTimeout = time.Second
 
-	homesPerZone    = 4 // instances of a zone that hold escrow
-	maxHomeTries    = 3
-	settleTimeout   = time.Second
-	clientTick      = 250 * time.Millisecond
-	holderLostAfter = 3 * time.Second
-	maxDeliveries   = 64
+	candidatesPerZone = 4 // instances of a zone that may hold escrow
+	maxCandidateTries = 3
+	settleTimeout     = time.Second
+	clientTick        = 250 * time.Millisecond
+	holderLostAfter   = 3 * time.Second
+	maxDeliveries     = 64
 )
 
 type holdState int
 
 const (
 	stateHeld       holdState = iota // reserved, not dispatched
-	stateDispatched                  // an endpoint may run it
+	stateDispatched                  // an endpoint may run the request
 	stateSettled                     // ended; the holder has not confirmed the settlement yet
 	stateDelivered                   // the holder has the settlement, but it may not be in the store yet
 	stateRevoked                     // the holder is fenced; the reservation must not be used
@@ -67,10 +67,11 @@
 	successors   []holderAt // successors that may have taken the reservation over, while unconfirmed
 	unconfirmed  bool       // reported to a successor that has not confirmed the take-over
 	sending      bool
-	failingSince time.Time // since when the holder has not responded; zero if it does
+	failingSince time.Time // since then, calls to the holder have failed; zero while they succeed
 }
 
-// Client is the serving side of reservations. It keeps a second copy of everything that is not in the store yet.
+// Client is the serving side of reservations. It keeps a second copy of all reservations and charges that are not in the
+// store yet.
 type Client struct {
 	members Members
 	caller  mesh.Caller
@@ -83,7 +84,7 @@
 	sem  chan struct{}
 
 	mu        sync.Mutex
-	stopping  bool // Run waits for jobs or has returned: later settlements are still sent, but not waited for
+	stopping  bool // Run is waiting for jobs or has returned; it does not wait for later settlements
 	holds     map[*Hold]struct{}
 	fenced    map[string]bool
 	toConfirm map[holderAt][]string
@@ -139,10 +140,10 @@
 	return nil
 }
 
-// HolderCandidates ranks the instances that may hold a budget's escrow for requests served by self, best first. Self ranks last:
-// while another instance can hold the escrow, each reservation is known to two processes.
+// HolderCandidates ranks the instances that may hold a budget's escrow for requests served by self, best first. Self
+// ranks last: while another instance can hold the escrow, each reservation is known to two processes.
 func HolderCandidates(budget string, zone []mesh.Peer, self string) []mesh.Peer {
-	out := pageHomes(PageOf(budget), zone)
+	out := pageCandidates(PageOf(budget), zone)
 	others := out[:0]
 	ownPeer := mesh.Peer{}
 	for _, p := range out {
@@ -158,15 +159,15 @@
 	return others
 }
 
-// pageHomes ranks the instances of a zone that may hold escrow on a page. All budgets of a page share these homes, so
-// that one write of the page serves many of them.
-func pageHomes(page uint16, zone []mesh.Peer) []mesh.Peer {
+// pageCandidates ranks the instances of a zone that may hold escrow on a page. All budgets of a page share these
+// candidates, so that one write of the page serves many budgets.
+func pageCandidates(page uint16, zone []mesh.Peer) []mesh.Peer {
 	ranked := member.Rank("budget-homes", zone)
-	ranked = ranked[:min(len(ranked), homesPerZone)]
+	ranked = ranked[:min(len(ranked), candidatesPerZone)]
 	return member.Rank(PageKey(page), ranked)
 }
 
-// ReserveParams describes a reservation that a serving instance asks for.
+// ReserveParams describes a reservation that a serving instance requests.
 type ReserveParams struct {
 	Request  string
 	Budget   string
@@ -176,28 +177,28 @@
 	Keyed    bool
 }
 
-// Reserve reserves tokens at one of the budget's homes. Its errors have the verdict NotRun. The Hold is nil unless
-// the outcome is Granted.
+// Reserve reserves tokens at one of the budget's candidate holders. Its errors have the verdict NotRun. The Hold is nil
+// unless the outcome is Granted.
 func (c *Client) Reserve(ctx context.Context, a ReserveParams) (*Hold, ReserveResp, error) {
 	self := c.members.Self()
-	homes := HolderCandidates(a.Budget, c.members.Zone(), self.ID)
-	if len(homes) == 0 {
+	candidates := HolderCandidates(a.Budget, c.members.Zone(), self.ID)
+	if len(candidates) == 0 {
 		return nil, ReserveResp{}, verdict.New(verdict.NotRun, verdict.CodeStopping, "this instance is leaving")
 	}
 	var last error
 	run := a.Place.Run
-	for i, home := range homes[:min(len(homes), maxHomeTries)] {
+	for i, candidate := range candidates[:min(len(candidates), maxCandidateTries)] {
 		if i > 0 {
-			// A home that did not respond may have made a reservation for the previous run id. Under a new id, that
-			// reservation is never billed for this run.
+			// A candidate that did not respond may have made a reservation for the previous run id. Under a new id,
+			// that reservation is never billed for this run.
 			a.Place.Run = fmt.Sprintf("%s-%d", run, i+1)
 		}
-		h, resp, err := c.reserveAt(ctx, home.Addr, a, false)
+		h, resp, err := c.reserveAt(ctx, candidate.Addr, a, false)
 		if err == nil {
 			return h, resp, nil
 		}
 		last = err
-		if !shouldTryNextHome(err) || ctx.Err() != nil {
+		if !shouldTryNextCandidate(err) || ctx.Err() != nil {
 			break
 		}
 	}
@@ -207,15 +208,15 @@
 	return nil, ReserveResp{}, last
 }
 
-// shouldTryNextHome reports whether another home may succeed after this error.
-func shouldTryNextHome(err error) bool {
+// shouldTryNextCandidate reports whether another candidate may succeed after this error.
+func shouldTryNextCandidate(err error) bool {
 	if errors.Is(err, mesh.ErrUnreachable) || errors.Is(err, mesh.ErrNoReply) {
 		return true
 	}
 	return verdict.From(err).Code() == verdict.CodeStopping
 }
 
-// TakeOver makes this instance the owner of a reservation that a missing instance has at the holder at addr.
+// TakeOver makes this instance the owner of a missing instance's reservation. addr is the holder's address.
 func (c *Client) TakeOver(ctx context.Context, addr string, a ReserveParams) (*Hold, ReserveResp, error) {
 	return c.reserveAt(ctx, addr, a, true)
 }
@@ -262,7 +263,8 @@
 	return nil
 }
 
-// abandon settles a reservation with zero tokens after its response was lost. The holder may or may not have made it.
+// abandon settles a reservation with zero tokens because the holder's response was lost. The holder may or may not have
+// made the reservation.
 func (c *Client) abandon(h *Hold) {
 	c.mu.Lock()
 	h.state = stateSettled
@@ -311,7 +313,7 @@
 	return nil
 }
 
-// Move notifies the holder that the request goes to another place. It must succeed before the request is sent there.
+// Move notifies the holder that the request will run at another place. It must succeed before the request is sent there.
 func (h *Hold) Move(ctx context.Context, p Place) error {
 	addr := h.HolderAddr()
 	req := UpdateReq{Request: h.request, Budget: h.budget, Place: p}
--- a/internal/budget/client_sync.go
+++ b/internal/budget/client_sync.go
@@ -10,7 +10,7 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// holderSync is a pending request to one holder.
+// holderSync is a SyncReq to be sent to one holder.
 type holderSync struct {
 	at  holderAt
 	req SyncReq
@@ -81,9 +81,9 @@
 	return out
 }
 
-// holdersToSync returns the holders to ask about a hold. Two instances may try to take over the same holder, and one
-// of them succeeds; while it is unconfirmed which one, all candidates are asked. Once a settlement is delivered, the
-// hold's holder is asked. The caller holds the client's lock.
+// holdersToSync returns the holders that receive a SyncReq about a hold. Two instances may try to take over the same
+// holder, and one of them succeeds; until one confirms the take-over, both receive the request. Once a settlement is
+// delivered, only the hold's holder receives it. The caller holds the client's lock.
 func (h *Hold) holdersToSync() []holderAt {
 	switch {
 	case h.unconfirmed:
--- a/internal/budget/home.go
+++ b/internal/budget/holder.go
@@ -25,9 +25,9 @@
 	Self() mesh.Peer
 	Zone() []mesh.Peer
 	Fleet() []mesh.Peer
-	Find(who string) (mesh.Peer, bool)
-	Alive(who string) bool
-	Lost(who string) bool
+	Find(id string) (mesh.Peer, bool)
+	Alive(id string) bool
+	Lost(id string) bool
 }
 
 // Stopper stops a run at its endpoint and prevents it from starting there later.
@@ -46,7 +46,7 @@
 	Idle            time.Duration // unused escrow is returned after this time
 	OrphanTimeout   time.Duration // an orphan is resolved after this time; longer than the clients' DefaultMaxHold
 	DeadTimeout     time.Duration // a holder that is missing this long is reclaimed
-	IncreaseBackoff time.Duration // no draw is attempted for this long after a failed one
+	IncreaseBackoff time.Duration // delay after a failed increase of a grant
 	DoneRetention   time.Duration // how long settled keyed requests are remembered
 }
 
@@ -68,7 +68,7 @@
 // BilledFunc receives every charge that has become durable.
 type BilledFunc func(c ledger.Charge)
 
-// Holder is the holder: the part of an instance that owns escrow and serves reservations of its zone.
+// Holder is the part of an instance that owns escrow and serves reservations of its zone.
 type Holder struct {
 	store    external.Store
 	members  Members
@@ -90,11 +90,11 @@
 
 	mu               sync.Mutex
 	gen              int
-	id               string
+	holder           string // id of the current incarnation
 	accounts         map[string]*account
-	byPage           map[uint16][]*account     // the same accounts by page
-	queuedDraws      map[uint16][]*pendingDraw // draws that wait for a write of their page
-	drawingPages     map[uint16]bool           // pages that a draw is writing
+	byPage           map[uint16][]*account         // the same accounts by page
+	queuedIncreases  map[uint16][]*pendingIncrease // increases that wait for a write of their page
+	busyPages        map[uint16]bool               // pages that a background job is writing
 	book             *ledger.Book
 	journal          journalState
 	closing          bool
@@ -121,14 +121,14 @@
 	Reserved, Refused, Increases, Returns, Flushes, Reclaims, Orphans, Fenced int64
 }
 
-// KeyCheck asks the home of a keyed request's key whether an orphaned run of the request is to be billed. sure is
-// false while the home cannot decide.
+// KeyCheck asks the registrar of a keyed request, the instance that stores the key's record, whether an orphaned run of
+// the request is to be billed. sure is false while the registrar cannot decide.
 type KeyCheck func(ctx context.Context, customer, request string, place Place, tokens int64) (bill, sure bool)
 
 // WithKeyCheck sets the check that runs before a keyed orphan is billed.
 func WithKeyCheck(f KeyCheck) HolderOption { return func(h *Holder) { h.keyCheck = f } }
 
-// HolderOption configures a Home.
+// HolderOption configures a Holder.
 type HolderOption func(*Holder)
 
 // WithSize replaces the sizing policy.
@@ -181,17 +181,17 @@
 	return h
 }
 
-// genSeparator separates a process's name from the number of its incarnation as a holder.
+// genSeparator separates an instance's incarnation id from the number of its incarnation as a holder.
 const genSeparator = "#"
 
 // reset begins a new incarnation with empty state. The caller holds the lock.
 func (h *Holder) reset() {
 	h.gen++
-	h.id = h.members.Self().IncarnationID()
+	h.holder = h.members.Self().IncarnationID()
 	if h.gen > 1 {
-		h.id = fmt.Sprintf("%s%s%d", h.id, genSeparator, h.gen)
+		h.holder = fmt.Sprintf("%s%s%d", h.holder, genSeparator, h.gen)
 	}
-	for _, batch := range h.queuedDraws {
+	for _, batch := range h.queuedIncreases {
 		for _, d := range batch {
 			close(d.a.busy) // the waiters start over
 			d.a.busy = nil
@@ -199,8 +199,8 @@
 	}
 	h.accounts = make(map[string]*account)
 	h.byPage = make(map[uint16][]*account)
-	h.queuedDraws = make(map[uint16][]*pendingDraw)
-	h.drawingPages = make(map[uint16]bool)
+	h.queuedIncreases = make(map[uint16][]*pendingIncrease)
+	h.busyPages = make(map[uint16]bool)
 	h.book = ledger.NewBook()
 	h.journal = journalState{clients: make(map[string]bool), pages: make(map[uint16]bool)}
 	h.fences = make(map[string]*fenceState)
@@ -233,7 +233,7 @@
 func (h *Holder) ID() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.id
+	return h.holder
 }
 
 // Stats returns the counters.
@@ -290,7 +290,7 @@
 	return nil
 }
 
-// tryReserve responds immediately, or returns a channel that is closed when a pending draw ends.
+// tryReserve responds immediately, or returns a channel that is closed when a pending increase of the grant ends.
 func (h *Holder) tryReserve(client string, req ReserveReq) (ReserveResp, <-chan struct{}, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -315,32 +315,32 @@
 		})
 		h.stats.Reserved++
 		h.topUp(a, now)
-		return ReserveResp{Outcome: Granted, Holder: h.id, Tokens: req.Tokens, Place: req.Place}, nil, nil
+		return ReserveResp{Outcome: Granted, Holder: h.holder, Tokens: req.Tokens, Place: req.Place}, nil, nil
 	}
 	if a.busy != nil {
 		return ReserveResp{}, a.busy, nil
 	}
-	if now.Before(a.blockedUntil) && a.drawErr != nil {
+	if now.Before(a.blockedUntil) && a.increaseErr != nil {
 		h.stats.Refused++
 		return ReserveResp{}, nil, h.denial(a, req.Budget)
 	}
-	h.startDraw(a, req.Tokens-a.available())
+	h.startIncrease(a, req.Tokens-a.available())
 	return ReserveResp{}, a.busy, nil
 }
 
 // existingResponse returns the response to a request that is already open or settled.
 func (h *Holder) existingResponse(a *account, client string, req ReserveReq) (ReserveResp, bool) {
 	if m, ok := a.done[req.Request]; ok {
-		return ReserveResp{Outcome: Settled, Holder: h.id, Tokens: m.tokens, Place: m.place}, true
+		return ReserveResp{Outcome: Settled, Holder: h.holder, Tokens: m.tokens, Place: m.place}, true
 	}
 	r, ok := a.open[req.Request]
 	if !ok {
 		return ReserveResp{}, false
 	}
 	if r.owner == client && r.place.Run == req.Place.Run {
-		return ReserveResp{Outcome: Granted, Holder: h.id, Tokens: r.tokens, Place: r.place}, true
+		return ReserveResp{Outcome: Granted, Holder: h.holder, Tokens: r.tokens, Place: r.place}, true
 	}
-	resp := ReserveResp{Outcome: Existing, Holder: h.id, Tokens: r.tokens, Owner: r.owner, Place: r.place}
+	resp := ReserveResp{Outcome: Existing, Holder: h.holder, Tokens: r.tokens, Owner: r.owner, Place: r.place}
 	if req.Takeover {
 		r.owner = client
 		r.orphanedAt = time.Time{}
@@ -375,15 +375,15 @@
 	return verdict.New(verdict.NotRun, verdict.CodeBudgetUnknown, "no budget "+budget+" of this customer", verdict.WithField("budget"))
 }
 
-// denial converts the error of the last failed draw into the error of a rejected reservation.
+// denial converts the error of the last failed increase into the error of a rejected reservation.
 func (h *Holder) denial(a *account, budget string) error {
 	switch {
-	case errors.Is(a.drawErr, ErrUnknown):
+	case errors.Is(a.increaseErr, ErrUnknown):
 		return unknownBudget(budget)
-	case errors.Is(a.drawErr, ErrExhausted):
+	case errors.Is(a.increaseErr, ErrExhausted):
 		return verdict.New(verdict.NotRun, verdict.CodeBudgetExhausted, "budget "+budget+" has too little left")
 	default:
-		return unready("the budget's escrow here is used up and the store cannot be asked", a.drawErr)
+		return unready("the budget's escrow here is used up and the store cannot be asked", a.increaseErr)
 	}
 }
 
@@ -408,7 +408,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if req.Holder != "" && req.Holder != h.id {
+	if req.Holder != "" && req.Holder != h.holder {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeConflict, "the holder has changed")
 	}
 	if req.Holder == "" {
@@ -443,8 +443,8 @@
 func (h *Holder) Sync(client string, req SyncReq) SyncResp {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	resp := SyncResp{Holder: h.id}
-	if req.Holder != h.id {
+	resp := SyncResp{Holder: h.holder}
+	if req.Holder != h.holder {
 		return resp
 	}
 	h.book.Confirm(req.Confirm)
--- a/internal/budget/home_test.go
+++ b/internal/budget/holder_test.go
@@ -34,7 +34,7 @@
 	deposit  = 10_000
 )
 
-func newTestHome(t *testing.T) (*Holder, *memstore.Store) {
+func newTestHolder(t *testing.T) (*Holder, *memstore.Store) {
 	t.Helper()
 	store := memstore.New()
 	var page Page
@@ -63,10 +63,10 @@
 	return err
 }
 
-func TestHome(t *testing.T) {
+func TestHolder(t *testing.T) {
 	ctx := context.Background()
 	Convey("Given a holder", t, func() {
-		h, store := newTestHome(t)
+		h, store := newTestHolder(t)
 		Convey("a reservation that was abandoned before it arrived is rejected, since no client would settle it", func() {
 			So(h.Settle(ctx, SettleReq{Request: "r", Budget: "budget", Run: "run-r"}), ShouldBeNil)
 			So(verdict.Of(reserve(h, "r", 10)), ShouldEqual, verdict.NotRun)
--- a/internal/budget/draw.go
+++ b/internal/budget/increase.go
@@ -19,24 +19,25 @@
 	storeTimeout        = 4 * time.Second
 	recallTimeout       = 400 * time.Millisecond
 	maxRecallPeers      = 16
-	burstFactor         = 8  // a first draw takes this many times the need, if the row has plenty,
-	burstDivisor        = 64 // or 1/burstDivisor of the row's free tokens, if that is more
+	burstFactor         = 8  // a holder's first grant is up to this many times the need,
+	burstDivisor        = 64 // or up to 1/burstDivisor of the row's free tokens, if that is more
 	retryBackoff        = 2 * time.Millisecond
 	maxBackoffDoublings = 6
-	topUpBackoff        = 2 * time.Second // delay after a failed draw ahead of need
+	topUpBackoff        = 2 * time.Second // delay after a failed increase ahead of need
 )
 
 // errFenced means that a successor has taken over this holder's escrow.
 var errFenced = errors.New("this holder has been fenced")
 
-// topUp starts a draw ahead of need if the account is low. The caller holds the lock.
+// topUp starts an increase of the grant ahead of need if the account is low. The caller holds the lock.
 func (h *Holder) topUp(a *account, now time.Time) {
 	if h.needsTopUp(a, now, topUpShare) {
-		h.startDraw(a, 0)
+		h.startIncrease(a, 0)
 	}
 }
 
-// needsTopUp reports whether the available tokens are below a share of the target grant, and a draw may be attempted.
+// needsTopUp reports whether the available tokens are below a share of the target grant, and an increase may be
+// attempted.
 func (h *Holder) needsTopUp(a *account, now time.Time, share float64) bool {
 	if a.busy != nil || now.Before(a.blockedUntil) {
 		return false
@@ -44,91 +45,92 @@
 	return float64(a.available()) < share*float64(TargetGrant(a.rateNow(now), a.typicalSize, h.times.Horizon))
 }
 
-// pendingDraw is one account's part of a write that draws on a page.
-type pendingDraw struct {
-	a        *account
-	need     int64
-	seq      uint64
-	drawn    bool
-	grant    Grant
-	customer string
-	err      error
+// pendingIncrease is one account's part of a write that increases grants on a page.
+type pendingIncrease struct {
+	a         *account
+	need      int64
+	seq       uint64
+	increased bool
+	grant     Grant
+	customer  string
+	err       error
 }
 
-// startDraw queues a draw; a.busy is closed when it ends. One write of a page serves all accounts of this holder that
-// wait for it, and those that will need more soon. The caller holds the lock.
-func (h *Holder) startDraw(a *account, need int64) {
+// startIncrease queues an increase of an account's grant; a.busy is closed when it ends. One write of a page serves all
+// accounts of this holder that wait for it, and those that will need more soon. The caller holds the lock.
+func (h *Holder) startIncrease(a *account, need int64) {
 	page := PageOf(a.budget)
 	a.busy = make(chan struct{})
-	h.queuedDraws[page] = append(h.queuedDraws[page], &pendingDraw{a: a, need: need})
-	if h.drawingPages[page] {
+	h.queuedIncreases[page] = append(h.queuedIncreases[page], &pendingIncrease{a: a, need: need})
+	if h.busyPages[page] {
 		return
 	}
-	h.drawingPages[page] = true
-	holder := h.id
-	h.jobs.Go(func() { h.drawQueued(page, holder) })
+	h.busyPages[page] = true
+	holder := h.holder
+	h.jobs.Go(func() { h.writeQueuedIncreases(page, holder) })
 }
 
-// drawQueued writes a page until no draw is queued for it.
-func (h *Holder) drawQueued(page uint16, holder string) {
+// writeQueuedIncreases writes a page until no increase is queued for it.
+func (h *Holder) writeQueuedIncreases(page uint16, holder string) {
 	for {
 		batch := h.dequeueBatch(page, holder)
 		if len(batch) == 0 {
 			return
 		}
-		h.drawBatch(page, holder, batch)
+		h.writeBatch(page, holder, batch)
 	}
 }
 
-// dequeueBatch takes the draws that are queued for a page, and adds draws for the page's accounts that will need one
-// soon.
-func (h *Holder) dequeueBatch(page uint16, holder string) []*pendingDraw {
+// dequeueBatch takes the increases that are queued for a page, and adds increases for the page's accounts that will
+// need one soon.
+func (h *Holder) dequeueBatch(page uint16, holder string) []*pendingIncrease {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.id != holder {
+	if h.holder != holder {
 		return nil
 	}
-	batch := h.queuedDraws[page]
-	delete(h.queuedDraws, page)
+	batch := h.queuedIncreases[page]
+	delete(h.queuedIncreases, page)
 	if len(batch) == 0 {
-		delete(h.drawingPages, page)
+		delete(h.busyPages, page)
 		return nil
 	}
 	now := h.now()
 	for _, a := range h.byPage[page] {
 		if h.needsTopUp(a, now, piggybackShare) {
 			a.busy = make(chan struct{})
-			batch = append(batch, &pendingDraw{a: a})
+			batch = append(batch, &pendingIncrease{a: a})
 		}
 	}
 	return batch
 }
 
-func (h *Holder) drawBatch(page uint16, holder string, batch []*pendingDraw) {
+func (h *Holder) writeBatch(page uint16, holder string, batch []*pendingIncrease) {
 	ctx, cancel := context.WithTimeout(external.WithDuty(h.ctx, external.DutyDraw), storeTimeout)
 	defer cancel()
-	h.drawPage(ctx, page, holder, batch)
+	h.increaseGrants(ctx, page, holder, batch)
 	for _, d := range batch {
 		if d.need > 0 && errors.Is(d.err, ErrExhausted) {
-			h.jobs.Go(func() { h.drawAfterRecall(page, holder, d) })
+			h.jobs.Go(func() { h.retryAfterRecall(page, holder, d) })
 			continue
 		}
-		h.finishDraw(d)
+		h.finishIncrease(d)
 	}
 }
 
-// drawAfterRecall asks the other holders to return escrow that they do not need, and draws again.
-func (h *Holder) drawAfterRecall(page uint16, holder string, d *pendingDraw) {
+// retryAfterRecall asks the other holders to return escrow that they do not need. If any is returned, it tries the
+// increase again.
+func (h *Holder) retryAfterRecall(page uint16, holder string, d *pendingIncrease) {
 	ctx, cancel := context.WithTimeout(external.WithDuty(h.ctx, external.DutyDraw), storeTimeout)
 	defer cancel()
 	if h.recall(ctx, d.a, d.need) {
 		d.err = nil
-		h.drawPage(ctx, page, holder, []*pendingDraw{d})
+		h.increaseGrants(ctx, page, holder, []*pendingIncrease{d})
 	}
-	h.finishDraw(d)
+	h.finishIncrease(d)
 }
 
-func (h *Holder) finishDraw(d *pendingDraw) {
+func (h *Holder) finishIncrease(d *pendingIncrease) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := d.a
@@ -137,20 +139,20 @@
 	now := h.now()
 	switch {
 	case d.err == nil:
-		a.drawErr = nil
+		a.increaseErr = nil
 		h.stats.Increases++
 	case d.need > 0:
-		a.drawErr = d.err
+		a.increaseErr = d.err
 		a.blockedUntil = now.Add(h.times.IncreaseBackoff)
 	default:
-		a.blockedUntil = now.Add(topUpBackoff) // a draw ahead of need failed; no reservation is rejected because of it
-		a.drawErr = nil
+		a.blockedUntil = now.Add(topUpBackoff) // no reservation waited for this increase, so none is rejected
+		a.increaseErr = nil
 	}
 }
 
-// drawPage raises this holder's grants on one page with a single write, and records the result in each draw. A draw
-// whose outcome is unknown does not count as drawn: if it took effect, the next write of the row picks the grant up.
-func (h *Holder) drawPage(ctx context.Context, page uint16, holder string, batch []*pendingDraw) {
+// increaseGrants raises this holder's grants on one page with a single write, and records the result in each increase.
+// An increase whose outcome is unknown counts as failed: if it took effect, the next write of the row adopts the grant.
+func (h *Holder) increaseGrants(ctx context.Context, page uint16, holder string, batch []*pendingIncrease) {
 	err := h.hook(ctx, step.Draw)
 	if err == nil {
 		err = h.ensurePageListed(ctx, page)
@@ -158,21 +160,21 @@
 	if err == nil {
 		h.assignSeqs(batch)
 		err = h.updatePage(ctx, page,
-			func(p *Page) (bool, error) { return h.editDraws(p, holder, batch) },
+			func(p *Page) (bool, error) { return h.increaseRows(p, holder, batch) },
 			func(p *Page) bool { return batchApplied(p, holder, batch) })
 	}
 	for _, d := range batch {
 		switch {
-		case err != nil && (d.err == nil || d.drawn):
+		case err != nil && (d.err == nil || d.increased):
 			d.err = err
-		case d.drawn:
+		case d.increased:
 			d.err = h.adoptGrant(d, holder)
 		}
 	}
 }
 
-// assignSeqs assigns each draw the next sequence number of its account.
-func (h *Holder) assignSeqs(batch []*pendingDraw) {
+// assignSeqs assigns each increase the next sequence number of its account.
+func (h *Holder) assignSeqs(batch []*pendingIncrease) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, d := range batch {
@@ -181,41 +183,41 @@
 	}
 }
 
-// editDraws edits the rows of a batch. It reports whether any row has changed.
-func (h *Holder) editDraws(p *Page, holder string, batch []*pendingDraw) (bool, error) {
+// increaseRows raises the grants of a batch on their rows. It reports whether any row has changed.
+func (h *Holder) increaseRows(p *Page, holder string, batch []*pendingIncrease) (bool, error) {
 	changed := false
 	for _, d := range batch {
-		d.drawn, d.err = false, nil
+		d.increased, d.err = false, nil
 		row, err := p.Row(d.a.budget)
 		if err != nil {
 			d.err = err
 			continue
 		}
-		if d.err = h.editDraw(row, holder, d); errors.Is(d.err, errFenced) {
+		if d.err = h.increaseRow(row, holder, d); errors.Is(d.err, errFenced) {
 			return false, d.err
 		}
-		changed = changed || d.drawn
+		changed = changed || d.increased
 	}
 	return changed, nil
 }
 
-func (h *Holder) editDraw(row *Row, holder string, d *pendingDraw) error {
-	size, g, err := h.sizeDraw(d.a, row, d.need, holder, d.seq)
+func (h *Holder) increaseRow(row *Row, holder string, d *pendingIncrease) error {
+	size, g, err := h.sizeIncrease(d.a, row, d.need, holder, d.seq)
 	if err != nil {
 		return err
 	}
 	if err := row.Increase(holder, size, g.Settled, d.seq); err != nil {
 		return err
 	}
-	d.drawn, d.grant, d.customer = true, row.Grants[holder], row.Customer
+	d.increased, d.grant, d.customer = true, row.Grants[holder], row.Customer
 	return nil
 }
 
 // batchApplied reports whether a page that was read back contains the writes of a batch. It copies the grants from
 // the page.
-func batchApplied(p *Page, holder string, batch []*pendingDraw) bool {
+func batchApplied(p *Page, holder string, batch []*pendingIncrease) bool {
 	for _, d := range batch {
-		if !d.drawn {
+		if !d.increased {
 			continue
 		}
 		row, err := p.Row(d.a.budget)
@@ -317,11 +319,12 @@
 	}
 }
 
-// sizeDraw decides how much to draw, and checks that the row still contains what this holder was granted.
-func (h *Holder) sizeDraw(a *account, row *Row, need int64, holder string, seq uint64) (int64, Grant, error) {
+// sizeIncrease decides by how much to raise the grant, and checks that the row still contains what this holder was
+// granted.
+func (h *Holder) sizeIncrease(a *account, row *Row, need int64, holder string, seq uint64) (int64, Grant, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.id != holder {
+	if h.holder != holder {
 		return 0, Grant{}, errFenced
 	}
 	g, ok := row.Grants[holder]
@@ -333,7 +336,7 @@
 	}
 	now := h.now()
 	unreserved := max(0, a.available())
-	// An earlier draw whose response was lost may have raised the grant already.
+	// An earlier increase whose response was lost may have raised the grant already.
 	surplus := max(0, g.Granted-a.granted)
 	shortfall := max(0, need-surplus)
 	holders := len(row.Grants)
@@ -355,10 +358,10 @@
 	return max(size, 0), g, nil
 }
 
-func (h *Holder) adoptGrant(d *pendingDraw, holder string) error {
+func (h *Holder) adoptGrant(d *pendingIncrease, holder string) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.id != holder {
+	if h.holder != holder {
 		return errFenced
 	}
 	d.a.granted = d.grant.Granted
@@ -367,7 +370,7 @@
 	return nil
 }
 
-// ensurePageListed makes sure that the journal lists the page before a grant on it is drawn.
+// ensurePageListed makes sure that the journal lists the page before a grant on it is raised.
 func (h *Holder) ensurePageListed(ctx context.Context, page uint16) error {
 	h.mu.Lock()
 	listed := h.journal.pages[page]
@@ -439,7 +442,7 @@
 	}
 	a.granted -= n
 	a.seq++
-	seq, holder, stored := a.seq, h.id, a.stored
+	seq, holder, stored := a.seq, h.holder, a.stored
 	a.busy = make(chan struct{})
 	h.mu.Unlock()
 
@@ -454,7 +457,7 @@
 	defer h.mu.Unlock()
 	close(a.busy)
 	a.busy = nil
-	if h.id != holder {
+	if h.holder != holder {
 		return 0, errFenced
 	}
 	if err != nil {
--- a/internal/budget/journal.go
+++ b/internal/budget/journal.go
@@ -66,23 +66,23 @@
 	clients := h.currentClients(zone, client)
 	pages := h.currentPages(zone, page)
 	h.journal.seq++
-	w := &journalWrite{holder: h.id, rev: h.journal.rev, snap: h.book.Snapshot(), stored: make(map[string]int64)}
+	w := &journalWrite{holder: h.holder, rev: h.journal.rev, snap: h.book.Snapshot(), stored: make(map[string]int64)}
 	for _, c := range w.snap.Charges {
 		w.stored[c.Budget] = h.accounts[c.Budget].settled
 	}
 	w.journal = ledger.Journal{
-		Holder: h.id, Zone: h.members.Self().Zone, Seq: h.journal.seq, Clients: sortedKeys(clients),
+		Holder: h.holder, Zone: h.members.Self().Zone, Seq: h.journal.seq, Clients: sortedKeys(clients),
 		Pages: pages, Settled: w.snap.Settled, Recent: w.snap.Recent,
 	}
 	return w
 }
 
-// listedRanks is the number of top-ranked homes that list a page in their journals before a grant on it is requested.
+// listedRanks is the number of top-ranked candidates that list a page in their journals before they need a grant on it.
 const listedRanks = 2
 
 // currentPages lists the pages on which the holder may have grants: those that it has listed before, the given one,
-// and all pages for which this instance is a likely home, so that these need no write of their own. The caller holds
-// the lock.
+// and all pages for which this instance is a likely holder, so that listing these needs no write of its own. The caller
+// holds the lock.
 func (h *Holder) currentPages(zone []mesh.Peer, page *uint16) []uint16 {
 	listed := make(map[uint16]bool, len(h.journal.pages))
 	for n := range h.journal.pages {
@@ -93,7 +93,7 @@
 	}
 	self := h.members.Self().ID
 	for n := range uint16(Pages) {
-		if !listed[n] && isAmongFirst(pageHomes(n, zone), self, listedRanks) {
+		if !listed[n] && isAmongFirst(pageCandidates(n, zone), self, listedRanks) {
 			listed[n] = true
 		}
 	}
@@ -211,7 +211,7 @@
 
 func (h *Holder) recordWrite(w *journalWrite) {
 	h.mu.Lock()
-	if h.id != w.holder {
+	if h.holder != w.holder {
 		h.mu.Unlock()
 		return
 	}
@@ -243,7 +243,7 @@
 func (h *Holder) abandonIncarnation(holder string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.id != holder {
+	if h.holder != holder {
 		return
 	}
 	h.log.Warn().Str("event", "holder_fenced").Str("holder", holder).Msg("a successor took over this holder's escrow")
--- a/internal/budget/messages.go
+++ b/internal/budget/messages.go
@@ -78,7 +78,7 @@
 
 // SyncResp is the response to a SyncReq.
 type SyncResp struct {
-	Holder  string   `cbor:"1,keyasint"` // the responding holder; if another one was asked, that one no longer exists
+	Holder  string   `cbor:"1,keyasint"` // the responding holder; if it is not the requested one, that one no longer exists
 	Flushed []string `cbor:"2,keyasint"`
 	Known   []string `cbor:"3,keyasint"`
 }
@@ -88,7 +88,7 @@
 	Holder    string    `cbor:"1,keyasint"`
 	Successor string    `cbor:"2,keyasint"`
 	Peer      mesh.Peer `cbor:"3,keyasint"`
-	Client    string    `cbor:"4,keyasint"` // the process that is asked
+	Client    string    `cbor:"4,keyasint"` // the process that has to report
 }
 
 // Report is one reservation or charge that a client tracks. Chain lists the holders it has belonged to, oldest first.
--- a/internal/budget/orphan.go
+++ b/internal/budget/orphan.go
@@ -58,7 +58,7 @@
 	return used, sure
 }
 
-// dueOrphans lists the reservations that are due, and records when their owners were first missing.
+// dueOrphans lists the orphaned reservations that are due, and records when their owners were first missing.
 func (h *Holder) dueOrphans() []orphan {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/budget/page_test.go
+++ b/internal/budget/page_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestPageOfNewerBuild(t *testing.T) {
-	Convey("A row written by a newer build keeps the fields that this build does not know", t, func() {
+	Convey("A row written by a newer build keeps the fields that are unknown to this build", t, func() {
 		type newerGrant struct {
 			Granted int64  `cbor:"1,keyasint"`
 			Settled int64  `cbor:"2,keyasint"`
--- a/internal/budget/property_test.go
+++ b/internal/budget/property_test.go
@@ -10,12 +10,12 @@
 	"github.com/ledgemount/ledgemount/internal/ledger"
 )
 
-// model is one row with its holders and clients as plain data. Operations run in any order.
+// model is one row with its holders and clients as plain data. Its operations can run in any order.
 type model struct {
 	row          *Row
 	holders      map[string]*holderState // in-memory state of the running holders
 	journal      map[string]*ledger.Journal
-	reports      []Report // what clients have to report
+	reports      []Report // reservations and charges that the clients track
 	billed       map[string]int64
 	seq          uint64
 	n            int
@@ -47,7 +47,7 @@
 	return h
 }
 
-func (m *model) draw(t *rapid.T) {
+func (m *model) increase(t *rapid.T) {
 	h := m.holder(t)
 	n := rapid.Int64Range(1, 3_000).Draw(t, "n")
 	m.seq++
@@ -108,7 +108,7 @@
 	return i, m.reports[i]
 }
 
-// flush writes the journal. The response may be lost, so that the clients are not notified.
+// flush writes the journal. The clients may not be notified, as if the response of the store was lost.
 func (m *model) flush(t *rapid.T) {
 	h := m.holder(t)
 	mem, j := m.holders[h], m.journal[h]
@@ -157,7 +157,7 @@
 	mem.granted -= n
 }
 
-// crashHolder removes a holder with its in-memory state. A successor takes over from the clients' reports.
+// crashHolder removes a holder with its in-memory state. A successor takes it over by means of the clients' reports.
 func (m *model) crashHolder(t *rapid.T) {
 	dead := m.holder(t)
 	successor := m.holder(t)
@@ -223,13 +223,14 @@
 	}
 }
 
-// TestEscrowProperty checks that in any order of draws, reservations, settlements, flushes with lost responses,
-// returns and crashes, a row never grants or spends more than was deposited, and no request is billed twice or lost.
+// TestEscrowProperty checks that in any order of increases of grants, reservations, settlements, flushes with lost
+// responses, returns and crashes, a row never grants or spends more than was deposited, and no request is billed twice
+// or lost.
 func TestEscrowProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
 		t.Repeat(map[string]func(*rapid.T){
-			"draw": m.draw, "reserve": m.reserve, "settle": m.settle, "flush": m.flush, "return": m.returnEscrow, "die": m.crashHolder, "": m.check,
+			"draw": m.increase, "reserve": m.reserve, "settle": m.settle, "flush": m.flush, "return": m.returnEscrow, "die": m.crashHolder, "": m.check,
 		})
 	})
 }
--- a/internal/budget/reclaim.go
+++ b/internal/budget/reclaim.go
@@ -24,17 +24,17 @@
 // fenceState is what this holder has observed of a holder that it may reclaim.
 type fenceState struct {
 	seq            uint64
-	unchangedSince time.Time // since when the journal has not changed
-	clearedAt      time.Time // start of the current period without any grant of the holder
+	unchangedSince time.Time // time of the last observed change of the journal
+	clearedAt      time.Time // start of the current period in which the holder has no grant
 }
 
-// InstanceOf returns the process of a holder id, in the form of mesh.Peer.Who.
+// InstanceOf returns the incarnation id of the instance that a holder id belongs to, as mesh.Peer.IncarnationID does.
 func InstanceOf(holder string) string {
 	id, _, _ := strings.Cut(holder, genSeparator)
 	return id
 }
 
-// sweepIfDue looks for dead holders of the zone if this instance has that duty and the sweep interval has passed.
+// sweepIfDue looks for dead holders of the zone if this instance reclaims them and the sweep interval has passed.
 func (h *Holder) sweepIfDue(ctx context.Context) {
 	now := h.now()
 	h.mu.Lock()
@@ -43,7 +43,7 @@
 		h.sweptAt = now
 	}
 	h.mu.Unlock()
-	if !due || !h.isJanitor() {
+	if !due || !h.isReclaimer() {
 		return
 	}
 	if err := h.Sweep(ctx); err != nil {
@@ -51,9 +51,9 @@
 	}
 }
 
-// isJanitor reports whether this instance has the duty of reclaiming the zone's dead holders. It does no harm if two
-// instances both assume the duty.
-func (h *Holder) isJanitor() bool {
+// isReclaimer reports whether this instance is the one that reclaims the zone's dead holders. Reclaiming stays correct
+// if two instances do it at the same time.
+func (h *Holder) isReclaimer() bool {
 	self := h.members.Self()
 	p, ok := member.Top("janitor", h.members.Zone(), "")
 	return ok && p.ID == self.ID
@@ -75,7 +75,7 @@
 			continue
 		}
 		if err := h.Reclaim(ctx, e, j); err != nil {
-			h.log.Warn().Str("event", "reclaim_waits").Str("holder", j.Holder).Err(err).Msg("a dead holder's escrow cannot be reclaimed yet")
+			h.log.Warn().Str("event", "reclaim_waits").Str("holder", j.Holder).Err(err).Msg("cannot reclaim a dead holder's escrow; the next sweep tries again")
 		}
 	}
 	return nil
@@ -86,7 +86,7 @@
 func (h *Holder) isDead(j *ledger.Journal) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if j.Holder == h.id {
+	if j.Holder == h.holder {
 		return false
 	}
 	f, ok := h.fences[j.Holder]
@@ -155,14 +155,14 @@
 		return err
 	}
 	if current.Fenced == "" {
-		return eris.Wrap(external.ErrAmbiguous, "the fence may not stand")
+		return eris.Wrap(external.ErrAmbiguous, "the fence may not have been written")
 	}
 	*j = *current
 	return nil
 }
 
-// collectReports asks every client of the dead holder. All must respond, unless an operator has released them: a
-// client that does not respond may still spend.
+// collectReports requests the reports of all clients of the dead holder. All must respond, unless an operator has
+// released them: a client that does not respond may still spend.
 func (h *Holder) collectReports(ctx context.Context, j *ledger.Journal) ([]Report, error) {
 	seen := make(map[string]bool)
 	var out []Report
@@ -199,7 +199,7 @@
 	return resp.Reports, err
 }
 
-// isReleased reports whether an operator has confirmed that a client of a holder can spend nothing any more.
+// isReleased reports whether an operator has confirmed that a client can no longer spend anything from a holder.
 func (h *Holder) isReleased(holder, client string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/budget/reclaim_move.go
+++ b/internal/budget/reclaim_move.go
@@ -88,7 +88,7 @@
 	moveConflict
 )
 
-// tryMove attempts one compare-and-swap of a page. No other write of the affected accounts runs at the same time.
+// tryMove attempts one compare-and-swap of a page. It blocks other writes of the affected accounts meanwhile.
 func (h *Holder) tryMove(ctx context.Context, e external.Entry, page *Page, j *ledger.Journal, reports []Report) (moveResult, error) {
 	budgets := budgetsGrantedTo(page, j.Holder)
 	if len(budgets) == 0 {
@@ -127,7 +127,7 @@
 	switch {
 	case !known:
 		h.abandonIncarnation(moves[0].holder)
-		return moveNothing, eris.Wrap(external.ErrAmbiguous, "the take-over's fate is unknown")
+		return moveNothing, eris.Wrap(external.ErrAmbiguous, "the outcome of the take-over is unknown")
 	case applied:
 		h.adoptMoves(moves)
 		return moveDone, nil
@@ -270,7 +270,7 @@
 	defer h.mu.Unlock()
 	now := h.now()
 	for _, m := range moves {
-		if m.holder != h.id {
+		if m.holder != h.holder {
 			continue
 		}
 		a := h.account(m.budget, now)
@@ -306,7 +306,7 @@
 }
 
 // finishReclaim removes a fenced journal once no grant of the holder has appeared for fenceRetention: a delayed write
-// of the paused holder may still arrive.
+// of a paused holder may still arrive.
 func (h *Holder) finishReclaim(ctx context.Context, j *ledger.Journal, grantsLeft bool) error {
 	h.mu.Lock()
 	now := h.now()
--- a/internal/budget/sizing.go
+++ b/internal/budget/sizing.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Demand is the input for the size of a draw. Amounts are tokens.
+// Demand is the input of a SizePolicy. Amounts are tokens.
 type Demand struct {
 	TypicalSize int64   // size of the larger recent reservations
 	Need        int64   // what the waiting reservations lack
@@ -12,14 +12,15 @@
 	Holders     int     // holders on the row, including this one
 }
 
-// SizePolicy decides how much to draw. A result below Need means that the need cannot be met.
+// SizePolicy decides by how much to increase a grant. A result below Need means that the need cannot be met.
 type SizePolicy func(Demand) int64
 
-// ByRate draws what the zone is expected to use within the horizon, but leaves the other holders their share of the
-// rest.
+// ByRate raises a grant to what the zone is expected to use within the horizon, but leaves the other holders their
+// share of the rest.
 //
 // Far from exhaustion, grants are large enough to bridge an outage of the store for the horizon. Near exhaustion,
-// each draw takes at most 1/(2 x holders) of the free tokens, so that few tokens are stranded at any one holder.
+// each increase takes at most 1/(2 x holders) of the free tokens, unless more is needed at once, so that few tokens
+// remain unused at any one holder.
 func ByRate(horizon time.Duration) SizePolicy {
 	return func(d Demand) int64 {
 		if d.Need > d.Free {
@@ -35,11 +36,11 @@
 	}
 }
 
-// minTopUpDivisor sets the smallest draw ahead of need: a draw below 1/minTopUpDivisor of the target grant is not
+// minTopUpDivisor sets the smallest increase ahead of need: one below 1/minTopUpDivisor of the target grant is not
 // worth a write.
 const minTopUpDivisor = 8
 
-// PerRequest draws exactly what is needed. It is a baseline for measurements.
+// PerRequest raises a grant by exactly what is needed. It is a baseline for measurements.
 func PerRequest() SizePolicy {
 	return func(d Demand) int64 {
 		if d.Need > d.Free {
@@ -49,7 +50,7 @@
 	}
 }
 
-// EvenSplit gives each of n holders an equal part of the deposit at its first draw and nothing later. It is a
+// EvenSplit grants each of n holders an equal part of the deposit with its first increase and nothing later. It is a
 // baseline for measurements.
 func EvenSplit(n int) SizePolicy {
 	return func(d Demand) int64 {
@@ -65,8 +66,8 @@
 	}
 }
 
-// Shares of the target grant below which a holder draws ahead of need: topUpShare with a write of its own,
-// piggybackShare along with a write of the page that happens anyway.
+// Shares of the target grant below which a holder increases its grant ahead of need: topUpShare with a write of its
+// own, piggybackShare along with a write of the page that happens anyway.
 const (
 	topUpShare             = 0.5
 	piggybackShare         = 0.8
--- a/internal/budget/tick.go
+++ b/internal/budget/tick.go
@@ -33,7 +33,8 @@
 	h.sweepIfDue(ctx)
 }
 
-// flushDue reports whether the journal should be written. A holder that has never drawn does not write one.
+// flushDue reports whether the journal should be written: there are charges to flush, or an existing journal is due for a
+// refresh. A holder that has never been used has no journal.
 func (h *Holder) flushDue() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,8 +60,8 @@
 	}
 }
 
-// returnIdle returns the escrow of budgets that are idle at this holder, and closes their grants once the journal no
-// longer references them.
+// returnIdle returns the escrow of budgets that are idle at this holder. It closes their grants once the journal no
+// longer references these budgets.
 func (h *Holder) returnIdle(ctx context.Context) {
 	for _, a := range h.idleAccounts() {
 		h.mu.Lock()
@@ -105,7 +106,7 @@
 		return nil
 	}
 	a.busy = make(chan struct{})
-	holder, settled := h.id, a.settled
+	holder, settled := h.holder, a.settled
 	h.mu.Unlock()
 
 	err := h.closeRow(ctx, a.budget, holder, settled)
@@ -114,7 +115,7 @@
 	defer h.mu.Unlock()
 	close(a.busy)
 	a.busy = nil
-	if err != nil || h.id != holder {
+	if err != nil || h.holder != holder {
 		return err
 	}
 	a.granted, a.settled, a.stored = 0, 0, 0
@@ -199,7 +200,7 @@
 
 func (h *Holder) closeFinalGrant(ctx context.Context, a *account) error {
 	h.mu.Lock()
-	holder, settled := h.id, a.settled
+	holder, settled := h.holder, a.settled
 	h.mu.Unlock()
 	err := h.closeRow(ctx, a.budget, holder, settled)
 	if errors.Is(err, ErrNoGrant) {
@@ -215,7 +216,7 @@
 	}
 	defer h.journalSem.Release(1)
 	h.mu.Lock()
-	key := ledger.Key(h.members.Self().Zone, h.id)
+	key := ledger.Key(h.members.Self().Zone, h.holder)
 	h.mu.Unlock()
 	return deleteKey(external.WithDuty(ctx, external.DutyFlush), h.store, key)
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestJournalOfNewerBuild(t *testing.T) {
-	Convey("A journal written by a newer build and fenced by this one keeps the fields that this build does not know", t, func() {
+	Convey("A journal written by a newer build and fenced by this one keeps the fields that are unknown to this build", t, func() {
 		raw, err := cbor.Marshal(map[int]any{1: "a~1", 2: "z", 3: 7, 4: "", 90: map[string]int{"held": 5}})
 		So(err, ShouldBeNil)
 		j, err := Decode(raw)
