--- a/internal/budget/client.go
+++ b/internal/budget/client.go
@@ -203,7 +203,7 @@
 		}
 	}
 	if errors.Is(last, mesh.ErrUnreachable) || errors.Is(last, mesh.ErrNoReply) {
-		last = unready("the budget's holder does not answer", last)
+		last = unavailable("the budget's holder does not answer", last)
 	}
 	return nil, ReserveResp{}, last
 }
@@ -306,7 +306,7 @@
 			verdict.WithRetryAfter(time.Second))
 	}
 	if h.c.now().Sub(h.requestedAt) > h.c.maxHold {
-		return verdict.New(verdict.NotRun, verdict.CodeBudgetUnready, "the reservation is too old to be used",
+		return verdict.New(verdict.NotRun, verdict.CodeBudgetUnavailable, "the reservation is too old to be used",
 			verdict.WithRetryAfter(time.Second))
 	}
 	h.state = stateDispatched
--- a/internal/budget/holder.go
+++ b/internal/budget/holder.go
@@ -262,13 +262,13 @@
 		select {
 		case <-wait:
 		case <-ctx.Done():
-			return ReserveResp{}, unready("the reservation took too long", ctx.Err())
+			return ReserveResp{}, unavailable("the reservation took too long", ctx.Err())
 		}
 	}
 }
 
-func unready(detail string, cause error) error {
-	return verdict.New(verdict.NotRun, verdict.CodeBudgetUnready, detail,
+func unavailable(detail string, cause error) error {
+	return verdict.New(verdict.NotRun, verdict.CodeBudgetUnavailable, detail,
 		verdict.WithRetryAfter(time.Second), verdict.WithCause(cause))
 }
 
@@ -285,7 +285,7 @@
 		return nil
 	}
 	if err := h.writeJournal(ctx, client, nil); err != nil {
-		return unready("the store does not list this serving instance yet", err)
+		return unavailable("the store does not list this serving instance yet", err)
 	}
 	return nil
 }
@@ -383,7 +383,7 @@
 	case errors.Is(a.increaseErr, ErrExhausted):
 		return verdict.New(verdict.NotRun, verdict.CodeBudgetExhausted, "budget "+budget+" has too little left")
 	default:
-		return unready("the budget's escrow here is used up and the store cannot be asked", a.increaseErr)
+		return unavailable("the budget's escrow here is used up and the store cannot be asked", a.increaseErr)
 	}
 }
 
--- a/internal/budget/holder_test.go
+++ b/internal/budget/holder_test.go
@@ -89,7 +89,7 @@
 			for i := 0; err == nil; i++ {
 				err = reserve(h, fmt.Sprintf("r%d", i), 500)
 			}
-			So(verdict.From(err).Code(), ShouldEqual, verdict.CodeBudgetUnready)
+			So(verdict.From(err).Code(), ShouldEqual, verdict.CodeBudgetUnavailable)
 			So(verdict.From(err).RetryAfter(), ShouldBeGreaterThan, time.Duration(0))
 		})
 		Convey("a clean stop leaves the spent tokens and no grant in the store", func() {
--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -154,7 +154,7 @@
 	switch o.Code {
 	case verdict.CodeBudgetExhausted:
 		c.Exhausted = 1
-	case verdict.CodeBudgetUnready:
+	case verdict.CodeBudgetUnavailable:
 		c.Unready = 1
 	default:
 	}
--- a/internal/demo/caller.go
+++ b/internal/demo/caller.go
@@ -306,7 +306,7 @@
 		cl.turnedAway++
 	}
 	cl.code = verdict.Code(p.Title)
-	if cl.code == verdict.CodeBudgetExhausted || cl.code == verdict.CodeBudgetUnready {
+	if cl.code == verdict.CodeBudgetExhausted || cl.code == verdict.CodeBudgetUnavailable {
 		c.books.refused(cl)
 	}
 	if cl.code == verdict.CodeBudgetExhausted || cl.code == verdict.CodeClaimTaken {
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -154,7 +154,7 @@
 		}
 	}
 	if size > limit {
-		return verdict.New(verdict.NotRun, verdict.CodeHeadTooLarge, "the head is over "+strconv.Itoa(limit)+" bytes")
+		return verdict.New(verdict.NotRun, verdict.CodeHeaderTooLarge, "the head is over "+strconv.Itoa(limit)+" bytes")
 	}
 	return nil
 }
--- a/internal/escrow/group.go
+++ b/internal/escrow/group.go
@@ -265,7 +265,7 @@
 	if a := h.accounts[l.Customer]; a != nil {
 		after = h.retryAfter(a, l.MaxTokens)
 	}
-	return nil, verdict.New(verdict.NotRun, verdict.CodeBudgetUnready, "nothing to lend", verdict.WithRetryAfter(after), verdict.WithCause(err))
+	return nil, verdict.New(verdict.NotRun, verdict.CodeBudgetUnavailable, "nothing to lend", verdict.WithRetryAfter(after), verdict.WithCause(err))
 }
 
 // Lend reserves a part of this holder's grant for a request at another holder.
--- a/internal/escrow/reserve.go
+++ b/internal/escrow/reserve.go
@@ -230,7 +230,7 @@
 
 // refuseBudget returns a temporary rejection.
 func refuseBudget(detail string, after time.Duration) error {
-	return verdict.New(verdict.NotRun, verdict.CodeBudgetUnready, detail, verdict.WithRetryAfter(after))
+	return verdict.New(verdict.NotRun, verdict.CodeBudgetUnavailable, detail, verdict.WithRetryAfter(after))
 }
 
 // refreshMayHelp reports whether a refresh is likely to be answered and to raise the grant.
--- a/internal/gateway/attach.go
+++ b/internal/gateway/attach.go
@@ -181,7 +181,7 @@
 		Request: j.id, Budget: j.budget, Customer: j.customer, Tokens: j.tokens, Place: rec.Place, Keyed: true,
 	})
 	if err != nil {
-		return verdict.New(verdict.MayHaveRun, verdict.CodeBudgetUnready, "the request's reservation cannot be asked for",
+		return verdict.New(verdict.MayHaveRun, verdict.CodeBudgetUnavailable, "the request's reservation cannot be asked for",
 			verdict.WithRetryAfter(time.Second), verdict.WithCause(err))
 	}
 	if resp.Outcome == budget.Granted {
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -37,61 +37,61 @@
 
 // Reasons why a request ends without a complete response.
 const (
-	CodeBadRequest       Code = "bad-request"
-	CodeUnauthenticated  Code = "unauthenticated"
-	CodeForbidden        Code = "forbidden"
-	CodeNotFound         Code = "not-found"
-	CodeTooLarge         Code = "too-large"
-	CodeHeadTooLarge     Code = "head-too-large"
-	CodeKeyReused        Code = "key-reused"
-	CodeBudgetExhausted  Code = "budget-exhausted"
-	CodeBudgetUnknown    Code = "budget-unknown"
-	CodeBudgetUnready    Code = "budget-unavailable"
-	CodeOverloaded       Code = "overloaded"
-	CodeDeadline         Code = "deadline"
-	CodeTimeout          Code = "timeout"
-	CodeNoEndpoint       Code = "no-endpoint"
-	CodeEndpointRefused  Code = "endpoint-refused"
-	CodeEndpointLimit    Code = "endpoint-limit"
-	CodeEndpointFailed   Code = "endpoint-failed"
-	CodeClaimUnavailable Code = "claim-unavailable"
-	CodeClaimTaken       Code = "claim-taken"
-	CodeTruncated        Code = "truncated"
-	CodeStopping         Code = "stopping"
-	CodeCancelled        Code = "cancelled"
-	CodeConflict         Code = "conflict"
-	CodeUnavailable      Code = "unavailable"
-	CodeQuarantined      Code = "request-quarantined"
-	CodeInternal         Code = "internal"
+	CodeBadRequest        Code = "bad-request"
+	CodeUnauthenticated   Code = "unauthenticated"
+	CodeForbidden         Code = "forbidden"
+	CodeNotFound          Code = "not-found"
+	CodeTooLarge          Code = "too-large"
+	CodeHeaderTooLarge    Code = "head-too-large"
+	CodeKeyReused         Code = "key-reused"
+	CodeBudgetExhausted   Code = "budget-exhausted"
+	CodeBudgetUnknown     Code = "budget-unknown"
+	CodeBudgetUnavailable Code = "budget-unavailable"
+	CodeOverloaded        Code = "overloaded"
+	CodeDeadline          Code = "deadline"
+	CodeTimeout           Code = "timeout"
+	CodeNoEndpoint        Code = "no-endpoint"
+	CodeEndpointRefused   Code = "endpoint-refused"
+	CodeEndpointLimit     Code = "endpoint-limit"
+	CodeEndpointFailed    Code = "endpoint-failed"
+	CodeClaimUnavailable  Code = "claim-unavailable"
+	CodeClaimTaken        Code = "claim-taken"
+	CodeTruncated         Code = "truncated"
+	CodeStopping          Code = "stopping"
+	CodeCancelled         Code = "cancelled"
+	CodeConflict          Code = "conflict"
+	CodeUnavailable       Code = "unavailable"
+	CodeQuarantined       Code = "request-quarantined"
+	CodeInternal          Code = "internal"
 )
 
 var statuses = map[Code]int{
-	CodeBadRequest:       http.StatusBadRequest,
-	CodeUnauthenticated:  http.StatusUnauthorized,
-	CodeForbidden:        http.StatusForbidden,
-	CodeNotFound:         http.StatusNotFound,
-	CodeTooLarge:         http.StatusRequestEntityTooLarge,
-	CodeHeadTooLarge:     http.StatusRequestHeaderFieldsTooLarge,
-	CodeKeyReused:        http.StatusUnprocessableEntity,
-	CodeBudgetExhausted:  http.StatusPaymentRequired,
-	CodeBudgetUnknown:    http.StatusNotFound,
-	CodeBudgetUnready:    http.StatusServiceUnavailable,
-	CodeOverloaded:       http.StatusTooManyRequests,
-	CodeDeadline:         http.StatusServiceUnavailable,
-	CodeTimeout:          http.StatusGatewayTimeout,
-	CodeNoEndpoint:       http.StatusServiceUnavailable,
-	CodeEndpointRefused:  http.StatusServiceUnavailable,
-	CodeEndpointLimit:    http.StatusServiceUnavailable,
-	CodeEndpointFailed:   http.StatusBadGateway,
-	CodeClaimUnavailable: http.StatusServiceUnavailable,
-	CodeClaimTaken:       http.StatusConflict,
-	CodeTruncated:        http.StatusBadGateway,
-	CodeStopping:         http.StatusServiceUnavailable,
-	CodeCancelled:        statusClientClosed,
-	CodeConflict:         http.StatusConflict,
-	CodeUnavailable:      http.StatusServiceUnavailable,
-	CodeQuarantined:      http.StatusServiceUnavailable, // not permanent: the quarantine is an inference, and ends
-	CodeInternal:         http.StatusInternalServerError,
+	CodeBadRequest:        http.StatusBadRequest,
+	CodeUnauthenticated:   http.StatusUnauthorized,
+	CodeForbidden:         http.StatusForbidden,
+	CodeNotFound:          http.StatusNotFound,
+	CodeTooLarge:          http.StatusRequestEntityTooLarge,
+	CodeHeaderTooLarge:    http.StatusRequestHeaderFieldsTooLarge,
+	CodeKeyReused:         http.StatusUnprocessableEntity,
+	CodeBudgetExhausted:   http.StatusPaymentRequired,
+	CodeBudgetUnknown:     http.StatusNotFound,
+	CodeBudgetUnavailable: http.StatusServiceUnavailable,
+	CodeOverloaded:        http.StatusTooManyRequests,
+	CodeDeadline:          http.StatusServiceUnavailable,
+	CodeTimeout:           http.StatusGatewayTimeout,
+	CodeNoEndpoint:        http.StatusServiceUnavailable,
+	CodeEndpointRefused:   http.StatusServiceUnavailable,
+	CodeEndpointLimit:     http.StatusServiceUnavailable,
+	CodeEndpointFailed:    http.StatusBadGateway,
+	CodeClaimUnavailable:  http.StatusServiceUnavailable,
+	CodeClaimTaken:        http.StatusConflict,
+	CodeTruncated:         http.StatusBadGateway,
+	CodeStopping:          http.StatusServiceUnavailable,
+	CodeCancelled:         statusClientClosed,
+	CodeConflict:          http.StatusConflict,
+	CodeUnavailable:       http.StatusServiceUnavailable,
+	CodeQuarantined:       http.StatusServiceUnavailable, // not permanent: the quarantine is an inference, and ends
+	CodeInternal:          http.StatusInternalServerError,
 }
 
 // statusClientClosed is the customary status for a caller that closed the connection.
