--- a/internal/bench/store.go
+++ b/internal/bench/store.go
@@ -60,7 +60,7 @@
 	store       *external.Meter
 	mem         *memstore.Store
 	zones       [][]mesh.Peer
-	homes       map[string]*budget.Home
+	homes       map[string]*budget.Holder
 	rng         *rand.Rand
 	zipf        *rand.Zipf
 	requests    int
@@ -71,7 +71,7 @@
 func newStoreSim(ctx context.Context, zones, budgets int, remoteShare float64) (*storeSim, error) {
 	s := &storeSim{
 		remoteShare: remoteShare,
-		clock:       clock.New(), mem: memstore.New(), homes: make(map[string]*budget.Home),
+		clock:       clock.New(), mem: memstore.New(), homes: make(map[string]*budget.Holder),
 		rng: rand.New(rand.NewPCG(7, 7)), //nolint:gosec // a simulation
 	}
 	s.store = external.NewMeter(s.mem)
@@ -86,7 +86,7 @@
 		peers := peersOf(fmt.Sprintf("z%02d", z), instancesPerZone)
 		s.zones = append(s.zones, peers)
 		for _, p := range peers {
-			s.homes[p.ID] = budget.NewHome(s.store, fixedMembers{self: p, zone: peers}, nil, mesh.NewRouter(), noStopper{},
+			s.homes[p.ID] = budget.NewHolder(s.store, fixedMembers{self: p, zone: peers}, nil, mesh.NewRouter(), noStopper{},
 				budget.WithTimes(times), budget.WithClock(s.clock.Now))
 		}
 	}
@@ -130,7 +130,7 @@
 	if err := s.reserveAndSettle(ctx, req, rank, zone, client); err != nil {
 		return err
 	}
-	home := budget.Homes(budgetID(rank), s.zones[zone], client.ID)[0]
+	home := budget.HolderCandidates(budgetID(rank), s.zones[zone], client.ID)[0]
 	return s.reserveAndSettle(ctx, req+"-own", rank, zone, home)
 }
 
@@ -138,7 +138,7 @@
 func (s *storeSim) reserveAndSettle(ctx context.Context, req string, rank, zone int, client mesh.Peer) error {
 	id := budgetID(rank)
 	peers := s.zones[zone]
-	h := s.homes[budget.Homes(id, peers, client.ID)[0].ID]
+	h := s.homes[budget.HolderCandidates(id, peers, client.ID)[0].ID]
 	_, err := h.Reserve(ctx, client.IncarnationID(), budget.ReserveReq{
 		Request: req, Budget: id, Customer: benchCustomer, Tokens: reservedTokens, Place: budget.Place{Run: req},
 	})
@@ -149,7 +149,7 @@
 		}
 		return err
 	}
-	return h.Settle(ctx, budget.SettleReq{Request: req, Budget: id, Run: req, Holder: h.Holder(), Tokens: tokensPerRequest})
+	return h.Settle(ctx, budget.SettleReq{Request: req, Budget: id, Run: req, Holder: h.ID(), Tokens: tokensPerRequest})
 }
 
 // totalCalls adds up the calls of all duties.
--- a/internal/budget/home_test.go
+++ b/internal/budget/holder_test.go
@@ -34,7 +34,7 @@
 	deposit  = 10_000
 )
 
-func newTestHome(t *testing.T) (*Home, *memstore.Store) {
+func newTestHolder(t *testing.T) (*Holder, *memstore.Store) {
 	t.Helper()
 	store := memstore.New()
 	var page Page
@@ -53,20 +53,20 @@
 	view := pairView{mesh.Peer{ID: "a", Zone: "z", Incarnation: "x"}, mesh.Peer{ID: "b", Zone: "z", Incarnation: "x"}}
 	times := DefaultTimes()
 	times.Flush = 0
-	return NewHome(store, view, nil, mesh.NewRouter(), noopStopper{}, WithTimes(times)), store
+	return NewHolder(store, view, nil, mesh.NewRouter(), noopStopper{}, WithTimes(times)), store
 }
 
-func reserve(h *Home, request string, n int64) error {
+func reserve(h *Holder, request string, n int64) error {
 	_, err := h.Reserve(context.Background(), clientID, ReserveReq{
 		Request: request, Budget: "budget", Customer: "c", Tokens: n, Place: Place{Run: "run-" + request},
 	})
 	return err
 }
 
-func TestHome(t *testing.T) {
+func TestHolder(t *testing.T) {
 	ctx := context.Background()
 	Convey("Given a holder", t, func() {
-		h, store := newTestHome(t)
+		h, store := newTestHolder(t)
 		Convey("a reservation that was abandoned before it arrived is rejected, since no client would settle it", func() {
 			So(h.Settle(ctx, SettleReq{Request: "r", Budget: "budget", Run: "run-r"}), ShouldBeNil)
 			So(verdict.Of(reserve(h, "r", 10)), ShouldEqual, verdict.NotRun)
@@ -74,7 +74,7 @@
 		})
 		Convey("a request that was settled as not run can be reserved again", func() {
 			So(reserve(h, "r", 10), ShouldBeNil)
-			So(h.Settle(ctx, SettleReq{Request: "r", Budget: "budget", Run: "run-r", Holder: h.Holder()}), ShouldBeNil)
+			So(h.Settle(ctx, SettleReq{Request: "r", Budget: "budget", Run: "run-r", Holder: h.ID()}), ShouldBeNil)
 			So(reserve(h, "r", 10), ShouldBeNil)
 		})
 		Convey("another customer's budget is reported as unknown", func() {
@@ -89,12 +89,12 @@
 			for i := 0; err == nil; i++ {
 				err = reserve(h, fmt.Sprintf("r%d", i), 500)
 			}
-			So(verdict.From(err).Code(), ShouldEqual, verdict.CodeBudgetUnready)
+			So(verdict.From(err).Code(), ShouldEqual, verdict.CodeBudgetUnavailable)
 			So(verdict.From(err).RetryAfter(), ShouldBeGreaterThan, time.Duration(0))
 		})
 		Convey("a clean stop leaves the spent tokens and no grant in the store", func() {
 			So(reserve(h, "r", 100), ShouldBeNil)
-			So(h.Settle(ctx, SettleReq{Request: "r", Budget: "budget", Run: "run-r", Holder: h.Holder(), Tokens: 60}), ShouldBeNil)
+			So(h.Settle(ctx, SettleReq{Request: "r", Budget: "budget", Run: "run-r", Holder: h.ID(), Tokens: 60}), ShouldBeNil)
 			So(h.Stop(ctx), ShouldBeNil)
 			v, err := Inspect(ctx, store, "budget")
 			So(err, ShouldBeNil)
--- a/internal/demo/caller.go
+++ b/internal/demo/caller.go
@@ -308,7 +308,7 @@
 		cl.refusedCount++
 	}
 	cl.code = verdict.Code(p.Title)
-	if cl.code == verdict.CodeBudgetExhausted || cl.code == verdict.CodeBudgetUnready {
+	if cl.code == verdict.CodeBudgetExhausted || cl.code == verdict.CodeBudgetUnavailable {
 		c.accounts.recordRefusal(cl)
 	}
 	if cl.code == verdict.CodeBudgetExhausted || cl.code == verdict.CodeClaimTaken {
--- a/internal/demo/faults.go
+++ b/internal/demo/faults.go
@@ -110,7 +110,7 @@
 func mostReserved(nodes []*node) *node {
 	best := nodes[0]
 	for _, n := range nodes[1:] {
-		if n.in.Home().Stats().Reserved > best.in.Home().Stats().Reserved {
+		if n.in.Holder().Stats().Reserved > best.in.Holder().Stats().Reserved {
 			best = n
 		}
 	}
@@ -121,7 +121,7 @@
 func leastReserved(nodes []*node) *node {
 	best := nodes[0]
 	for _, n := range nodes[1:] {
-		if n.in.Home().Stats().Reserved < best.in.Home().Stats().Reserved {
+		if n.in.Holder().Stats().Reserved < best.in.Holder().Stats().Reserved {
 			best = n
 		}
 	}
--- a/internal/gateway/attach.go
+++ b/internal/gateway/attach.go
@@ -79,7 +79,7 @@
 
 func (g *Gateway) startKeyed(ctx context.Context, j *job) error {
 	resp, err := g.keys.Begin(ctx, j.customer, j.keyRecord(budget.Place{}, false, 0))
-	if errors.Is(err, once.ErrHomeUnreachable) {
+	if errors.Is(err, once.ErrRegistrarUnreachable) {
 		j.provisional = true
 		g.detach(ctx, j.run)
 		return nil
@@ -181,7 +181,7 @@
 		Request: j.id, Budget: j.budget, Customer: j.customer, Tokens: j.tokens, Place: rec.Place, Keyed: true,
 	})
 	if err != nil {
-		return verdict.New(verdict.MayHaveRun, verdict.CodeBudgetUnready, "the request's reservation cannot be asked for",
+		return verdict.New(verdict.MayHaveRun, verdict.CodeBudgetUnavailable, "the request's reservation cannot be asked for",
 			verdict.WithRetryAfter(time.Second), verdict.WithCause(err))
 	}
 	if resp.Outcome == budget.Granted {
--- a/internal/matrix/cell_test.go
+++ b/internal/matrix/cell_test.go
@@ -350,7 +350,7 @@
 	out := make(map[string]bool)
 	for _, n := range f.nodes {
 		if !n.isCrashed() {
-			out[n.home.Holder()] = true
+			out[n.home.ID()] = true
 		}
 	}
 	return out
@@ -358,7 +358,7 @@
 
 // homeOf returns the instance that holds the test budget's escrow for a serving instance.
 func (f *testFleet) homeOf(n *node) *node {
-	homes := budget.Homes(testBudget, members{n}.Zone(), n.peer.ID)
+	homes := budget.HolderCandidates(testBudget, members{n}.Zone(), n.peer.ID)
 	return f.node(homes[0].ID)
 }
 
--- a/internal/matrix/fleet_test.go
+++ b/internal/matrix/fleet_test.go
@@ -66,7 +66,7 @@
 
 var testTimes = budget.Times{
 	Tick: time.Millisecond, Flush: 0, RefreshInterval: time.Second, Horizon: time.Minute, Idle: time.Hour, OrphanTimeout: 10 * time.Second,
-	DeadTimeout: 4 * time.Second, DrawBackoff: 10 * time.Millisecond, DoneRetention: time.Hour,
+	DeadTimeout: 4 * time.Second, IncreaseBackoff: 10 * time.Millisecond, DoneRetention: time.Hour,
 }
 
 func newFleet(t *testing.T) *testFleet { return newFleetWith(t, func(*testFleet) {}) }
@@ -204,7 +204,7 @@
 	n.feed.OnChange(tg.SetDocument)
 	driver := endpoint.NewDriverWith(gatedTransport{n})
 	stopper := endpoint.NewStopper(driver, tg)
-	n.home = budget.NewHome(store, m, caller, router, stopper, budget.WithTimes(testTimes), budget.WithClock(f.clock.Now), budget.WithHook(n.hook),
+	n.home = budget.NewHolder(store, m, caller, router, stopper, budget.WithTimes(testTimes), budget.WithClock(f.clock.Now), budget.WithHook(n.hook),
 		budget.WithKeyCheck(func(ctx context.Context, customer, request string, place budget.Place, tokens int64) (bill, sure bool) {
 			return n.keys.BillOrphan(ctx, customer, request, place, tokens)
 		}))
@@ -336,7 +336,7 @@
 		if n.isCrashed() {
 			continue
 		}
-		holders[n.home.Holder()] = true
+		holders[n.home.ID()] = true
 		if n.client.Open() > 0 || n.home.OpenCount() > 0 {
 			return false
 		}
