--- a/internal/feed/fuzz_test.go
+++ b/internal/feed/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/ledgemount/ledgemount/internal/route"
 )
 
-// FuzzUpdateReply checks that no update reply makes the process panic or decompress without bound.
-func FuzzUpdateReply(f *testing.F) {
+// FuzzNews checks that no update reply makes the process panic or decompress without bound.
+func FuzzNews(f *testing.F) {
 	all, err := pack([]pool.Endpoint{endpoint("e-1")})
 	if err != nil {
 		f.Fatal(err)
