--- a/internal/budget/holder.go
+++ b/internal/budget/holder.go
@@ -118,7 +118,7 @@
 
 // Stats contains counters since the start.
 type Stats struct {
-	Reserved, Refused, Increases, Returns, Flushes, Reclaims, Orphans, Fenced int64
+	Reserved, Rejected, Increases, Returns, Flushes, Reclaims, Orphans, Fenced int64
 }
 
 // KeyCheck asks the registrar of a keyed request, the instance that stores the key's record, whether an orphaned run of
@@ -192,9 +192,9 @@
 		h.holder = fmt.Sprintf("%s%s%d", h.holder, genSeparator, h.gen)
 	}
 	for _, batch := range h.queuedIncreases {
-		for _, d := range batch {
-			close(d.a.busy) // the waiters start over
-			d.a.busy = nil
+		for _, inc := range batch {
+			close(inc.a.busy) // the waiters start over
+			inc.a.busy = nil
 		}
 	}
 	h.accounts = make(map[string]*account)
@@ -321,7 +321,7 @@
 		return ReserveResp{}, a.busy, nil
 	}
 	if now.Before(a.blockedUntil) && a.increaseErr != nil {
-		h.stats.Refused++
+		h.stats.Rejected++
 		return ReserveResp{}, nil, h.denial(a, req.Budget)
 	}
 	h.startIncrease(a, req.Tokens-a.available())
--- a/internal/budget/increase.go
+++ b/internal/budget/increase.go
@@ -19,7 +19,7 @@
 	storeTimeout        = 4 * time.Second
 	recallTimeout       = 400 * time.Millisecond
 	maxRecallPeers      = 16
-	burstFactor         = 8  // a holder's first grant is up to this many times the need,
+	burstFactor         = 8  // a holder's first grant is up to this many times the need, if enough is free,
 	burstDivisor        = 64 // or up to 1/burstDivisor of the row's free tokens, if that is more
 	retryBackoff        = 2 * time.Millisecond
 	maxBackoffDoublings = 6
@@ -109,40 +109,40 @@
 	ctx, cancel := context.WithTimeout(external.WithDuty(h.ctx, external.DutyDraw), storeTimeout)
 	defer cancel()
 	h.increaseGrants(ctx, page, holder, batch)
-	for _, d := range batch {
-		if d.need > 0 && errors.Is(d.err, ErrExhausted) {
-			h.jobs.Go(func() { h.retryAfterRecall(page, holder, d) })
+	for _, inc := range batch {
+		if inc.need > 0 && errors.Is(inc.err, ErrExhausted) {
+			h.jobs.Go(func() { h.retryAfterRecall(page, holder, inc) })
 			continue
 		}
-		h.finishIncrease(d)
+		h.finishIncrease(inc)
 	}
 }
 
 // retryAfterRecall asks the other holders to return escrow that they do not need. If any is returned, it tries the
 // increase again.
-func (h *Holder) retryAfterRecall(page uint16, holder string, d *pendingIncrease) {
+func (h *Holder) retryAfterRecall(page uint16, holder string, inc *pendingIncrease) {
 	ctx, cancel := context.WithTimeout(external.WithDuty(h.ctx, external.DutyDraw), storeTimeout)
 	defer cancel()
-	if h.recall(ctx, d.a, d.need) {
-		d.err = nil
-		h.increaseGrants(ctx, page, holder, []*pendingIncrease{d})
+	if h.recall(ctx, inc.a, inc.need) {
+		inc.err = nil
+		h.increaseGrants(ctx, page, holder, []*pendingIncrease{inc})
 	}
-	h.finishIncrease(d)
+	h.finishIncrease(inc)
 }
 
-func (h *Holder) finishIncrease(d *pendingIncrease) {
+func (h *Holder) finishIncrease(inc *pendingIncrease) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a := d.a
+	a := inc.a
 	close(a.busy)
 	a.busy = nil
 	now := h.now()
 	switch {
-	case d.err == nil:
+	case inc.err == nil:
 		a.increaseErr = nil
 		h.stats.Increases++
-	case d.need > 0:
-		a.increaseErr = d.err
+	case inc.need > 0:
+		a.increaseErr = inc.err
 		a.blockedUntil = now.Add(h.times.IncreaseBackoff)
 	default:
 		a.blockedUntil = now.Add(topUpBackoff) // no reservation waited for this increase, so none is rejected
@@ -163,12 +163,12 @@
 			func(p *Page) (bool, error) { return h.increaseRows(p, holder, batch) },
 			func(p *Page) bool { return batchApplied(p, holder, batch) })
 	}
-	for _, d := range batch {
+	for _, inc := range batch {
 		switch {
-		case err != nil && (d.err == nil || d.increased):
-			d.err = err
-		case d.increased:
-			d.err = h.adoptGrant(d, holder)
+		case err != nil && (inc.err == nil || inc.increased):
+			inc.err = err
+		case inc.increased:
+			inc.err = h.adoptGrant(inc, holder)
 		}
 	}
 }
@@ -177,54 +177,54 @@
 func (h *Holder) assignSeqs(batch []*pendingIncrease) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, d := range batch {
-		d.a.seq++
-		d.seq = d.a.seq
+	for _, inc := range batch {
+		inc.a.seq++
+		inc.seq = inc.a.seq
 	}
 }
 
 // increaseRows raises the grants of a batch on their rows. It reports whether any row has changed.
 func (h *Holder) increaseRows(p *Page, holder string, batch []*pendingIncrease) (bool, error) {
 	changed := false
-	for _, d := range batch {
-		d.increased, d.err = false, nil
-		row, err := p.Row(d.a.budget)
+	for _, inc := range batch {
+		inc.increased, inc.err = false, nil
+		row, err := p.Row(inc.a.budget)
 		if err != nil {
-			d.err = err
+			inc.err = err
 			continue
 		}
-		if d.err = h.increaseRow(row, holder, d); errors.Is(d.err, errFenced) {
-			return false, d.err
+		if inc.err = h.increaseRow(row, holder, inc); errors.Is(inc.err, errFenced) {
+			return false, inc.err
 		}
-		changed = changed || d.increased
+		changed = changed || inc.increased
 	}
 	return changed, nil
 }
 
-func (h *Holder) increaseRow(row *Row, holder string, d *pendingIncrease) error {
-	size, g, err := h.sizeIncrease(d.a, row, d.need, holder, d.seq)
+func (h *Holder) increaseRow(row *Row, holder string, inc *pendingIncrease) error {
+	size, g, err := h.sizeIncrease(inc.a, row, inc.need, holder, inc.seq)
 	if err != nil {
 		return err
 	}
-	if err := row.Increase(holder, size, g.Settled, d.seq); err != nil {
+	if err := row.Increase(holder, size, g.Settled, inc.seq); err != nil {
 		return err
 	}
-	d.increased, d.grant, d.customer = true, row.Grants[holder], row.Customer
+	inc.increased, inc.grant, inc.customer = true, row.Grants[holder], row.Customer
 	return nil
 }
 
 // batchApplied reports whether a page that was read back contains the writes of a batch. It copies the grants from
 // the page.
 func batchApplied(p *Page, holder string, batch []*pendingIncrease) bool {
-	for _, d := range batch {
-		if !d.increased {
+	for _, inc := range batch {
+		if !inc.increased {
 			continue
 		}
-		row, err := p.Row(d.a.budget)
-		if err != nil || row.Grants[holder].Seq != d.seq {
+		row, err := p.Row(inc.a.budget)
+		if err != nil || row.Grants[holder].Seq != inc.seq {
 			return false
 		}
-		d.grant, d.customer = row.Grants[holder], row.Customer
+		inc.grant, inc.customer = row.Grants[holder], row.Customer
 	}
 	return true
 }
@@ -358,15 +358,15 @@
 	return max(size, 0), g, nil
 }
 
-func (h *Holder) adoptGrant(d *pendingIncrease, holder string) error {
+func (h *Holder) adoptGrant(inc *pendingIncrease, holder string) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.holder != holder {
 		return errFenced
 	}
-	d.a.granted = d.grant.Granted
-	d.a.customer = d.customer
-	h.book.PageWritten(d.a.budget, d.grant.Settled)
+	inc.a.granted = inc.grant.Granted
+	inc.a.customer = inc.customer
+	h.book.PageWritten(inc.a.budget, inc.grant.Settled)
 	return nil
 }
 
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Verdict is what is known about the execution of one request.
+// Verdict states whether an endpoint ran a request, as far as this is known.
 type Verdict int
 
 // The verdicts. The zero value is the conservative one.
@@ -22,7 +22,7 @@
 // String returns the form used in headers and logs.
 func (v Verdict) String() string { return names[v] }
 
-// Parse parses the form that String returns. Any other input is MayHaveRun.
+// Parse parses the form that String returns. For any other input it returns MayHaveRun.
 func Parse(s string) Verdict {
 	for v, name := range names {
 		if name == s {
@@ -90,7 +90,7 @@
 	CodeCancelled:         statusClientClosed,
 	CodeConflict:          http.StatusConflict,
 	CodeUnavailable:       http.StatusServiceUnavailable,
-	CodeQuarantined:       http.StatusServiceUnavailable, // not permanent: the quarantine is an inference, and ends
+	CodeQuarantined:       http.StatusServiceUnavailable, // not permanent: a quarantine rests on an inference, and expires
 	CodeInternal:          http.StatusInternalServerError,
 }
 
@@ -118,7 +118,7 @@
 // Option adds a detail to an Error.
 type Option func(*Error)
 
-// WithField names the path of the input field at fault.
+// WithField sets the path of the input field at fault.
 func WithField(path string) Option { return func(e *Error) { e.field = path } }
 
 // WithRetryAfter sets the delay after which a retry makes sense.
