--- a/internal/budget/client.go
+++ b/internal/budget/client.go
@@ -67,7 +67,7 @@
 	successors   []holderAt // successors that may have taken the reservation over, while unconfirmed
 	unconfirmed  bool       // reported to a successor that has not confirmed the take-over
 	sending      bool
-	failingSince time.Time // since then, calls to the holder have failed; zero while they succeed
+	failingSince time.Time // when calls to the holder began to fail; zero while they succeed
 }
 
 // Client is the serving side of reservations. It keeps a second copy of all reservations and charges that are not in the
--- a/internal/budget/holder.go
+++ b/internal/budget/holder.go
@@ -46,7 +46,7 @@
 	Idle            time.Duration // unused escrow is returned after this time
 	OrphanTimeout   time.Duration // an orphan is resolved after this time; longer than the clients' DefaultMaxHold
 	DeadTimeout     time.Duration // a holder that is missing this long is reclaimed
-	IncreaseBackoff time.Duration // delay after a failed increase of a grant
+	IncreaseBackoff time.Duration // delay after a failed increase of a grant that a reservation waited for
 	DoneRetention   time.Duration // how long settled keyed requests are remembered
 }
 
--- a/internal/budget/property_test.go
+++ b/internal/budget/property_test.go
@@ -108,7 +108,7 @@
 	return i, m.reports[i]
 }
 
-// flush writes the journal. The clients may not be notified, as if the response of the store was lost.
+// flush writes the journal. In some cases the clients are not notified, as after a lost response of the store.
 func (m *model) flush(t *rapid.T) {
 	h := m.holder(t)
 	mem, j := m.holders[h], m.journal[h]
--- a/internal/budget/reclaim.go
+++ b/internal/budget/reclaim.go
@@ -28,7 +28,8 @@
 	clearedAt      time.Time // start of the current period in which the holder has no grant
 }
 
-// InstanceOf returns the incarnation id of the instance that a holder id belongs to, as mesh.Peer.IncarnationID does.
+// InstanceOf returns the incarnation id of the instance that a holder id belongs to, in the form of
+// mesh.Peer.IncarnationID.
 func InstanceOf(holder string) string {
 	id, _, _ := strings.Cut(holder, genSeparator)
 	return id
--- a/internal/budget/tick.go
+++ b/internal/budget/tick.go
@@ -33,8 +33,8 @@
 	h.sweepIfDue(ctx)
 }
 
-// flushDue reports whether the journal should be written: there are charges to flush, or an existing journal is due for a
-// refresh. A holder that has never been used has no journal.
+// flushDue reports whether the journal should be written: there are charges to flush, or an existing journal is due for
+// a refresh. A holder that has never been used has no journal.
 func (h *Holder) flushDue() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
