--- a/cmd/check.go
+++ b/cmd/check.go
@@ -23,12 +23,12 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// Execute implements flags.Commander: it prints every fault of a file with the path of its field.
+// Execute implements flags.Commander: it prints every fault of a file, with the path of the field at fault.
 func (c *checkCmd) Execute([]string) error {
 	kind, notes, err := check(c.Args.File)
 	for _, n := range notes {
 		if _, err := fmt.Fprintf(c.env.out, "%s: %s: %s\n", n.Field, n.Status, n.Detail); err != nil {
-			return eris.Wrap(err, "writing what was found")
+			return eris.Wrap(err, "writing the notes")
 		}
 	}
 	if err != nil {
--- a/cmd/keys.go
+++ b/cmd/keys.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	if err := os.MkdirAll(c.Out, dirMode); err != nil {
-		return eris.Wrap(err, "making the directory")
+		return eris.Wrap(err, "creating the directory")
 	}
 	if err := c.write("ca.pem", ca.PEM()); err != nil {
 		return err
--- a/cmd/operator.go
+++ b/cmd/operator.go
@@ -27,22 +27,22 @@
 }
 
 // call sends a request and returns the response body. A status other than 200 is an error.
-func (s *apiClient) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
+func (c *apiClient) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, clientTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(s.Address, "/")+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(c.Address, "/")+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, eris.Wrap(err, "making the request")
+		return nil, eris.Wrap(err, "creating the request")
 	}
-	req.Header.Set("Authorization", "Bearer "+s.Key)
+	req.Header.Set("Authorization", "Bearer "+c.Key)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, eris.Wrap(err, "asking the instance")
+		return nil, eris.Wrap(err, "calling the instance")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return nil, eris.Wrap(err, "reading the answer")
+		return nil, eris.Wrap(err, "reading the response")
 	}
 	if resp.StatusCode != http.StatusOK {
 		return nil, problemError(data, resp.Status)
@@ -54,7 +54,7 @@
 func problemError(data []byte, status string) error {
 	var p gateway.Problem
 	if json.Unmarshal(data, &p) != nil || p.Title == "" {
-		return eris.Errorf("the instance answered %s", status)
+		return eris.Errorf("the instance responded with status %s", status)
 	}
 	msg := fmt.Sprintf("%s: %s", p.Title, p.Detail)
 	if p.Field != "" {
@@ -154,7 +154,7 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// resources lists the resources that can be shown by name alone.
+// resources lists the resources of the operators' API that have no ID.
 var resources = []string{"config", "endpoints", "instances", "holds", "accounts", "store", "burn"}
 
 // Execute implements flags.Commander: it prints a resource of the operators' API as JSON.
@@ -168,13 +168,13 @@
 	}
 	var out bytes.Buffer
 	if err := json.Indent(&out, data, "", "  "); err != nil {
-		return eris.Wrap(err, "decoding the answer")
+		return eris.Wrap(err, "decoding the response")
 	}
 	_, err = fmt.Fprintln(c.env.out, strings.TrimSpace(out.String()))
 	return err
 }
 
-// isResource reports whether what is a resource of the operators' API that can be shown.
+// isResource reports whether the show command accepts a resource's name.
 func isResource(what string) bool {
 	for _, s := range resources {
 		if what == s {
--- a/cmd/router.go
+++ b/cmd/router.go
@@ -27,7 +27,7 @@
 }
 
 const (
-	logBufferLines       = 4096 // lines waiting to be written; beyond these, lines are dropped
+	logBufferLines       = 4096 // lines waiting to be written; further lines are discarded
 	settingsPollInterval = 2 * time.Second
 )
 
@@ -101,13 +101,13 @@
 func logNotes(log zerolog.Logger, notes []platform.Note) {
 	for _, n := range notes {
 		if n.Status == platform.FieldDefaulted {
-			log.Warn().Str("event", "setting_defaulted").Str("field", n.Field).Str("detail", n.Detail).Msg("setting is missing or invalid; using the default")
+			log.Warn().Str("event", "setting_defaulted").Str("field", n.Field).Str("detail", n.Detail).Msg("setting not taken from the settings file; see detail")
 		}
 	}
 }
 
-// newRouterLog returns a logger that never blocks. Lines that exceed the buffer are dropped; their number is written to
-// dropped as a line of its own. The returned function closes the logger.
+// newRouterLog returns a logger that never blocks. It discards lines that exceed the buffer, and writes a line with their
+// number to dropped. The returned function closes the logger.
 func newRouterLog(set *router.Settings, w, dropped io.Writer) (zerolog.Logger, func()) {
 	out := diode.NewWriter(w, logBufferLines, 0, func(missed int) {
 		_, _ = fmt.Fprintf(dropped, "{\"event\":\"log_lines_dropped\",\"lines\":%d}\n", missed)
--- a/internal/bench/balance.go
+++ b/internal/bench/balance.go
@@ -27,7 +27,7 @@
 	Seed           uint64
 }
 
-// DefaultWorkload returns the workload of one of today's larger zones at 85% load, with delayed load reports and some
+// DefaultWorkload returns the workload of one of the fleet's larger zones at 85% load, with delayed load reports and some
 // lost cache events.
 func DefaultWorkload() Workload {
 	return Workload{
@@ -100,8 +100,8 @@
 	router  int
 }
 
-// simRouter is the view of one instance: the exact number of its own requests, the requests of the other instances as
-// last reported, and an estimate of the engines' caches.
+// simRouter is the state of one router: the exact number of its own requests, the requests of the other routers as last
+// reported, and an estimate of the engines' caches.
 type simRouter struct {
 	own      []int
 	reported []int // the other routers' requests by engine, as last reported
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -16,7 +16,7 @@
 }
 
 func TestDefaultPolicyIsTheBest(t *testing.T) {
-	Convey("On the seeded workload, the default policy's first token beats power of two by a fifth and random by half, at p95", t, func() {
+	Convey("On the seeded workload, the p95 time to the first token is more than 1.2 times as long with power of two as with the default policy, and more than twice as long with random", t, func() {
 		w := DefaultWorkload()
 		w.Requests = 20_000
 		results := BalanceTable(w)
--- a/internal/bench/budget.go
+++ b/internal/bench/budget.go
@@ -24,7 +24,7 @@
 	ReserveAllocs float64 `json:"reserve_settle_allocs"`
 	RowBytes      float64 `json:"row_bytes"`
 	LargestPage   int     `json:"largest_page_bytes"`
-	StartMS       float64 `json:"first_draw_of_all_ms"` // one holder draws from every budget once
+	StartMS       float64 `json:"first_draw_of_all_ms"` // time of one request on every budget
 	IdleMemory    Slope   `json:"idle_memory"`
 	BusyMemory    Slope   `json:"busy_memory"`
 }
@@ -74,8 +74,8 @@
 
 type memoryUse struct{ idle, busy float64 }
 
-// measureMemory draws from every budget once, then opens a reservation on each. It also measures the times; those of the
-// last call remain in res.
+// measureMemory makes one request on every budget, then opens a reservation on each. It also measures times; res contains
+// those of the last call.
 func measureMemory(ctx context.Context, n int, res *BudgetResult) (memoryUse, error) {
 	h, store, row, err := newHolder(ctx, n)
 	if err != nil {
--- a/internal/bench/plot.go
+++ b/internal/bench/plot.go
@@ -21,7 +21,7 @@
 // Plots writes a plot of every slope as an SVG file to a directory.
 func (r *Result) Plots(dir string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
-		return eris.Wrap(err, "making the directory")
+		return eris.Wrap(err, "creating the directory")
 	}
 	for _, s := range r.Slopes() {
 		if err := s.plot(dir); err != nil {
--- a/internal/bench/store.go
+++ b/internal/bench/store.go
@@ -23,7 +23,7 @@
 	instancesPerZone     = 15
 )
 
-// StoreResult is the load on the store by duty.
+// StoreResult is the load on the store, in total and by the purpose of the calls.
 type StoreResult struct {
 	Writes              Slope                            `json:"writes_per_s"`
 	Reads               Slope                            `json:"reads_per_s"`
@@ -36,13 +36,13 @@
 	Assumptions         string                           `json:"assumed"`
 }
 
-// The simulated traffic. The popularity of budgets follows Zipf's law. The most popular budgets are used from every zone,
-// the others mostly from their own zone.
+// The simulated traffic. The popularity of budgets follows Zipf's law. The most popular budgets are used in every zone,
+// the others mostly in their own zone.
 const (
 	zipfS              = 1.05
 	zipfV              = 20
-	globalBudgets      = 100  // number of budgets that are used from every zone
-	defaultRemoteShare = 0.01 // share of the other budgets' requests that come from any zone
+	globalBudgets      = 100  // number of budgets that are used in every zone
+	defaultRemoteShare = 0.01 // share of the other budgets' requests that are made in a random zone
 	tokensPerRequest   = 348  // 320,000 tokens per second at 920 requests per second
 	reservedTokens     = 1_000
 	warmUpSeconds      = 30
@@ -65,7 +65,7 @@
 	zipf        *rand.Zipf
 	requests    int
 	rejected    int
-	remoteShare float64 // share of the other budgets' requests that come from any zone
+	remoteShare float64 // share of the requests on less popular budgets that are made in a random zone
 }
 
 func newStoreSim(ctx context.Context, zones, budgets int, remoteShare float64) (*storeSim, error) {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// request makes one request of a random budget, from a zone that the budget's popularity decides.
+// request makes one request on a random budget, in a zone that depends on the budget's popularity.
 func (s *storeSim) request(ctx context.Context) error {
 	rank := int(s.zipf.Uint64()) //nolint:gosec // below the number of budgets
 	zone := rank % len(s.zones)
@@ -123,9 +123,9 @@
 	return s.reserveAndSettle(ctx, fmt.Sprintf("r-%d", s.requests), rank, zone, s.zones[zone][s.rng.IntN(instancesPerZone)])
 }
 
-// requestAtBothHomes makes one request at each of a budget's two homes: the zone's home, and the home of requests that
-// the zone's home serves itself.
-func (s *storeSim) requestAtBothHomes(ctx context.Context, req string, rank int, client mesh.Peer) error {
+// requestAtBothHolders makes one request at each of a budget's two holders in its zone: the usual one, and the one that
+// reserves for requests that the usual holder itself serves.
+func (s *storeSim) requestAtBothHolders(ctx context.Context, req string, rank int, client mesh.Peer) error {
 	zone := rank % len(s.zones)
 	if err := s.reserveAndSettle(ctx, req, rank, zone, client); err != nil {
 		return err
@@ -134,7 +134,7 @@
 	return s.reserveAndSettle(ctx, req+"-own", rank, zone, home)
 }
 
-// reserveAndSettle makes one request of a budget at its home. It counts a request that was rejected as not run.
+// reserveAndSettle makes one request on a budget at its holder. It counts a request that was rejected as not run.
 func (s *storeSim) reserveAndSettle(ctx context.Context, req string, rank, zone int, client mesh.Peer) error {
 	id := budgetID(rank)
 	peers := s.zones[zone]
@@ -152,7 +152,7 @@
 	return h.Settle(ctx, budget.SettleReq{Request: req, Budget: id, Run: req, Holder: h.Holder(), Tokens: tokensPerRequest})
 }
 
-// totalCalls adds up the calls of all duties.
+// totalCalls adds up the calls for all purposes.
 func totalCalls(calls map[external.Duty]external.Calls) (out external.Calls) {
 	for _, c := range calls {
 		out.Writes += c.Writes
@@ -242,7 +242,7 @@
 			s.requests++
 			req := fmt.Sprintf("first-%d", rank)
 			client := s.zones[rank%len(s.zones)][s.rng.IntN(instancesPerZone)]
-			g.Go(func() error { return s.requestAtBothHomes(ctx, req, rank, client) })
+			g.Go(func() error { return s.requestAtBothHolders(ctx, req, rank, client) })
 		}
 		if err := g.Wait(); err != nil {
 			return err
--- a/internal/bench/testbed.go
+++ b/internal/bench/testbed.go
@@ -124,7 +124,7 @@
 	}
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+tb.instances[0].OperatorsAddr()+path, bytes.NewReader(data))
 	if err != nil {
-		return eris.Wrap(err, "making a request")
+		return eris.Wrap(err, "creating a request")
 	}
 	req.Header.Set("Authorization", "Bearer "+benchOperator)
 	resp, err := http.DefaultClient.Do(req)
--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -31,7 +31,7 @@
 // Counts holds the numbers of requests by outcome, such as those of one minute.
 type Counts struct {
 	Total        int64 `cbor:"1,keyasint" json:"total"`
-	Whole        int64 `cbor:"2,keyasint" json:"whole"`          // answered completely
+	Whole        int64 `cbor:"2,keyasint" json:"whole"`          // got a complete response
 	LateFirst    int64 `cbor:"3,keyasint" json:"late_first"`     // first token later than the class's objective
 	LateBetween  int64 `cbor:"4,keyasint" json:"late_between"`   // gap between tokens longer than the class's objective
 	NotRun       int64 `cbor:"5,keyasint" json:"not_run"`        // rejected, not run
--- a/internal/declare/declare.go
+++ b/internal/declare/declare.go
@@ -86,7 +86,7 @@
 	Repeatable bool   `json:"repeatable"`
 }
 
-// Release is an operator's confirmation that a client of a dead holder can no longer spend anything.
+// Release is an operator's confirmation that a client of a terminated holder can no longer spend tokens.
 type Release struct {
 	Holder string `json:"holder" validate:"required"`
 	Client string `json:"client" validate:"required"`
@@ -116,7 +116,7 @@
 	Fences  Fences       `json:"fences,omitempty"`
 	Decl    Declarations `json:"declarations"`
 
-	unknown error // fields from a later build that this one does not know; nil if there are none
+	unknown error // lists fields that a later build wrote and this build does not support; nil if there are none
 }
 
 // Fences holds the fencing token of the latest order to each endpoint: the document version that last changed the endpoint.
@@ -125,7 +125,7 @@
 // maxApplied is the number of plan ids that a document retains.
 const maxApplied = 512
 
-// HasApplied reports whether the document contains the changes of a plan. It knows only the plans whose ids it retains.
+// HasApplied reports whether the document contains the changes of a plan. It finds only the latest maxApplied plans.
 func (d *Document) HasApplied(plan string) bool {
 	for _, id := range d.Applied {
 		if id == plan {
--- a/internal/declare/decode.go
+++ b/internal/declare/decode.go
@@ -66,7 +66,7 @@
 	return out
 }
 
-// typeFaults converts the decoder's errors to faults. root is the decoder's name for the input as a whole.
+// typeFaults converts the decoder's errors to faults. root is the name that the decoder gives to the root of the input.
 func typeFaults(err error, root string) Faults {
 	var joined interface{ Unwrap() []error }
 	if errors.As(err, &joined) {
--- a/internal/declare/document.go
+++ b/internal/declare/document.go
@@ -19,7 +19,7 @@
 	return d, nil
 }
 
-// unknownFieldFaults returns the faults of err that are about fields unknown to this build.
+// unknownFieldFaults returns the faults of err that concern fields unknown to this build.
 func unknownFieldFaults(err error) error {
 	var all, out Faults
 	if errors.As(err, &all) {
@@ -32,8 +32,8 @@
 	return out.OrNil()
 }
 
-// CheckWritable returns an error if a later build has written fields that this one does not know: a configuration written
-// by this build would lose them.
+// CheckWritable returns an error if a later build has written fields that this build does not support. A configuration
+// written by this build would lose them.
 func (d *Document) CheckWritable() error {
 	if d.unknown == nil {
 		return nil
--- a/internal/demo/audit.go
+++ b/internal/demo/audit.go
@@ -16,7 +16,7 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// audit holds the auditor's findings. The auditor trusts no instance: it reads the endpoints' logs, the store and the
+// audit holds the findings of the auditor, which trusts no instance: it reads the endpoints' logs, the store and the
 // callers' records.
 type audit struct {
 	Overspend    int64
@@ -72,7 +72,7 @@
 func runAudit(ctx context.Context, s *scenario, calls []*call) (*audit, error) {
 	a := &audit{crashed: s.f.hasCrashed()}
 	ran := s.f.runsByText()
-	a.checkAnswers(calls, ran, s.f)
+	a.checkResponses(calls, ran, s.f)
 	a.checkPayments(calls, s.f)
 	a.checkDrains(s)
 	if err := a.checkBills(ctx, s.f, calls, ran); err != nil {
@@ -81,7 +81,7 @@
 	return a, nil
 }
 
-func (a *audit) checkAnswers(calls []*call, ran map[uint64]promptRuns, f *fleet) {
+func (a *audit) checkResponses(calls []*call, ran map[uint64]promptRuns, f *fleet) {
 	for _, c := range calls {
 		if len(c.verdicts) == 0 {
 			a.Lost++
--- a/internal/demo/audit_test.go
+++ b/internal/demo/audit_test.go
@@ -6,8 +6,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Under load, a demo with a crashed home instance reported unbilled calls, for two reasons. In one run the instance
-// crashed before the store's response to its last write of charges arrived. The store had accepted the write, and its
+// Under load, a demo in which the holder of a budget crashed reported unbilled calls, for two reasons. In one run the
+// holder crashed before the store's response to its last write of charges arrived. The store had accepted the write, and its
 // sums were right. In another run the reservation of a payment that the crashed instance had sent stayed held, because
 // the outcome of its run was unknown. It must stay held until an operator releases it.
 func TestAuditOfCrashes(t *testing.T) {
--- a/internal/demo/caller.go
+++ b/internal/demo/caller.go
@@ -63,7 +63,7 @@
 	return c.verdicts[len(c.verdicts)-1]
 }
 
-// refusals returns how often an instance refused the call as not run.
+// refusals returns how often instances refused the call as not run.
 func (c *call) refusals() int { return c.refusedCount }
 
 // mayHaveRun reports whether any attempt may have run.
@@ -254,7 +254,7 @@
 	return live[rng.IntN(len(live))]
 }
 
-// attempt sends the call once. It reports whether another attempt with the same key makes sense.
+// attempt sends the call once. It reports whether the caller should try again with the same key.
 func (c *callers) attempt(ctx context.Context, cl *call, zone string, rng *rand.Rand, disconnect bool) bool {
 	n := c.pick(zone, rng)
 	if n == nil {
@@ -347,7 +347,7 @@
 	return c.connectionFailed(cl, n, err)
 }
 
-var errDisconnected = errors.New("the caller hung up")
+var errDisconnected = errors.New("the caller disconnected")
 
 func readStream(cl *call, r io.Reader, start time.Time, disconnect bool) error {
 	var text strings.Builder
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -70,7 +70,7 @@
 }
 
 // ErrGuaranteeViolated is returned when the audit found a violated guarantee.
-var ErrGuaranteeViolated = errors.New("a promise was broken")
+var ErrGuaranteeViolated = errors.New("a guarantee was violated")
 
 const (
 	changeInterval = 400 * time.Millisecond
@@ -253,7 +253,7 @@
 	return float64(runs) / float64(ran)
 }
 
-// storeCalls sums up the instances' calls to the store by duty.
+// storeCalls sums up the instances' calls to the store by purpose.
 func (f *fleet) storeCalls() map[external.Duty]external.Calls {
 	out := make(map[external.Duty]external.Calls)
 	for _, n := range f.all() {
--- a/internal/demo/operator.go
+++ b/internal/demo/operator.go
@@ -54,7 +54,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+n.in.OperatorsAddr()+path, bytes.NewReader(b))
 	if err != nil {
-		return eris.Wrap(err, "making a request")
+		return eris.Wrap(err, "creating a request")
 	}
 	req.Header.Set("Authorization", "Bearer "+operatorKey)
 	resp, err := o.http.Do(req)
@@ -74,8 +74,8 @@
 	return json.Unmarshal(data, out)
 }
 
-// change plans and confirms an intent, each at the next instance in turn. It repeats the confirmation while the outcome
-// is unknown.
+// change plans and confirms an intent, and sends each request to the next instance in turn. It repeats the confirmation
+// while the outcome is unknown.
 func (o *operatorClient) change(ctx context.Context, in *intent.Intent) (*intent.Result, error) {
 	n, err := o.nextInstance()
 	if err != nil {
@@ -227,8 +227,8 @@
 	o.latency = append(o.latency, time.Since(start))
 }
 
-// raceOperators has two operators change the same object at once. Either one of them gets a conflict, or each has seen
-// the other's change.
+// raceOperators lets two operators change the same object at once, repeatedly until ctx ends. Either one of them gets a
+// conflict, or each has seen the other's change.
 func (o *operatorClient) raceOperators(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		var wg sync.WaitGroup
--- a/internal/intent/changes.go
+++ b/internal/intent/changes.go
@@ -8,7 +8,7 @@
 	"github.com/ledgemount/ledgemount/internal/declare"
 )
 
-// Target returns the configuration that results from applying an intent to the present one. Faults of the intent are
+// Target returns the configuration that results from applying an intent to the current one. Faults of the intent are
 // returned as declare.Faults.
 func Target(now declare.Declarations, in *Intent) (declare.Declarations, error) {
 	base := now
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -45,7 +45,7 @@
 	Changes     []declare.Change `json:"changes"`
 	Deposits    []Deposit        `json:"deposits,omitempty"`
 	WaitsFor    []Work           `json:"waits_for,omitempty"` // work in progress at endpoints that change
-	Unseen      []string         `json:"unseen,omitempty"`    // instances that did not answer while the plan was made
+	Unseen      []string         `json:"unseen,omitempty"`    // instances that did not respond while the plan was made
 }
 
 // Empty reports whether the plan changes nothing.
--- a/internal/intent/intent_test.go
+++ b/internal/intent/intent_test.go
@@ -22,15 +22,15 @@
 // memoryFeed is a Feed that keeps the latest document in memory.
 type memoryFeed struct{ doc *declare.Document }
 
-func (h *memoryFeed) Document() *declare.Document { return h.doc }
+func (f *memoryFeed) Document() *declare.Document { return f.doc }
 
-func (h *memoryFeed) Adopt(data []byte, _ int64) error {
+func (f *memoryFeed) Adopt(data []byte, _ int64) error {
 	var doc declare.Document
 	if err := json.Unmarshal(data, &doc); err != nil {
 		return err
 	}
-	if doc.Version > h.doc.Version {
-		h.doc = &doc
+	if doc.Version > f.doc.Version {
+		f.doc = &doc
 	}
 	return nil
 }
@@ -38,8 +38,8 @@
 // singleMember is the membership view of a fleet of one instance.
 type singleMember struct{ self mesh.Peer }
 
-func (a singleMember) Self() mesh.Peer    { return a.self }
-func (a singleMember) Fleet() []mesh.Peer { return []mesh.Peer{a.self} }
+func (m singleMember) Self() mesh.Peer    { return m.self }
+func (m singleMember) Fleet() []mesh.Peer { return []mesh.Peer{m.self} }
 
 func newPlanner(t *testing.T) (*Service, *kv.Server, *etcdstore.Client) {
 	t.Helper()
--- a/internal/losses/text.go
+++ b/internal/losses/text.go
@@ -81,7 +81,7 @@
 // Plot writes a plot of the shares by second to losses.svg in dir.
 func (r Report) Plot(dir string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
-		return eris.Wrap(err, "making the directory")
+		return eris.Wrap(err, "creating the directory")
 	}
 	at := slices.IndexFunc(r.Tables, func(t Table) bool { return t.Name == "second" })
 	p := plot.New()
--- a/internal/matrix/cell_test.go
+++ b/internal/matrix/cell_test.go
@@ -110,8 +110,8 @@
 	responseTimeout = 300 * time.Millisecond
 )
 
-// run runs the cell. One caller sends a request to a1, and retries at other instances with the same key while a retry
-// makes sense. Then the faults heal, time passes, and the auditor checks the outcome.
+// run runs the cell. One caller sends a request to a1, and retries at other instances with the same key while the result
+// allows a retry. Then the faults end, time passes, and audit checks the outcome.
 func (c *cell) run(ctx context.Context) row {
 	c.fleet.setOnStep(c.onStep)
 	stop := c.startTicking(ctx)
@@ -167,7 +167,7 @@
 	}
 }
 
-// awaitInjection waits until the faults are injected, since a step may follow after the caller has its response.
+// awaitInjection waits until the faults are injected, since the step may come after the response to the caller.
 func (c *cell) awaitInjection() {
 	for deadline := time.Now().Add(stepTimeout); !c.faultsInjected() && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
@@ -275,13 +275,13 @@
 	check(c.faultsInjected(), "the step was never reached")
 	check(v.Spent+v.Free+(v.Granted-spentByHolders(v)) == v.Deposited, "the budget does not add up")
 	check(v.Spent <= v.Deposited, "overspent")
-	check(!last.complete || last.text == c.kind.wantText(), "the answer is not the request's own")
+	check(!last.complete || last.text == c.kind.wantText(), "the response belongs to another request")
 	check(!last.complete || v.Spent == c.kind.cost() || v.Spent+r.Held >= c.kind.cost(), "billed %d, not %d", v.Spent, c.kind.cost())
-	check(c.mayHaveRun() || runs == 0, "called not run, but ran")
-	check(c.mayHaveRun() || v.Spent == 0, "called not run, but billed %d", v.Spent)
+	check(c.mayHaveRun() || runs == 0, "reported as not run, but ran")
+	check(c.mayHaveRun() || v.Spent == 0, "reported as not run, but billed %d", v.Spent)
 	check(c.kind != kindPayment || runs <= 1, "ran %d times", runs)
 	check(v.Spent <= maxCost, "billed %d, more than the %d that ran", v.Spent, maxCost)
-	check(len(c.results) > 0, "nothing came back to the caller")
+	check(len(c.results) > 0, "the caller got no result")
 	r.Billed = billedLabel(v.Spent, c.kind)
 	r.Passed = len(r.Violations) == 0
 	return r
@@ -323,7 +323,7 @@
 	return false
 }
 
-// endpointRuns returns how often endpoints ran the request, and the most tokens that it can have cost.
+// endpointRuns returns how often endpoints ran the request, and the maximum number of tokens that it can have cost.
 func (c *cell) endpointRuns() (runs int, maxCost int64) {
 	if c.kind == kindPayment {
 		for _, p := range c.fleet.plainServices {
--- a/internal/matrix/fleet_test.go
+++ b/internal/matrix/fleet_test.go
@@ -60,7 +60,7 @@
 	wrapStore  func(http.RoundTripper) http.RoundTripper
 
 	mu      sync.Mutex
-	listLag bool // crashed and paused instances still look alive
+	listLag bool // crashed and paused instances still appear alive
 	onStep  func(n *node, s step.Step)
 }
 
@@ -129,7 +129,7 @@
 	return false
 }
 
-// closeWait is longer than the slowest call takes, so that calls in progress when a cell ends can return.
+// closeWait is longer than the slowest call, so that calls that are in progress at the end of a cell can return.
 const closeWait = 10 * time.Second
 
 func (f *testFleet) close() {
--- a/internal/matrix/node_test.go
+++ b/internal/matrix/node_test.go
@@ -181,8 +181,8 @@
 	return m.peers(func(o *node) bool { return m.n.fleet.appearsAlive(o) && !o.isLeaving() })
 }
 
-func (m members) Find(who string) (mesh.Peer, bool) {
-	id, _ := mesh.SplitIncarnationID(who)
+func (m members) Find(incarnationID string) (mesh.Peer, bool) {
+	id, _ := mesh.SplitIncarnationID(incarnationID)
 	for _, o := range m.n.fleet.nodes {
 		if o.peer.ID == id {
 			return o.peer, true
@@ -191,16 +191,16 @@
 	return mesh.Peer{}, false
 }
 
-func (m members) Alive(who string) bool {
+func (m members) Alive(incarnationID string) bool {
 	for _, o := range m.n.fleet.nodes {
-		if o.peer.IncarnationID() == who {
+		if o.peer.IncarnationID() == incarnationID {
 			return o == m.n || m.n.fleet.appearsAlive(o)
 		}
 	}
 	return false
 }
 
-func (m members) Lost(who string) bool { return !m.Alive(who) }
+func (m members) Lost(incarnationID string) bool { return !m.Alive(incarnationID) }
 
 func (n *node) isLeaving() bool {
 	n.mu.Lock()
--- a/internal/matrix/planted_test.go
+++ b/internal/matrix/planted_test.go
@@ -54,7 +54,7 @@
 	return next.Call(ctx, addr, kind, body)
 }
 
-// forgetHolds answers every fence with an empty report. The successor then finds no open reservations, and the serving
+// forgetHolds responds to every fence with an empty report. The successor then finds no open reservations, and the serving
 // instance is never notified that its holder has been removed.
 func forgetHolds(next mesh.Caller, ctx context.Context, addr string, kind mesh.Kind, body []byte) ([]byte, error) {
 	var req budget.FenceReq
@@ -74,8 +74,8 @@
 	return next.Call(ctx, addr, kind, body)
 }
 
-// claimDropper is a transport to the store that reports claims as successful without writing them. The fleet then
-// behaves as if it dispatched a request before it claimed its key.
+// claimDropper is a transport to the store that reports claims as successful without writing them. The effect is that of
+// dispatching a request before its key is claimed.
 type claimDropper struct{ next http.RoundTripper }
 
 func (d claimDropper) RoundTrip(r *http.Request) (*http.Response, error) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -71,8 +71,8 @@
 
 // Budget configures the intervals of the escrow.
 type Budget struct {
-	Flush           time.Duration `json:"flush" validate:"min=10ms,max=1m"`  // longest time until a charge is in the store
-	RefreshInterval time.Duration `json:"beat" validate:"min=100ms,max=1m"`  // longest time between writes of the journal
+	Flush           time.Duration `json:"flush" validate:"min=10ms,max=1m"`  // maximum time until a charge is in the store
+	RefreshInterval time.Duration `json:"beat" validate:"min=100ms,max=1m"`  // maximum time between writes of the journal
 	Horizon         time.Duration `json:"horizon" validate:"min=1s,max=24h"` // store outage that the escrow should outlast
 	Idle            time.Duration `json:"idle" validate:"min=1s,max=24h"`    // unused escrow is returned after this time
 	DeadTimeout     time.Duration `json:"dead" validate:"min=1s,max=10m"`    // a holder that is missing this long is reclaimed
