--- a/internal/intent/intent_test.go
+++ b/internal/intent/intent_test.go
@@ -115,7 +115,7 @@
 			So(e.Data, ShouldResemble, later)
 		})
 		Convey("a change is reported as accepted although all responses of the store are lost", func() {
-			server.Set(kv.AnswerLost, true)
+			server.Set(kv.ResponseLost, true)
 			in := zoneIntent("a")
 			in.Apply.Customers = map[string]declare.Customer{"c": {Budget: "b"}}
 			in.Budgets = map[string]declare.Budget{"b": {Customer: "c", Deposits: map[string]int64{"one": 100}}}
@@ -123,7 +123,7 @@
 			r, err := s.Confirm(ctx, p.ID)
 			So(err, ShouldBeNil)
 			So(r.State, ShouldEqual, StateAccepted)
-			server.Set(kv.AnswerLost, false)
+			server.Set(kv.ResponseLost, false)
 			v, err := budget.Inspect(ctx, store, "b")
 			So(err, ShouldBeNil)
 			So(v.Deposited, ShouldEqual, 100)
--- a/internal/matrix/faults_test.go
+++ b/internal/matrix/faults_test.go
@@ -67,7 +67,7 @@
 	return []fault{
 		storeFault(kv.Down),
 		storeFault(kv.Slow),
-		storeFault(kv.AnswerLost),
+		storeFault(kv.ResponseLost),
 		{name: "zone-cut", inject: func(c *cell, _ *node) { cutZones(c, true) }, heal: func(c *cell) { cutZones(c, false) }},
 		{
 			name: "zone-cut-from-store", inject: func(c *cell, _ *node) { cutStore(c, "zone-a", true) },
@@ -83,8 +83,8 @@
 		},
 		endpointFault("endpoint-slow", engine.Slow, plain.Slow),
 		endpointFault("endpoint-refuse", engine.Refuse, plain.Refuse),
-		endpointFault("endpoint-late-answer", engine.LateAnswer, ""),
-		endpointFault("endpoint-crossed-answer", engine.CrossedAnswer, plain.Crossed),
+		endpointFault("endpoint-late-answer", engine.StaleChunk, ""),
+		endpointFault("endpoint-crossed-answer", engine.ForeignChunk, plain.MismatchedID),
 		endpointFault("cache-events-gap", engine.CacheGap, ""),
 		endpointFault("endpoint-truncate", engine.Truncate, plain.Crash),
 		{
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -24,13 +24,13 @@
 
 // The faults.
 const (
-	Crash         Fault = "crash"          // closes every connection and loses its streams
-	Slow          Fault = "slow"           // takes ten times as long
-	Refuse        Fault = "refuse"         // responds with 503 and runs nothing
-	LateAnswer    Fault = "late-answer"    // sends chunks of an earlier attempt in the stream
-	CrossedAnswer Fault = "crossed-answer" // sends a chunk of another request in the stream
-	CacheGap      Fault = "cache-gap"      // drops some of its cache events
-	Truncate      Fault = "truncate"       // interrupts some streams before usage and end marker
+	Crash        Fault = "crash"          // closes every connection and loses its streams
+	Slow         Fault = "slow"           // takes ten times as long
+	Refuse       Fault = "refuse"         // responds with 503 and runs nothing
+	StaleChunk   Fault = "late-answer"    // sends chunks of an earlier attempt in the stream
+	ForeignChunk Fault = "crossed-answer" // sends a chunk of another request in the stream
+	CacheGap     Fault = "cache-gap"      // drops some of its cache events
+	Truncate     Fault = "truncate"       // interrupts some streams before usage and end marker
 )
 
 const (
@@ -103,8 +103,8 @@
 	e.firstToken, e.perToken = first, per
 }
 
-// WithoutChecks makes an engine that does not compare fences.
-func WithoutChecks() Option { return func(e *Engine) { e.checkFences = false } }
+// WithoutFenceChecks makes an engine that does not compare fences.
+func WithoutFenceChecks() Option { return func(e *Engine) { e.checkFences = false } }
 
 // New makes an engine that serves one model.
 func New(model string, opts ...Option) *Engine {
@@ -380,13 +380,13 @@
 
 // injectForeignChunks writes chunks of another request or attempt into the stream, if such a fault is on.
 func (e *Engine) injectForeignChunks(w io.Writer, s *stream) {
-	if e.On(CrossedAnswer) && s.number%faultEvery == 0 {
+	if e.On(ForeignChunk) && s.number%faultEvery == 0 {
 		c := s.chunk(0)
 		c.ID = wire.ResponseID("someone-else", 1)
 		c.Choices[0].Delta.Content = "secret "
 		writeEvent(w, c)
 	}
-	if e.On(LateAnswer) && s.number%faultEvery == 1 {
+	if e.On(StaleChunk) && s.number%faultEvery == 1 {
 		c := s.chunk(0)
 		c.ID = wire.ResponseID(s.run.RequestID, s.attempt-1)
 		c.Choices[0].Delta.Content = "old "
--- a/internal/standin/kv/kv.go
+++ b/internal/standin/kv/kv.go
@@ -20,9 +20,9 @@
 
 // The faults.
 const (
-	Down       Fault = "down"        // closes the connection of every call, and ends watches
-	Slow       Fault = "slow"        // responds late
-	AnswerLost Fault = "answer-lost" // applies some writes without sending a response
+	Down         Fault = "down"        // closes the connection of every call, and ends watches
+	Slow         Fault = "slow"        // responds late
+	ResponseLost Fault = "answer-lost" // applies some writes without sending a response
 )
 
 const (
@@ -68,7 +68,7 @@
 // Option changes a Server.
 type Option func(*Server)
 
-// WithLostEvery makes the AnswerLost fault drop the response to every n-th transaction.
+// WithLostEvery makes the ResponseLost fault drop the response to every n-th transaction.
 func WithLostEvery(n int64) Option { return func(s *Server) { s.lostEvery = n } }
 
 // New makes an empty service.
@@ -192,7 +192,7 @@
 	}
 	rev := s.rev
 	s.mu.Unlock()
-	if s.On(AnswerLost) && s.lossCandidates.Add(1)%s.lostEvery == 0 {
+	if s.On(ResponseLost) && s.lossCandidates.Add(1)%s.lostEvery == 0 {
 		closeConnection(w)
 		return
 	}
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -17,12 +17,12 @@
 
 // The faults.
 const (
-	Crash      Fault = "crash"   // runs the call, then closes the connection without a response
-	Slow       Fault = "slow"    // responds late
-	Refuse     Fault = "refuse"  // responds with 503 and runs nothing
-	Crossed    Fault = "crossed" // responds with another request's ID
-	slowDelay        = 200 * time.Millisecond
-	faultEvery       = 4
+	Crash        Fault = "crash"   // runs the call, then closes the connection without a response
+	Slow         Fault = "slow"    // responds late
+	Refuse       Fault = "refuse"  // responds with 503 and runs nothing
+	MismatchedID Fault = "crossed" // responds with another request's ID
+	slowDelay          = 200 * time.Millisecond
+	faultEvery         = 4
 )
 
 const maxBody = 1 << 20
@@ -86,7 +86,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	responseID := id
-	if s.On(Crossed) && n%faultEvery == 1 {
+	if s.On(MismatchedID) && n%faultEvery == 1 {
 		responseID = "someone-else"
 	}
 	w.Header().Set(chat.HeaderRequestID, responseID)
