--- a/cmd/root.go
+++ b/cmd/root.go
@@ -47,7 +47,7 @@
 		}
 	}
 	_, err := p.ParseArgs(args)
-	return report(err, out, errOut)
+	return printError(err, out, errOut)
 }
 
 // command is one subcommand: its name, its description and its implementation.
@@ -77,8 +77,8 @@
 	}
 }
 
-// report prints the error of a command and returns the exit code.
-func report(err error, out, errOut io.Writer) int {
+// printError prints the error or the help text of a command and returns the exit code.
+func printError(err error, out, errOut io.Writer) int {
 	var fe *flags.Error
 	switch {
 	case err == nil:
--- a/internal/bench/budget.go
+++ b/internal/bench/budget.go
@@ -139,18 +139,18 @@
 func measureReserve(ctx context.Context, h *budget.Home, n int, res *BudgetResult) error {
 	rng := rand.New(rand.NewPCG(1, 1)) //nolint:gosec // a benchmark
 	ids := make([]string, reserveRounds)
-	at := make([]int, reserveRounds)
+	budgets := make([]int, reserveRounds)
 	for i := range ids {
-		ids[i], at[i] = fmt.Sprintf("r-%d", i), rng.IntN(n)
+		ids[i], budgets[i] = fmt.Sprintf("r-%d", i), rng.IntN(n)
 	}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	start := time.Now()
 	for i, id := range ids {
-		if err := reserve(ctx, h, id, at[i]); err != nil {
+		if err := reserve(ctx, h, id, budgets[i]); err != nil {
 			return err
 		}
-		if err := settle(ctx, h, id, at[i]); err != nil {
+		if err := settle(ctx, h, id, budgets[i]); err != nil {
 			return err
 		}
 	}
--- a/internal/bench/routed.go
+++ b/internal/bench/routed.go
@@ -129,12 +129,12 @@
 
 func measureFirstToken(ctx context.Context, tb *testbed, res *RoutedResult) error {
 	direct, routed := newCaller(tb.engineURL), newCaller(tb.callersURL)
-	fd, fr, gd, gr := histogram(), histogram(), histogram(), histogram()
+	firstDirect, firstRouted, gapsDirect, gapsRouted := histogram(), histogram(), histogram(), histogram()
 	for i := range firstTokenRounds {
 		for _, side := range []struct {
-			c      *caller
-			fh, gh *hdrhistogram.Histogram
-		}{{direct, fd, gd}, {routed, fr, gr}} {
+			c                  *caller
+			firstHist, gapHist *hdrhistogram.Histogram
+		}{{direct, firstDirect, gapsDirect}, {routed, firstRouted, gapsRouted}} {
 			t, err := side.c.stream(ctx, i, 8)
 			if err != nil {
 				return eris.Wrap(err, "measuring the first token")
@@ -142,16 +142,16 @@
 			if i < firstTokenRounds/10 {
 				continue // warm-up of connections and code
 			}
-			_ = side.fh.RecordValue(t.first.Microseconds())
+			_ = side.firstHist.RecordValue(t.first.Microseconds())
 			for _, g := range t.gaps {
-				_ = side.gh.RecordValue(max(1, g.Microseconds()))
+				_ = side.gapHist.RecordValue(max(1, g.Microseconds()))
 			}
 		}
 	}
-	res.FirstDirectP50, res.FirstRoutedP50 = quantileMillis(fd, 50), quantileMillis(fr, 50)
-	res.FirstDirectP95, res.FirstRoutedP95 = quantileMillis(fd, 95), quantileMillis(fr, 95)
+	res.FirstDirectP50, res.FirstRoutedP50 = quantileMillis(firstDirect, 50), quantileMillis(firstRouted, 50)
+	res.FirstDirectP95, res.FirstRoutedP95 = quantileMillis(firstDirect, 95), quantileMillis(firstRouted, 95)
 	res.AddedP50, res.AddedP95 = res.FirstRoutedP50-res.FirstDirectP50, res.FirstRoutedP95-res.FirstDirectP95
-	res.GapDirectP95, res.GapRoutedP95 = quantileMillis(gd, 95), quantileMillis(gr, 95)
+	res.GapDirectP95, res.GapRoutedP95 = quantileMillis(gapsDirect, 95), quantileMillis(gapsRouted, 95)
 	return nil
 }
 
@@ -173,7 +173,8 @@
 }
 
 // throughput returns the token rate of concurrent streams, and the CPU time of the process per token in microseconds.
-func throughput(ctx context.Context, c *caller, from int) (tokensPerS, cpuMicros float64, err error) {
+// firstNumber is the lowest number in the requests' IDs.
+func throughput(ctx context.Context, c *caller, firstNumber int) (tokensPerS, cpuMicros float64, err error) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	total := 0
@@ -181,7 +182,7 @@
 	for i := range concurrentStreams {
 		wg.Go(func() {
 			for k := range 3 {
-				t, serr := c.stream(ctx, from+i*10+k, throughputTokens)
+				t, serr := c.stream(ctx, firstNumber+i*10+k, throughputTokens)
 				mu.Lock()
 				total += t.tokens
 				if serr != nil {
@@ -215,12 +216,12 @@
 }
 
 // memoryOfStreams keeps n streams open and returns the memory that they use, in bytes.
-func memoryOfStreams(ctx context.Context, c *caller, n, from int) float64 {
+func memoryOfStreams(ctx context.Context, c *caller, n, firstNumber int) float64 {
 	before := memoryInUse()
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	for i := range n {
-		wg.Go(func() { _, _ = c.stream(ctx, from+i, 2000) })
+		wg.Go(func() { _, _ = c.stream(ctx, firstNumber+i, 2000) })
 	}
 	time.Sleep(600 * time.Millisecond)
 	used := memoryInUse() - before
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -148,7 +148,7 @@
 		opt(in)
 	}
 	in.killCtx, in.kill = context.WithCancel(context.Background())
-	for _, build := range in.steps() {
+	for _, build := range in.buildSteps() {
 		if err := build(); err != nil {
 			in.closePartial()
 			return nil, err
@@ -157,8 +157,8 @@
 	return in, in.kernel.Register(in.services()...)
 }
 
-// steps returns the functions that build the parts of an instance, in the order in which New calls them.
-func (in *Instance) steps() []func() error {
+// buildSteps returns the functions that build the parts of an instance, in the order in which New calls them.
+func (in *Instance) buildSteps() []func() error {
 	return []func() error{
 		in.buildPlatform,
 		in.buildMesh,
@@ -296,13 +296,13 @@
 		Stopper: endpoint.NewStopper(in.driver, in.targets),
 	},
 		gateway.WithHook(in.hook), gateway.WithLogger(in.log), gateway.WithScope(in.metrics.Scope()),
-		gateway.WithOutcomes(in.outcome), gateway.WithMaxBody(in.set.Callers.MaxBodyBytes), gateway.WithKill(in.killCtx))
+		gateway.WithOutcomes(in.recordOutcome), gateway.WithMaxBody(in.set.Callers.MaxBodyBytes), gateway.WithKill(in.killCtx))
 	in.feed.OnChange(in.gateway.SetDocument)
 	return nil
 }
 
-// outcome records the outcome of a request.
-func (in *Instance) outcome(o gateway.Outcome) {
+// recordOutcome records the outcome of a request.
+func (in *Instance) recordOutcome(o gateway.Outcome) {
 	in.recorder.Record(o)
 	if in.opts.outcomes != nil {
 		in.opts.outcomes(o)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -27,7 +27,7 @@
 	Crash        Fault = "crash"          // closes every connection and loses its streams
 	Slow         Fault = "slow"           // takes ten times as long
 	Refuse       Fault = "refuse"         // responds with 503 and runs nothing
-	StaleChunk   Fault = "late-answer"    // sends chunks of an earlier attempt in the stream
+	StaleChunk   Fault = "late-answer"    // sends a chunk of an earlier attempt in the stream
 	ForeignChunk Fault = "crossed-answer" // sends a chunk of another request in the stream
 	CacheGap     Fault = "cache-gap"      // drops some of its cache events
 	Truncate     Fault = "truncate"       // interrupts some streams before usage and end marker
