--- a/internal/bench/balance.go
+++ b/internal/bench/balance.go
@@ -10,40 +10,41 @@
 	"github.com/ledgemount/ledgemount/internal/pool"
 )
 
-// Work is the seeded work on which policies are compared.
-type Work struct {
-	Engines   int
-	Routers   int
-	Capacity  int     // requests that an engine serves together
-	Load      float64 // share of the engines' capacity that arrives
-	Requests  int
-	Prefixes  int // groups of requests that share a prompt prefix
-	CacheSize int // prefixes that an engine keeps
-	Lag       float64
-	EventLag  float64
-	EventGap  float64 // share of cache events that are lost
-	Slow      float64 // share of engines that are slower
-	SlowBy    float64
-	Seed      uint64
+// Workload describes the seeded workload on which the policies are compared.
+type Workload struct {
+	Engines        int
+	Routers        int
+	Capacity       int     // requests that an engine serves concurrently
+	Load           float64 // request rate as a share of the engines' capacity
+	Requests       int
+	Prefixes       int // groups of requests that share a prompt prefix
+	CacheSize      int // prefixes that an engine caches
+	ReportLag      float64
+	EventLag       float64
+	EventLossShare float64 // share of cache events that are lost
+	SlowShare      float64 // share of engines that are slower
+	SlowFactor     float64
+	Seed           uint64
 }
 
-// DefaultWork is a zone of today's larger kind at 85% load, with lagged reports and gappy cache events.
-func DefaultWork() Work {
-	return Work{
+// DefaultWorkload returns the workload of one of today's larger zones at 85% load, with delayed load reports and some
+// lost cache events.
+func DefaultWorkload() Workload {
+	return Workload{
 		Engines: 52, Routers: 15, Capacity: 16, Load: 0.85, Requests: 60_000, Prefixes: 2_000, CacheSize: 60,
-		Lag: 1, EventLag: 2, EventGap: 0.2, Slow: 0.1, SlowBy: 2.5, Seed: 1,
+		ReportLag: 1, EventLag: 2, EventLossShare: 0.2, SlowShare: 0.1, SlowFactor: 2.5, Seed: 1,
 	}
 }
 
 // Times of an ordinary engine, in seconds.
 const (
-	prefill   = 0.25
-	cachedCut = 0.7 // share of the prefill that a cached prefix saves
-	perToken  = 0.02
-	meanTok   = 120.0
+	prefill      = 0.25
+	cachedSaving = 0.7 // share of the prefill that a cached prefix saves
+	perToken     = 0.02
+	meanTokens   = 120.0
 )
 
-// PolicyResult is how one policy did. Times are in milliseconds.
+// PolicyResult holds the measurements of one policy. Times are in milliseconds.
 type PolicyResult struct {
 	Policy     string  `json:"policy"`
 	FirstP50   float64 `json:"first_token_p50_ms"`
@@ -53,14 +54,14 @@
 	Imbalance  float64 `json:"imbalance"` // busiest engine's requests over the mean
 }
 
-// BalanceTable compares every policy on the same work.
-func BalanceTable(w Work) []PolicyResult {
+// BalanceTable compares all policies on the same workload.
+func BalanceTable(w Workload) []PolicyResult {
 	policies := []pool.Chooser[pool.Candidate]{
 		pool.Random{}, pool.PowerOfTwo{}, pool.LeastExpected{}, pool.DefaultChooser(),
 	}
 	out := make([]PolicyResult, 0, len(policies))
 	for _, p := range policies {
-		out = append(out, newSim(w, p).run())
+		out = append(out, newSimulation(w, p).run())
 	}
 	return out
 }
@@ -68,14 +69,15 @@
 type simEngine struct {
 	running int
 	queue   []simRequest
-	speed   float64 // times the ordinary times
+	speed   float64 // factor on an ordinary engine's times
 	cache   *list.List
 	keys    map[int]*list.Element
 	served  int
 }
 
-// holds reports whether a prefix is cached, and makes it the newest. evicted is the prefix that had to go, or -1.
-func (e *simEngine) holds(prefix, size int) (hit bool, evicted int) {
+// lookUp reports whether a prefix is cached, and makes it the most recently used. evicted is the prefix that was evicted
+// for it, or -1.
+func (e *simEngine) lookUp(prefix, size int) (hit bool, evicted int) {
 	if el, ok := e.keys[prefix]; ok {
 		e.cache.MoveToFront(el)
 		return true, -1
@@ -98,17 +100,18 @@
 	router  int
 }
 
-// simRouter is what one instance knows: its own requests exactly, the others' as of its last report, caches by guess.
+// simRouter is the view of one instance: the exact number of its own requests, the requests of the other instances as
+// last reported, and an estimate of the engines' caches.
 type simRouter struct {
-	own   []int
-	known []int // the other routers' requests by engine, as last reported
-	first []float64
-	table *pool.PrefixTable
+	own      []int
+	reported []int // the other routers' requests by engine, as last reported
+	first    []float64
+	table    *pool.PrefixTable
 }
 
 type event struct {
-	at   float64
-	what func(now float64)
+	at float64
+	fn func(now float64)
 }
 
 type events []event
@@ -133,8 +136,8 @@
 	return e
 }
 
-type sim struct {
-	w       Work
+type simulation struct {
+	w       Workload
 	policy  pool.Chooser[pool.Candidate]
 	rng     *rand.Rand
 	choice  *rand.Rand
@@ -146,11 +149,11 @@
 	between []float64
 	hits    int
 	ids     []string
-	begun   int
+	started int
 }
 
-func newSim(w Work, p pool.Chooser[pool.Candidate]) *sim {
-	s := &sim{
+func newSimulation(w Workload, p pool.Chooser[pool.Candidate]) *simulation {
+	s := &simulation{
 		w: w, policy: p,
 		rng:    rand.New(rand.NewPCG(w.Seed, 1)), //nolint:gosec // a simulation
 		choice: rand.New(rand.NewPCG(w.Seed, 2)), //nolint:gosec // a simulation
@@ -158,58 +161,59 @@
 	s.zipf = rand.NewZipf(s.rng, 1.1, 8, uint64(w.Prefixes-1))
 	for i := range w.Engines {
 		e := &simEngine{speed: 1, cache: list.New(), keys: make(map[int]*list.Element)}
-		if float64(i) < w.Slow*float64(w.Engines) {
-			e.speed = w.SlowBy
+		if float64(i) < w.SlowShare*float64(w.Engines) {
+			e.speed = w.SlowFactor
 		}
 		s.engines = append(s.engines, e)
 		s.ids = append(s.ids, string(rune('a'+i%26))+string(rune('0'+i/26)))
 	}
 	for range w.Routers {
 		s.routers = append(s.routers, &simRouter{
-			own: make([]int, w.Engines), known: make([]int, w.Engines), first: make([]float64, w.Engines),
+			own: make([]int, w.Engines), reported: make([]int, w.Engines), first: make([]float64, w.Engines),
 			table: pool.NewPrefixTable(1 << 16),
 		})
 	}
 	return s
 }
 
-func (s *sim) at(t float64, f func(now float64)) { heap.Push(&s.events, event{at: t, what: f}) }
+// at schedules f at a time.
+func (s *simulation) at(t float64, f func(now float64)) { heap.Push(&s.events, event{at: t, fn: f}) }
 
-// rate is how many requests a second make the wanted load.
-func (s *sim) rate() float64 {
+// rate returns the requests per second that result in the workload's load.
+func (s *simulation) rate() float64 {
 	var capacity float64
 	for _, e := range s.engines {
-		service := e.speed * (prefill*1.3 + meanTok*perToken*stretch(s.w.Load))
+		service := e.speed * (prefill*1.3 + meanTokens*perToken*slowdown(s.w.Load))
 		capacity += float64(s.w.Capacity) / service
 	}
 	return s.w.Load * capacity
 }
 
-// stretch is how much longer a token takes on a loaded engine.
-func stretch(load float64) float64 { return 1 + 0.6*load*load }
+// slowdown returns the factor by which load increases the time per token.
+func slowdown(load float64) float64 { return 1 + 0.6*load*load }
 
-func (s *sim) run() PolicyResult {
+func (s *simulation) run() PolicyResult {
 	gap := 1 / s.rate()
 	t := 0.0
 	for i := range s.w.Requests {
 		t += s.rng.ExpFloat64() * gap
 		r := simRequest{
-			arrived: t, prefix: int(s.zipf.Uint64()), tokens: 1 + s.rng.ExpFloat64()*meanTok, router: i % s.w.Routers, //nolint:gosec // small
+			arrived: t, prefix: int(s.zipf.Uint64()), tokens: 1 + s.rng.ExpFloat64()*meanTokens, router: i % s.w.Routers, //nolint:gosec // small
 		}
 		s.at(t, func(now float64) { s.arrive(r, now) })
 	}
-	for at := s.w.Lag; at < t; at += s.w.Lag {
-		s.at(at, func(float64) { s.share() })
+	for at := s.w.ReportLag; at < t; at += s.w.ReportLag {
+		s.at(at, func(float64) { s.exchangeReports() })
 	}
 	for len(s.events) > 0 {
 		e, _ := heap.Pop(&s.events).(event)
-		e.what(e.at)
+		e.fn(e.at)
 	}
 	return s.result()
 }
 
-// share brings the routers' reports to each other.
-func (s *sim) share() {
+// exchangeReports gives every router the current request counts of the others.
+func (s *simulation) exchangeReports() {
 	for _, r := range s.routers {
 		for e := range s.engines {
 			n := 0
@@ -218,18 +222,18 @@
 					n += o.own[e]
 				}
 			}
-			r.known[e] = n
+			r.reported[e] = n
 		}
 	}
 }
 
-func (s *sim) arrive(req simRequest, now float64) {
+func (s *simulation) arrive(req simRequest, now float64) {
 	r := s.routers[req.router]
 	blocks := []uint64{uint64(req.prefix)} //nolint:gosec // small
 	cs := make([]pool.Candidate, len(s.engines))
 	for i := range s.engines {
 		cs[i] = pool.Candidate{
-			ID: s.ids[i], Own: r.own[i], Zone: r.known[i], Limit: s.w.Capacity, FirstToken: r.first[i], Cached: r.table.Share(s.ids[i], blocks),
+			ID: s.ids[i], Own: r.own[i], Zone: r.reported[i], Limit: s.w.Capacity, FirstToken: r.first[i], Cached: r.table.Share(s.ids[i], blocks),
 		}
 	}
 	i := s.policy.Pick(cs, s.choice)
@@ -241,34 +245,34 @@
 		e.queue = append(e.queue, req)
 		return
 	}
-	s.begin(i, req, now)
+	s.start(i, req, now)
 }
 
-func (s *sim) begin(i int, req simRequest, now float64) {
+func (s *simulation) start(i int, req simRequest, now float64) {
 	e := s.engines[i]
 	e.running++
 	load := float64(e.running) / float64(s.w.Capacity)
-	hit, evicted := e.holds(req.prefix, s.w.CacheSize)
-	first := prefill * e.speed * stretch(load)
+	hit, evicted := e.lookUp(req.prefix, s.w.CacheSize)
+	first := prefill * e.speed * slowdown(load)
 	if hit {
-		first *= 1 - cachedCut
+		first *= 1 - cachedSaving
 		s.hits++
 	}
-	if evicted >= 0 && s.rng.Float64() >= s.w.EventGap {
+	if evicted >= 0 && s.rng.Float64() >= s.w.EventLossShare {
 		s.at(now+s.w.EventLag, func(float64) { s.evict(i, evicted) })
 	}
-	token := perToken * e.speed * stretch(load)
-	s.begun++
-	if s.begun > s.w.Requests/10 { // the beginning, when nothing is known, does not count
+	token := perToken * e.speed * slowdown(load)
+	s.started++
+	if s.started > s.w.Requests/10 { // skip the warm-up, when the routers have no estimates yet
 		s.first = append(s.first, now+first-req.arrived)
 		s.between = append(s.between, token)
 	}
-	s.at(now+first, func(float64) { s.learn(req.router, i, now+first-req.arrived, load) })
+	s.at(now+first, func(float64) { s.updateEstimate(req.router, i, now+first-req.arrived, load) })
 	s.at(now+first+req.tokens*token, func(end float64) { s.end(i, req, end) })
 }
 
-// learn is the router's estimate of an engine's time to the first token without load.
-func (s *sim) learn(router, engine int, first, load float64) {
+// updateEstimate updates a router's estimate of an engine's time to the first token without load.
+func (s *simulation) updateEstimate(router, engine int, first, load float64) {
 	r := s.routers[router]
 	sample := first / (1 + load)
 	if r.first[engine] == 0 {
@@ -278,39 +282,39 @@
 	r.first[engine] += 0.2 * (sample - r.first[engine])
 }
 
-func (s *sim) evict(engine, prefix int) {
+func (s *simulation) evict(engine, prefix int) {
 	for _, r := range s.routers {
 		r.table.Remove(s.ids[engine], uint64(prefix)) //nolint:gosec // small
 	}
 }
 
-func (s *sim) end(i int, req simRequest, now float64) {
+func (s *simulation) end(i int, req simRequest, now float64) {
 	e := s.engines[i]
 	e.running--
 	s.routers[req.router].own[i]--
 	if len(e.queue) > 0 {
 		next := e.queue[0]
 		e.queue = e.queue[1:]
-		s.begin(i, next, now)
+		s.start(i, next, now)
 	}
 }
 
-func (s *sim) result() PolicyResult {
+func (s *simulation) result() PolicyResult {
 	sort.Float64s(s.first)
 	sort.Float64s(s.between)
-	most, sum := 0, 0
+	busiest, total := 0, 0
 	for _, e := range s.engines {
-		most = max(most, e.served)
-		sum += e.served
+		busiest = max(busiest, e.served)
+		total += e.served
 	}
 	return PolicyResult{
 		Policy: s.policy.Name(), FirstP50: 1000 * quantile(s.first, 0.5), FirstP95: 1000 * quantile(s.first, 0.95),
 		BetweenP95: 1000 * quantile(s.between, 0.95), CacheHits: float64(s.hits) / float64(s.w.Requests),
-		Imbalance: float64(most) * float64(len(s.engines)) / float64(max(sum, 1)),
+		Imbalance: float64(busiest) * float64(len(s.engines)) / float64(max(total, 1)),
 	}
 }
 
-// quantile reads a quantile off sorted values.
+// quantile returns a quantile of sorted values.
 func quantile(sorted []float64, q float64) float64 {
 	if len(sorted) == 0 {
 		return math.NaN()
--- a/internal/bench/routed.go
+++ b/internal/bench/routed.go
@@ -17,7 +17,7 @@
 	"github.com/ledgemount/ledgemount/internal/chat"
 )
 
-// RoutedResult compares an instance with the endpoint behind it. Times are in milliseconds.
+// RoutedResult compares streams through an instance with streams directly from the endpoint. Times are in milliseconds.
 type RoutedResult struct {
 	FirstDirectP50 float64 `json:"first_token_direct_p50_ms"`
 	FirstRoutedP50 float64 `json:"first_token_routed_p50_ms"`
@@ -35,13 +35,13 @@
 }
 
 const (
-	firstRounds = 250
-	flood       = 48
-	floodTokens = 1500
-	callerKey   = "bench-caller"
+	firstTokenRounds  = 250
+	concurrentStreams = 48
+	throughputTokens  = 1500
+	callerKey         = "bench-caller"
 )
 
-// caller asks an endpoint or an instance for streams.
+// caller requests streams from an endpoint or an instance.
 type caller struct {
 	http *http.Client
 	base string
@@ -51,7 +51,7 @@
 	return &caller{base: base, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}}}
 }
 
-// timing is how one stream went.
+// timing holds the measurements of one stream.
 type timing struct {
 	first  time.Duration
 	gaps   []time.Duration
@@ -104,16 +104,16 @@
 	return t, eris.New("a stream ended early")
 }
 
-// MeasureRouted compares direct and routed streams in one run, taken in turns.
+// MeasureRouted compares direct and routed streams in one run, in alternation.
 func MeasureRouted(ctx context.Context) (*RoutedResult, error) {
-	b, err := startBed()
+	tb, err := startTestbed()
 	if err != nil {
 		return nil, err
 	}
-	defer b.close()
+	defer tb.close()
 	res := &RoutedResult{}
-	for _, measure := range []func(context.Context, *bed, *RoutedResult) error{measureFirst, measureFlood, measureStreams} {
-		if err := measure(ctx, b, res); err != nil {
+	for _, measure := range []func(context.Context, *testbed, *RoutedResult) error{measureFirstToken, measureThroughput, measureStreamMemory} {
+		if err := measure(ctx, tb, res); err != nil {
 			return nil, err
 		}
 	}
@@ -122,12 +122,15 @@
 
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
 
-func ms(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
+// quantileMillis returns a quantile of a histogram of microseconds, in milliseconds.
+func quantileMillis(h *hdrhistogram.Histogram, q float64) float64 {
+	return float64(h.ValueAtQuantile(q)) / 1000
+}
 
-func measureFirst(ctx context.Context, b *bed, res *RoutedResult) error {
-	direct, routed := newCaller(b.engineURL), newCaller(b.callersURL)
+func measureFirstToken(ctx context.Context, tb *testbed, res *RoutedResult) error {
+	direct, routed := newCaller(tb.engineURL), newCaller(tb.callersURL)
 	fd, fr, gd, gr := histogram(), histogram(), histogram(), histogram()
-	for i := range firstRounds {
+	for i := range firstTokenRounds {
 		for _, side := range []struct {
 			c      *caller
 			fh, gh *hdrhistogram.Histogram
@@ -136,8 +139,8 @@
 			if err != nil {
 				return eris.Wrap(err, "measuring the first token")
 			}
-			if i < firstRounds/10 {
-				continue // connections and code warm up
+			if i < firstTokenRounds/10 {
+				continue // warm-up of connections and code
 			}
 			_ = side.fh.RecordValue(t.first.Microseconds())
 			for _, g := range t.gaps {
@@ -145,23 +148,23 @@
 			}
 		}
 	}
-	res.FirstDirectP50, res.FirstRoutedP50 = ms(fd, 50), ms(fr, 50)
-	res.FirstDirectP95, res.FirstRoutedP95 = ms(fd, 95), ms(fr, 95)
+	res.FirstDirectP50, res.FirstRoutedP50 = quantileMillis(fd, 50), quantileMillis(fr, 50)
+	res.FirstDirectP95, res.FirstRoutedP95 = quantileMillis(fd, 95), quantileMillis(fr, 95)
 	res.AddedP50, res.AddedP95 = res.FirstRoutedP50-res.FirstDirectP50, res.FirstRoutedP95-res.FirstDirectP95
-	res.GapDirectP95, res.GapRoutedP95 = ms(gd, 95), ms(gr, 95)
+	res.GapDirectP95, res.GapRoutedP95 = quantileMillis(gd, 95), quantileMillis(gr, 95)
 	return nil
 }
 
-// measureFlood lets many streams run at once against an engine that generates as fast as it is read.
-func measureFlood(ctx context.Context, b *bed, res *RoutedResult) error {
-	b.engine.SetTimes(0, 0)
-	defer b.engine.SetTimes(benchFirst, benchPer)
+// measureThroughput runs many concurrent streams against an engine that generates tokens without delay.
+func measureThroughput(ctx context.Context, tb *testbed, res *RoutedResult) error {
+	tb.engine.SetTimes(0, 0)
+	defer tb.engine.SetTimes(benchFirstToken, benchPerToken)
 	var cpuDirect, cpuRouted float64
 	var err error
-	if res.TokensDirect, cpuDirect, err = floodOf(ctx, newCaller(b.engineURL), 10_000); err != nil {
+	if res.TokensDirect, cpuDirect, err = throughput(ctx, newCaller(tb.engineURL), 10_000); err != nil {
 		return err
 	}
-	if res.TokensRouted, cpuRouted, err = floodOf(ctx, newCaller(b.callersURL), 20_000); err != nil {
+	if res.TokensRouted, cpuRouted, err = throughput(ctx, newCaller(tb.callersURL), 20_000); err != nil {
 		return err
 	}
 	res.TokenShare = res.TokensRouted / res.TokensDirect
@@ -169,15 +172,16 @@
 	return nil
 }
 
-func floodOf(ctx context.Context, c *caller, from int) (tokensPerS, cpuMicros float64, err error) {
+// throughput returns the token rate of concurrent streams, and the CPU time of the process per token in microseconds.
+func throughput(ctx context.Context, c *caller, from int) (tokensPerS, cpuMicros float64, err error) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	total := 0
-	startCPU, start := cpu(), time.Now()
-	for i := range flood {
+	startCPU, start := cpuTime(), time.Now()
+	for i := range concurrentStreams {
 		wg.Go(func() {
 			for k := range 3 {
-				t, serr := c.stream(ctx, from+i*10+k, floodTokens)
+				t, serr := c.stream(ctx, from+i*10+k, throughputTokens)
 				mu.Lock()
 				total += t.tokens
 				if serr != nil {
@@ -192,34 +196,34 @@
 	if total == 0 {
 		return 0, 0, err
 	}
-	return float64(total) / took.Seconds(), float64((cpu() - startCPU).Microseconds()) / float64(total), err
+	return float64(total) / took.Seconds(), float64((cpuTime() - startCPU).Microseconds()) / float64(total), err
 }
 
-// measureStreams holds streams open and weighs them: routed, less what the same streams take direct.
-func measureStreams(ctx context.Context, b *bed, res *RoutedResult) error {
-	b.engine.SetTimes(10*time.Millisecond, 50*time.Millisecond)
-	defer b.engine.SetTimes(benchFirst, benchPer)
+// measureStreamMemory measures the memory of open streams: that of routed streams, minus that of as many direct streams.
+func measureStreamMemory(ctx context.Context, tb *testbed, res *RoutedResult) error {
+	tb.engine.SetTimes(10*time.Millisecond, 50*time.Millisecond)
+	defer tb.engine.SetTimes(benchFirstToken, benchPerToken)
 	sizes := []int{100, 200, 400, 800}
 	points := make([]Point, 0, len(sizes))
 	for i, n := range sizes {
-		direct := openStreams(ctx, newCaller(b.engineURL), n, 100_000*(i+1))
-		routed := openStreams(ctx, newCaller(b.callersURL), n, 1_000_000*(i+1))
+		direct := memoryOfStreams(ctx, newCaller(tb.engineURL), n, 100_000*(i+1))
+		routed := memoryOfStreams(ctx, newCaller(tb.callersURL), n, 1_000_000*(i+1))
 		points = append(points, Point{float64(n), routed - direct})
 	}
 	res.StreamMemory = fit("memory of an instance", "open streams", "bytes", 920.0/380*6.4, points)
 	return nil
 }
 
-// openStreams holds n streams open and returns the memory that they take, in bytes.
-func openStreams(ctx context.Context, c *caller, n, from int) float64 {
-	before := inUse()
+// memoryOfStreams keeps n streams open and returns the memory that they use, in bytes.
+func memoryOfStreams(ctx context.Context, c *caller, n, from int) float64 {
+	before := memoryInUse()
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
 	for i := range n {
 		wg.Go(func() { _, _ = c.stream(ctx, from+i, 2000) })
 	}
 	time.Sleep(600 * time.Millisecond)
-	used := inUse() - before
+	used := memoryInUse() - before
 	cancel()
 	wg.Wait()
 	c.http.CloseIdleConnections()
--- a/internal/budget/client_sync.go
+++ b/internal/budget/client_sync.go
@@ -10,7 +10,7 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// holderSync is a pending request to one holder.
+// holderSync is a SyncReq to be sent to one holder.
 type holderSync struct {
 	at  holderAt
 	req SyncReq
@@ -81,9 +81,9 @@
 	return out
 }
 
-// holdersToSync returns the holders to ask about a hold. Two instances may try to take over the same holder, and one
-// of them succeeds; while it is unconfirmed which one, both are asked. Once a settlement is delivered, its holder is
-// asked. The caller holds the client's lock.
+// holdersToSync returns the holders that receive a SyncReq about a hold. Two instances may try to take over the same
+// holder, and one of them succeeds; until one confirms the take-over, both receive the request. Once a settlement is
+// delivered, only the hold's holder receives it. The caller holds the client's lock.
 func (h *Hold) holdersToSync() []holderAt {
 	switch {
 	case h.unconfirmed:
@@ -163,7 +163,7 @@
 			c.retryLater(at)
 			continue
 		}
-		c.forgetHolder(at)
+		c.dropHolder(at)
 	}
 }
 
@@ -193,7 +193,7 @@
 	}
 }
 
-func (c *Client) forgetHolder(at holderAt) {
+func (c *Client) dropHolder(at holderAt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for h := range c.holds {
--- a/internal/budget/home.go
+++ b/internal/budget/holder.go
@@ -17,17 +17,17 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// HomeName is the holder's name in the kernel.
-const HomeName = "budget.home"
+// HolderName is the holder's name in the kernel.
+const HolderName = "budget.home"
 
 // Members is the part of the membership view that the package uses.
 type Members interface {
 	Self() mesh.Peer
 	Zone() []mesh.Peer
 	Fleet() []mesh.Peer
-	Find(who string) (mesh.Peer, bool)
-	Alive(who string) bool
-	Lost(who string) bool
+	Find(id string) (mesh.Peer, bool)
+	Alive(id string) bool
+	Lost(id string) bool
 }
 
 // Stopper stops a run at its endpoint and prevents it from starting there later.
@@ -46,7 +46,7 @@
 	Idle            time.Duration // unused escrow is returned after this time
 	OrphanTimeout   time.Duration // an orphan is resolved after this time; longer than the clients' DefaultMaxHold
 	DeadTimeout     time.Duration // a holder that is missing this long is reclaimed
-	DrawBackoff     time.Duration // no draw is attempted for this long after a failed one
+	IncreaseBackoff time.Duration // delay after a failed increase of a grant
 	DoneRetention   time.Duration // how long settled keyed requests are remembered
 }
 
@@ -60,7 +60,7 @@
 		Idle:            time.Hour,
 		OrphanTimeout:   12 * time.Second,
 		DeadTimeout:     12 * time.Second,
-		DrawBackoff:     300 * time.Millisecond,
+		IncreaseBackoff: 300 * time.Millisecond,
 		DoneRetention:   15 * time.Minute,
 	}
 }
@@ -68,8 +68,8 @@
 // BilledFunc receives every charge that has become durable.
 type BilledFunc func(c ledger.Charge)
 
-// Home is the holder: the part of an instance that owns escrow and serves reservations of its zone.
-type Home struct {
+// Holder is the part of an instance that owns escrow and serves reservations of its zone.
+type Holder struct {
 	store    external.Store
 	members  Members
 	caller   mesh.Caller
@@ -90,11 +90,11 @@
 
 	mu               sync.Mutex
 	gen              int
-	holder           string
+	holder           string // id of the current incarnation
 	accounts         map[string]*account
-	byPage           map[uint16][]*account     // the same accounts by page
-	queuedDraws      map[uint16][]*pendingDraw // draws that wait for a write of their page
-	drawingPages     map[uint16]bool           // pages that a draw is writing
+	byPage           map[uint16][]*account         // the same accounts by page
+	queuedIncreases  map[uint16][]*pendingIncrease // increases that wait for a write of their page
+	busyPages        map[uint16]bool               // pages that a background job is writing
 	book             *ledger.Book
 	journal          journalState
 	closing          bool
@@ -118,41 +118,41 @@
 
 // Stats contains counters since the start.
 type Stats struct {
-	Reserved, Refused, Draws, Returns, Flushes, Reclaims, Orphans, Fenced int64
+	Reserved, Refused, Increases, Returns, Flushes, Reclaims, Orphans, Fenced int64
 }
 
-// KeyCheck asks the home of a keyed request's key whether an orphaned run of the request is to be billed. sure is
-// false while the home cannot decide.
+// KeyCheck asks the registrar of a keyed request, the instance that stores the key's record, whether an orphaned run of
+// the request is to be billed. sure is false while the registrar cannot decide.
 type KeyCheck func(ctx context.Context, customer, request string, place Place, tokens int64) (bill, sure bool)
 
 // WithKeyCheck sets the check that runs before a keyed orphan is billed.
-func WithKeyCheck(f KeyCheck) HomeOption { return func(h *Home) { h.keyCheck = f } }
+func WithKeyCheck(f KeyCheck) HolderOption { return func(h *Holder) { h.keyCheck = f } }
 
-// HomeOption configures a Home.
-type HomeOption func(*Home)
+// HolderOption configures a Holder.
+type HolderOption func(*Holder)
 
 // WithSize replaces the sizing policy.
-func WithSize(p SizePolicy) HomeOption { return func(h *Home) { h.size = p } }
+func WithSize(p SizePolicy) HolderOption { return func(h *Holder) { h.size = p } }
 
 // WithTimes replaces the intervals.
-func WithTimes(t Times) HomeOption { return func(h *Home) { h.times = t } }
+func WithTimes(t Times) HolderOption { return func(h *Holder) { h.times = t } }
 
 // WithClock replaces the clock.
-func WithClock(now func() time.Time) HomeOption { return func(h *Home) { h.now = now } }
+func WithClock(now func() time.Time) HolderOption { return func(h *Holder) { h.now = now } }
 
 // WithHook sets the hook that is called at each step.
-func WithHook(hook step.Hook) HomeOption { return func(h *Home) { h.hook = hook } }
+func WithHook(hook step.Hook) HolderOption { return func(h *Holder) { h.hook = hook } }
 
 // WithLogger sets the logger.
-func WithLogger(log zerolog.Logger) HomeOption { return func(h *Home) { h.log = log } }
+func WithLogger(log zerolog.Logger) HolderOption { return func(h *Holder) { h.log = log } }
 
 // OnBilled sets the function that receives durable charges.
-func OnBilled(b BilledFunc) HomeOption { return func(h *Home) { h.billed = b } }
+func OnBilled(b BilledFunc) HolderOption { return func(h *Holder) { h.billed = b } }
 
-// NewHome creates a holder and registers its message handlers.
-func NewHome(store external.Store, members Members, caller mesh.Caller, router *mesh.Router, stopper Stopper, opts ...HomeOption) *Home {
+// NewHolder creates a holder and registers its message handlers.
+func NewHolder(store external.Store, members Members, caller mesh.Caller, router *mesh.Router, stopper Stopper, opts ...HolderOption) *Holder {
 	ctx, cancel := context.WithCancel(context.Background())
-	h := &Home{
+	h := &Holder{
 		abandonedRuns: make(map[string]time.Time),
 		journalSem:    semaphore.NewWeighted(1),
 		store:         store,
@@ -181,17 +181,17 @@
 	return h
 }
 
-// genSeparator separates a process's name from the number of its incarnation as a holder.
+// genSeparator separates an instance's incarnation id from the number of its incarnation as a holder.
 const genSeparator = "#"
 
 // reset begins a new incarnation with empty state. The caller holds the lock.
-func (h *Home) reset() {
+func (h *Holder) reset() {
 	h.gen++
 	h.holder = h.members.Self().IncarnationID()
 	if h.gen > 1 {
 		h.holder = fmt.Sprintf("%s%s%d", h.holder, genSeparator, h.gen)
 	}
-	for _, batch := range h.queuedDraws {
+	for _, batch := range h.queuedIncreases {
 		for _, d := range batch {
 			close(d.a.busy) // the waiters start over
 			d.a.busy = nil
@@ -199,15 +199,15 @@
 	}
 	h.accounts = make(map[string]*account)
 	h.byPage = make(map[uint16][]*account)
-	h.queuedDraws = make(map[uint16][]*pendingDraw)
-	h.drawingPages = make(map[uint16]bool)
+	h.queuedIncreases = make(map[uint16][]*pendingIncrease)
+	h.busyPages = make(map[uint16]bool)
 	h.book = ledger.NewBook()
 	h.journal = journalState{clients: make(map[string]bool), pages: make(map[uint16]bool)}
 	h.fences = make(map[string]*fenceState)
 	h.inheritedSettled = make(map[string]string)
 }
 
-func (h *Home) register(r *mesh.Router) {
+func (h *Holder) register(r *mesh.Router) {
 	mesh.Handle(r, KindReserve, func(ctx context.Context, from mesh.Peer, req ReserveReq) (ReserveResp, error) {
 		return h.Reserve(ctx, from.IncarnationID(), req)
 	})
@@ -227,24 +227,24 @@
 }
 
 // Name implements kernel.Service.
-func (h *Home) Name() string { return HomeName }
+func (h *Holder) Name() string { return HolderName }
 
-// Holder returns the id of the current incarnation.
-func (h *Home) Holder() string {
+// ID returns the id of the current incarnation.
+func (h *Holder) ID() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.holder
 }
 
 // Stats returns the counters.
-func (h *Home) Stats() Stats {
+func (h *Holder) Stats() Stats {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.stats
 }
 
 // Reserve reserves tokens for a request. Its errors have the verdict NotRun.
-func (h *Home) Reserve(ctx context.Context, client string, req ReserveReq) (ReserveResp, error) {
+func (h *Holder) Reserve(ctx context.Context, client string, req ReserveReq) (ReserveResp, error) {
 	if req.Tokens <= 0 || req.Tokens > maxTokens || req.Request == "" || req.Budget == "" {
 		return ReserveResp{}, verdict.New(verdict.NotRun, verdict.CodeBadRequest, "the reservation is not valid")
 	}
@@ -262,19 +262,19 @@
 		select {
 		case <-wait:
 		case <-ctx.Done():
-			return ReserveResp{}, unready("the reservation took too long", ctx.Err())
+			return ReserveResp{}, unavailable("the reservation took too long", ctx.Err())
 		}
 	}
 }
 
-func unready(detail string, cause error) error {
-	return verdict.New(verdict.NotRun, verdict.CodeBudgetUnready, detail,
+func unavailable(detail string, cause error) error {
+	return verdict.New(verdict.NotRun, verdict.CodeBudgetUnavailable, detail,
 		verdict.WithRetryAfter(time.Second), verdict.WithCause(cause))
 }
 
 // ensureClientListed makes sure that the journal in the store lists the client among those that may have reservations
 // at this holder.
-func (h *Home) ensureClientListed(ctx context.Context, client string) error {
+func (h *Holder) ensureClientListed(ctx context.Context, client string) error {
 	h.mu.Lock()
 	closing, known := h.closing, h.journal.clients[client]
 	h.mu.Unlock()
@@ -285,13 +285,13 @@
 		return nil
 	}
 	if err := h.writeJournal(ctx, client, nil); err != nil {
-		return unready("the store does not list this serving instance yet", err)
+		return unavailable("the store does not list this serving instance yet", err)
 	}
 	return nil
 }
 
-// tryReserve responds immediately, or returns a channel that is closed when a pending draw ends.
-func (h *Home) tryReserve(client string, req ReserveReq) (ReserveResp, <-chan struct{}, error) {
+// tryReserve responds immediately, or returns a channel that is closed when a pending increase of the grant ends.
+func (h *Holder) tryReserve(client string, req ReserveReq) (ReserveResp, <-chan struct{}, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.journal.clients[client] || h.closing {
@@ -320,16 +320,16 @@
 	if a.busy != nil {
 		return ReserveResp{}, a.busy, nil
 	}
-	if now.Before(a.blockedUntil) && a.drawErr != nil {
+	if now.Before(a.blockedUntil) && a.increaseErr != nil {
 		h.stats.Refused++
 		return ReserveResp{}, nil, h.denial(a, req.Budget)
 	}
-	h.startDraw(a, req.Tokens-a.available())
+	h.startIncrease(a, req.Tokens-a.available())
 	return ReserveResp{}, a.busy, nil
 }
 
 // existingResponse returns the response to a request that is already open or settled.
-func (h *Home) existingResponse(a *account, client string, req ReserveReq) (ReserveResp, bool) {
+func (h *Holder) existingResponse(a *account, client string, req ReserveReq) (ReserveResp, bool) {
 	if m, ok := a.done[req.Request]; ok {
 		return ReserveResp{Outcome: Settled, Holder: h.holder, Tokens: m.tokens, Place: m.place}, true
 	}
@@ -349,7 +349,7 @@
 	return resp, true
 }
 
-func (h *Home) account(budget string, now time.Time) *account {
+func (h *Holder) account(budget string, now time.Time) *account {
 	a, ok := h.accounts[budget]
 	if !ok {
 		a = newAccount(budget, now)
@@ -360,7 +360,7 @@
 }
 
 // dropAccount removes an account that has neither a grant nor open reservations. The caller holds the lock.
-func (h *Home) dropAccount(a *account) {
+func (h *Holder) dropAccount(a *account) {
 	delete(h.accounts, a.budget)
 	page := PageOf(a.budget)
 	for i, b := range h.byPage[page] {
@@ -375,20 +375,20 @@
 	return verdict.New(verdict.NotRun, verdict.CodeBudgetUnknown, "no budget "+budget+" of this customer", verdict.WithField("budget"))
 }
 
-// denial converts the error of the last failed draw into the error of a rejected reservation.
-func (h *Home) denial(a *account, budget string) error {
+// denial converts the error of the last failed increase into the error of a rejected reservation.
+func (h *Holder) denial(a *account, budget string) error {
 	switch {
-	case errors.Is(a.drawErr, ErrUnknown):
+	case errors.Is(a.increaseErr, ErrUnknown):
 		return unknownBudget(budget)
-	case errors.Is(a.drawErr, ErrExhausted):
+	case errors.Is(a.increaseErr, ErrExhausted):
 		return verdict.New(verdict.NotRun, verdict.CodeBudgetExhausted, "budget "+budget+" has too little left")
 	default:
-		return unready("the budget's escrow here is used up and the store cannot be asked", a.drawErr)
+		return unavailable("the budget's escrow here is used up and the store cannot be asked", a.increaseErr)
 	}
 }
 
 // Update moves an open reservation.
-func (h *Home) Update(client string, req UpdateReq) error {
+func (h *Holder) Update(client string, req UpdateReq) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a, ok := h.accounts[req.Budget]
@@ -402,7 +402,7 @@
 }
 
 // Settle closes a reservation. A repeated settlement, or one for another run, has no effect.
-func (h *Home) Settle(ctx context.Context, req SettleReq) error {
+func (h *Holder) Settle(ctx context.Context, req SettleReq) error {
 	if err := h.hook(ctx, step.Settle); err != nil {
 		return err
 	}
@@ -427,7 +427,7 @@
 }
 
 // closeReservation settles a reservation and adds its charge to the book. The caller holds the lock.
-func (h *Home) closeReservation(a *account, r *reservation, tokens int64) {
+func (h *Holder) closeReservation(a *account, r *reservation, tokens int64) {
 	now := h.now()
 	used := a.settle(r, tokens, now)
 	if used == 0 {
@@ -440,7 +440,7 @@
 }
 
 // Sync reports to a client which of its charges are in the store, and which of its open requests this holder has.
-func (h *Home) Sync(client string, req SyncReq) SyncResp {
+func (h *Holder) Sync(client string, req SyncReq) SyncResp {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	resp := SyncResp{Holder: h.holder}
@@ -464,7 +464,7 @@
 	return resp
 }
 
-func (h *Home) isOpen(request string) bool {
+func (h *Holder) isOpen(request string) bool {
 	for _, a := range h.accounts {
 		if _, ok := a.open[request]; ok {
 			return true
--- a/internal/budget/journal.go
+++ b/internal/budget/journal.go
@@ -25,7 +25,7 @@
 
 // writeJournal writes the journal with all pending charges. It adds a client or a page to the journal's lists if one
 // is given.
-func (h *Home) writeJournal(ctx context.Context, client string, page *uint16) error {
+func (h *Holder) writeJournal(ctx context.Context, client string, page *uint16) error {
 	if err := h.journalSem.Acquire(ctx, 1); err != nil {
 		return eris.Wrap(err, "waiting to write the journal")
 	}
@@ -50,7 +50,7 @@
 }
 
 // alreadyJournaled reports whether another writer has added the client and the page while this one waited.
-func (h *Home) alreadyJournaled(client string, page *uint16) bool {
+func (h *Holder) alreadyJournaled(client string, page *uint16) bool {
 	if client == "" && page == nil {
 		return false
 	}
@@ -59,7 +59,7 @@
 	return (client == "" || h.journal.clients[client]) && (page == nil || h.journal.pages[*page])
 }
 
-func (h *Home) prepareWrite(client string, page *uint16) *journalWrite {
+func (h *Holder) prepareWrite(client string, page *uint16) *journalWrite {
 	zone := h.members.Zone()
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -77,13 +77,13 @@
 	return w
 }
 
-// listedRanks is the number of top-ranked homes that list a page in their journals before a grant on it is requested.
+// listedRanks is the number of top-ranked candidates that list a page in their journals before they need a grant on it.
 const listedRanks = 2
 
 // currentPages lists the pages on which the holder may have grants: those that it has listed before, the given one,
-// and all pages for which this instance is a likely home, so that these need no write of their own. The caller holds
-// the lock.
-func (h *Home) currentPages(zone []mesh.Peer, page *uint16) []uint16 {
+// and all pages for which this instance is a likely holder, so that listing these needs no write of its own. The caller
+// holds the lock.
+func (h *Holder) currentPages(zone []mesh.Peer, page *uint16) []uint16 {
 	listed := make(map[uint16]bool, len(h.journal.pages))
 	for n := range h.journal.pages {
 		listed[n] = true
@@ -93,7 +93,7 @@
 	}
 	self := h.members.Self().ID
 	for n := range uint16(Pages) {
-		if !listed[n] && isAmongFirst(pageHomes(n, zone), self, listedRanks) {
+		if !listed[n] && isAmongFirst(pageCandidates(n, zone), self, listedRanks) {
 			listed[n] = true
 		}
 	}
@@ -118,7 +118,7 @@
 // owners of open reservations and the given client. A client that is left out must be listed again before its next
 // reservation. This instance itself is listed only while it must be: if it crashes, no process can report for it. The
 // caller holds the lock.
-func (h *Home) currentClients(zone []mesh.Peer, client string) map[string]bool {
+func (h *Holder) currentClients(zone []mesh.Peer, client string) map[string]bool {
 	self := h.members.Self().IncarnationID()
 	listed := make(map[string]bool)
 	for _, p := range zone {
@@ -153,7 +153,7 @@
 
 // putJournal writes the journal. After a lost response, it reads the journal back and retries until the outcome is
 // known or the attempts are used up.
-func (h *Home) putJournal(ctx context.Context, w *journalWrite) error {
+func (h *Holder) putJournal(ctx context.Context, w *journalWrite) error {
 	key := ledger.Key(w.journal.Zone, w.holder)
 	data, err := w.journal.Encode()
 	if err != nil {
@@ -183,7 +183,7 @@
 }
 
 // readBack resolves a write whose outcome is unknown. It reports whether the write has taken effect.
-func (h *Home) readBack(ctx context.Context, key string, w *journalWrite) (bool, error) {
+func (h *Holder) readBack(ctx context.Context, key string, w *journalWrite) (bool, error) {
 	e, err := h.store.Get(ctx, key)
 	if err != nil {
 		return false, nil //nolint:nilerr // still unknown; the caller tries again
@@ -209,7 +209,7 @@
 	return false, nil
 }
 
-func (h *Home) recordWrite(w *journalWrite) {
+func (h *Holder) recordWrite(w *journalWrite) {
 	h.mu.Lock()
 	if h.holder != w.holder {
 		h.mu.Unlock()
@@ -240,7 +240,7 @@
 }
 
 // abandonIncarnation ends an incarnation whose escrow a successor has taken over, and begins a new one.
-func (h *Home) abandonIncarnation(holder string) {
+func (h *Holder) abandonIncarnation(holder string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.holder != holder {
--- a/internal/budget/reclaim_move.go
+++ b/internal/budget/reclaim_move.go
@@ -12,11 +12,11 @@
 
 // reportTotals sums up the reports on one row.
 type reportTotals struct {
-	settled      int64    // charges that are not in the journal
-	newCharges   []Report // the reports counted in settled
-	knownCharges []Report // charges that are in the journal
-	openTokens   int64
-	openReports  []Report
+	settled         int64    // charges that are not in the journal
+	newCharges      []Report // the reports counted in settled
+	recordedCharges []Report // charges that are in the journal
+	openTokens      int64
+	openReports     []Report
 }
 
 // totalReports sums up the reports that belong to a dead holder's grant on a row. A report belongs to the oldest
@@ -32,7 +32,7 @@
 			s.openTokens += r.Tokens
 			s.openReports = append(s.openReports, r)
 		case j.Charged(r.Request):
-			s.knownCharges = append(s.knownCharges, r)
+			s.recordedCharges = append(s.recordedCharges, r)
 		default:
 			s.settled += r.Tokens
 			s.newCharges = append(s.newCharges, r)
@@ -51,7 +51,7 @@
 }
 
 // reclaimPage moves the dead holder's grants on one page. It reports whether there were any.
-func (h *Home) reclaimPage(ctx context.Context, n uint16, j *ledger.Journal, reports []Report) (bool, error) {
+func (h *Holder) reclaimPage(ctx context.Context, n uint16, j *ledger.Journal, reports []Report) (bool, error) {
 	if err := h.ensurePageListed(ctx, n); err != nil {
 		return false, err
 	}
@@ -88,8 +88,8 @@
 	moveConflict
 )
 
-// tryMove attempts one compare-and-swap of a page. No other write of the affected accounts runs at the same time.
-func (h *Home) tryMove(ctx context.Context, e external.Entry, page *Page, j *ledger.Journal, reports []Report) (moveResult, error) {
+// tryMove attempts one compare-and-swap of a page. It blocks other writes of the affected accounts meanwhile.
+func (h *Holder) tryMove(ctx context.Context, e external.Entry, page *Page, j *ledger.Journal, reports []Report) (moveResult, error) {
 	budgets := budgetsGrantedTo(page, j.Holder)
 	if len(budgets) == 0 {
 		return moveNothing, nil
@@ -122,12 +122,12 @@
 
 // resolveMove resolves a take-over whose response was lost. If the outcome stays unknown, this incarnation ends: the
 // next one reclaims it from the same reports, so that nothing is spent twice.
-func (h *Home) resolveMove(ctx context.Context, key string, moves []move) (moveResult, error) {
+func (h *Holder) resolveMove(ctx context.Context, key string, moves []move) (moveResult, error) {
 	applied, known := h.readBackMoves(ctx, key, moves)
 	switch {
 	case !known:
 		h.abandonIncarnation(moves[0].holder)
-		return moveNothing, eris.Wrap(external.ErrAmbiguous, "the take-over's fate is unknown")
+		return moveNothing, eris.Wrap(external.ErrAmbiguous, "the outcome of the take-over is unknown")
 	case applied:
 		h.adoptMoves(moves)
 		return moveDone, nil
@@ -151,7 +151,7 @@
 
 // lockAccounts waits until no store operation of the budgets' accounts is in progress, and blocks new ones until
 // release is called.
-func (h *Home) lockAccounts(ctx context.Context, budgets []string) (release func(), err error) {
+func (h *Holder) lockAccounts(ctx context.Context, budgets []string) (release func(), err error) {
 	var locked []*account
 	release = func() {
 		h.mu.Lock()
@@ -172,7 +172,7 @@
 	return release, nil
 }
 
-func (h *Home) lockAccount(ctx context.Context, budget string) (*account, error) {
+func (h *Holder) lockAccount(ctx context.Context, budget string) (*account, error) {
 	for {
 		h.mu.Lock()
 		a := h.account(budget, h.now())
@@ -202,9 +202,9 @@
 	grant    Grant // the successor's grant after the move
 }
 
-func (h *Home) moveGrants(page *Page, budgets []string, j *ledger.Journal, reports []Report) ([]move, error) {
+func (h *Holder) moveGrants(page *Page, budgets []string, j *ledger.Journal, reports []Report) ([]move, error) {
 	var out []move
-	holder := h.Holder()
+	holder := h.ID()
 	for _, budget := range budgets {
 		row, err := page.Row(budget)
 		if err != nil {
@@ -224,7 +224,7 @@
 	return out, nil
 }
 
-func (h *Home) nextSeq(budget string) uint64 {
+func (h *Holder) nextSeq(budget string) uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	a := h.account(budget, h.now())
@@ -234,7 +234,7 @@
 
 // readBackMoves reads a page back to determine whether a take-over whose response was lost took effect. known is
 // false if the store does not respond.
-func (h *Home) readBackMoves(ctx context.Context, key string, moves []move) (applied, known bool) {
+func (h *Holder) readBackMoves(ctx context.Context, key string, moves []move) (applied, known bool) {
 	for try := range casTries {
 		e, err := h.store.Get(ctx, key)
 		if err == nil {
@@ -265,7 +265,7 @@
 }
 
 // adoptMoves adds the open reservations and settled requests of a dead holder to this holder's in-memory state.
-func (h *Home) adoptMoves(moves []move) {
+func (h *Holder) adoptMoves(moves []move) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
@@ -285,7 +285,7 @@
 				request: r.Request, customer: r.Customer, owner: r.Owner, place: r.Place, tokens: r.Tokens, keyed: r.Keyed, since: now,
 			})
 		}
-		for _, r := range append(m.totals.knownCharges, m.totals.newCharges...) {
+		for _, r := range append(m.totals.recordedCharges, m.totals.newCharges...) {
 			h.inheritedSettled[r.Request] = r.Owner
 			if r.Keyed {
 				a.done[r.Request] = doneMark{tokens: r.Tokens, place: r.Place, at: now}
@@ -297,7 +297,7 @@
 	h.notifyBilled(moves)
 }
 
-func (h *Home) notifyBilled(moves []move) {
+func (h *Holder) notifyBilled(moves []move) {
 	for _, m := range moves {
 		for _, r := range m.totals.newCharges {
 			h.billed(ledger.Charge{Request: r.Request, Budget: m.budget, Tokens: r.Tokens})
@@ -306,8 +306,8 @@
 }
 
 // finishReclaim removes a fenced journal once no grant of the holder has appeared for fenceRetention: a delayed write
-// of the paused holder may still arrive.
-func (h *Home) finishReclaim(ctx context.Context, j *ledger.Journal, grantsLeft bool) error {
+// of a paused holder may still arrive.
+func (h *Holder) finishReclaim(ctx context.Context, j *ledger.Journal, grantsLeft bool) error {
 	h.mu.Lock()
 	now := h.now()
 	f, ok := h.fences[j.Holder]
--- a/internal/budget/tick.go
+++ b/internal/budget/tick.go
@@ -13,7 +13,7 @@
 )
 
 // Run implements kernel.Service. It flushes charges, returns idle escrow, resolves orphans and reclaims dead holders.
-func (h *Home) Run(ctx context.Context) error {
+func (h *Holder) Run(ctx context.Context) error {
 	kernel.Every(ctx, h.times.Tick, h.Tick)
 	h.cancel()
 	h.jobs.Wait()
@@ -21,7 +21,7 @@
 }
 
 // Tick does the periodic work that is due. Tests call it directly.
-func (h *Home) Tick(ctx context.Context) {
+func (h *Holder) Tick(ctx context.Context) {
 	if h.flushDue() {
 		if err := h.writeJournal(ctx, "", nil); err != nil {
 			h.log.Debug().Str("event", "flush_failed").Err(err).Msg("flush failed; charges stay pending")
@@ -33,8 +33,9 @@
 	h.sweepIfDue(ctx)
 }
 
-// flushDue reports whether the journal should be written. A holder that has never drawn does not write one.
-func (h *Home) flushDue() bool {
+// flushDue reports whether the journal should be written: there are charges to flush, or an existing journal is due for a
+// refresh. A holder that has never been used has no journal.
+func (h *Holder) flushDue() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
@@ -45,7 +46,7 @@
 	return j.rev > 0 && now.Sub(j.writtenAt) >= h.times.RefreshInterval
 }
 
-func (h *Home) pruneDone() {
+func (h *Holder) pruneDone() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
@@ -59,9 +60,9 @@
 	}
 }
 
-// returnIdle returns the escrow of budgets that are idle at this holder, and closes their grants once the journal no
-// longer references them.
-func (h *Home) returnIdle(ctx context.Context) {
+// returnIdle returns the escrow of budgets that are idle at this holder. It closes their grants once the journal no
+// longer references these budgets.
+func (h *Holder) returnIdle(ctx context.Context) {
 	for _, a := range h.idleAccounts() {
 		h.mu.Lock()
 		hasUnreserved := a.available() > 0
@@ -80,7 +81,7 @@
 
 const idlePerTick = 8
 
-func (h *Home) idleAccounts() []*account {
+func (h *Holder) idleAccounts() []*account {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
@@ -98,7 +99,7 @@
 
 // closeGrant closes a fully spent grant on its row. It does nothing while the journal may still contain the budget's
 // total.
-func (h *Home) closeGrant(ctx context.Context, a *account) error {
+func (h *Holder) closeGrant(ctx context.Context, a *account) error {
 	h.mu.Lock()
 	if a.busy != nil || len(a.open) > 0 || a.available() != 0 || a.stored != a.settled || h.book.References(a.budget) {
 		h.mu.Unlock()
@@ -126,7 +127,7 @@
 
 // Stop shuts the holder down cleanly: it accepts no new reservations, waits until open ones end or pass to a
 // successor, flushes charges and closes every grant. ctx limits the wait for open reservations.
-func (h *Home) Stop(ctx context.Context) error {
+func (h *Holder) Stop(ctx context.Context) error {
 	h.mu.Lock()
 	h.closing = true
 	h.mu.Unlock()
@@ -145,13 +146,13 @@
 	return h.removeJournal(ctx)
 }
 
-func (h *Home) hasJournal() bool {
+func (h *Holder) hasJournal() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.journal.rev > 0 || h.book.Pending() > 0
 }
 
-func (h *Home) waitForOpen(ctx context.Context) error {
+func (h *Holder) waitForOpen(ctx context.Context) error {
 	for {
 		if h.OpenCount() == 0 {
 			return nil
@@ -163,7 +164,7 @@
 }
 
 // OpenCount returns the number of open reservations.
-func (h *Home) OpenCount() int {
+func (h *Holder) OpenCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
@@ -174,22 +175,22 @@
 }
 
 // closeRow ends a holder's grant on a row.
-func (h *Home) closeRow(ctx context.Context, budget, holder string, settled int64) error {
+func (h *Holder) closeRow(ctx context.Context, budget, holder string, settled int64) error {
 	return h.updateRow(external.WithDuty(ctx, external.DutyReturn), budget,
 		func(row *Row) error { return row.Close(holder, settled) },
 		func(row *Row) bool { _, ok := row.Grants[holder]; return !ok })
 }
 
-func (h *Home) closeGrants(ctx context.Context) error {
+func (h *Holder) closeGrants(ctx context.Context) error {
 	h.mu.Lock()
-	var todo []*account
+	var granted []*account
 	for _, a := range h.accounts {
 		if a.granted > 0 {
-			todo = append(todo, a)
+			granted = append(granted, a)
 		}
 	}
 	h.mu.Unlock()
-	for _, a := range todo {
+	for _, a := range granted {
 		if err := h.closeFinalGrant(ctx, a); err != nil {
 			return eris.Wrapf(err, "closing the grant on budget %s", a.budget)
 		}
@@ -197,7 +198,7 @@
 	return nil
 }
 
-func (h *Home) closeFinalGrant(ctx context.Context, a *account) error {
+func (h *Holder) closeFinalGrant(ctx context.Context, a *account) error {
 	h.mu.Lock()
 	holder, settled := h.holder, a.settled
 	h.mu.Unlock()
@@ -209,7 +210,7 @@
 }
 
 // removeJournal deletes the journal. After a lost response, the absence of the key shows that the delete took effect.
-func (h *Home) removeJournal(ctx context.Context) error {
+func (h *Holder) removeJournal(ctx context.Context) error {
 	if err := h.journalSem.Acquire(ctx, 1); err != nil {
 		return eris.Wrap(err, "waiting to remove the journal")
 	}
@@ -253,7 +254,7 @@
 }
 
 // Accounts lists the accounts of this holder.
-func (h *Home) Accounts() []AccountView {
+func (h *Holder) Accounts() []AccountView {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.now()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,4 +1,4 @@
-// Package demo runs a small fleet in one process, breaks it as asked, and audits every promise.
+// Package demo runs a small fleet in one process, injects the selected faults, and audits every guarantee.
 package demo
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/ledgemount/ledgemount/internal/external"
 )
 
-// Config reports what to run.
+// Config configures a run of the demo.
 type Config struct {
 	Duration time.Duration
 	Seed     uint64
@@ -30,7 +30,7 @@
 	Log      io.Writer
 }
 
-// Result is the last line of the demo.
+// Result is the outcome of a run, which the demo prints as its last line.
 type Result struct {
 	Requests      int     `json:"requests"`
 	Answered      int     `json:"answered"`
@@ -53,38 +53,38 @@
 	Held          int64   `json:"held_tokens"`
 	Faults        string  `json:"faults"`
 	Billed        int64   `json:"billed_tokens"`
-	Attempts      float64 `json:"attempts_per_request"` // dispatches to endpoints over requests that reached one
-	ConfigP99MS   float64 `json:"config_p99_ms"`        // from a confirmation to in force everywhere
+	Attempts      float64 `json:"attempts_per_request"` // dispatches to endpoints per request that reached one
+	ConfigP99MS   float64 `json:"config_p99_ms"`        // from a change's confirmation until it is in force everywhere
 	Changes       int     `json:"config_changes"`
-	Settled       bool    `json:"settled"` // everything had reached the store in time
+	Settled       bool    `json:"settled"` // all charges reached the store in time
 	Seed          uint64  `json:"seed"`
 
 	StoreCalls map[external.Duty]external.Calls `json:"store_calls"`
 	Notes      []string                         `json:"notes,omitempty"`
 }
 
-// Kept reports whether every promise was kept.
-func (r *Result) Kept() bool {
+// GuaranteesHeld reports whether the run found no violated guarantee, and answered at least one request.
+func (r *Result) GuaranteesHeld() bool {
 	return r.Overspend == 0 && r.DoubleBilled == 0 && r.Unbilled == 0 && r.Lost == 0 && r.Crossed == 0 && r.RanTwice == 0 &&
 		r.NotRunButRan == 0 && r.ConfigReverts == 0 && r.LateNewWork == 0 && r.CutByStop == 0 && r.Answered > 0
 }
 
-// ErrBroken means that a promise was broken.
-var ErrBroken = errors.New("a promise was broken")
+// ErrGuaranteeViolated is returned when the audit found a violated guarantee.
+var ErrGuaranteeViolated = errors.New("a promise was broken")
 
 const (
-	changeEvery  = 400 * time.Millisecond
-	watchEvery   = 5 * time.Millisecond
-	settleLimit  = 20 * time.Second
-	setUpLimit   = 10 * time.Second
-	faultBegins  = 0.25 // of the duration
-	faultEnds    = 0.7
-	healingLimit = 20 * time.Second
+	changeInterval = 400 * time.Millisecond
+	watchInterval  = 5 * time.Millisecond
+	settleTimeout  = 20 * time.Second
+	setUpTimeout   = 10 * time.Second
+	faultStart     = 0.25 // share of the duration after which the faults start
+	faultEnd       = 0.7  // share of the duration after which the faults heal
+	healTimeout    = 20 * time.Second
 )
 
-// Run runs the demo and writes its result. It returns ErrBroken if a promise was broken.
+// Run runs the demo and writes its result. It returns ErrGuaranteeViolated if a guarantee was violated.
 func Run(ctx context.Context, cfg Config) error {
-	chosen, err := choose(cfg.Faults)
+	chosen, err := selectFaults(cfg.Faults)
 	if err != nil {
 		return err
 	}
@@ -97,23 +97,24 @@
 		return eris.Wrap(err, "starting the fleet")
 	}
 	defer f.close()
-	s := &scene{f: f, operator: newOperator(f), callers: newCallers(f, cfg.Seed)}
-	res, err := play(ctx, cfg, s, chosen)
+	s := &scenario{f: f, operator: newOperator(f), callers: newCallers(f, cfg.Seed)}
+	res, err := runScenario(ctx, cfg, s, chosen)
 	if err != nil {
 		return err
 	}
 	res.Faults = strings.Join(cfg.Faults, ",")
 	res.Seed = cfg.Seed
-	if err := write(cfg, res); err != nil {
+	if err := writeResult(cfg, res); err != nil {
 		return err
 	}
-	if !res.Kept() {
-		return ErrBroken
+	if !res.GuaranteesHeld() {
+		return ErrGuaranteeViolated
 	}
 	return nil
 }
 
-func choose(names []string) ([]fault, error) {
+// selectFaults returns the faults with the given names.
+func selectFaults(names []string) ([]fault, error) {
 	known := faults()
 	var out []fault
 	for _, name := range names {
@@ -126,13 +127,14 @@
 	return out, nil
 }
 
-func play(ctx context.Context, cfg Config, s *scene, chosen []fault) (*Result, error) {
-	setUp, cancelSetUp := context.WithTimeout(ctx, setUpLimit)
+// runScenario configures the fleet, runs callers, operators and faults, stops the fleet, and audits the run.
+func runScenario(ctx context.Context, cfg Config, s *scenario, chosen []fault) (*Result, error) {
+	setUp, cancelSetUp := context.WithTimeout(ctx, setUpTimeout)
 	defer cancelSetUp()
 	if err := s.operator.setUp(setUp); err != nil {
 		return nil, err
 	}
-	if err := sleep(ctx, 2*keysSettling); err != nil {
+	if err := sleep(ctx, 2*keysSettleTime); err != nil {
 		return nil, err
 	}
 	w := watchVersions(s.f)
@@ -140,16 +142,16 @@
 	defer stopLoad()
 	var wg sync.WaitGroup
 	wg.Go(func() { s.callers.run(load) })
-	wg.Go(func() { s.operator.keepChanging(load, changeEvery) })
+	wg.Go(func() { s.operator.changePeriodically(load, changeInterval) })
 	if slices.Contains(cfg.Faults, "operator-race") {
-		wg.Go(func() { s.operator.race(load) })
+		wg.Go(func() { s.operator.raceOperators(load) })
 	}
-	err := strike(ctx, cfg.Duration, s, chosen)
+	err := injectFaults(ctx, cfg.Duration, s, chosen)
 	wg.Wait()
 	if err != nil {
 		return nil, err
 	}
-	settled := s.f.settle(ctx, settleLimit)
+	settled := s.f.settle(ctx, settleTimeout)
 	writes, reads := s.f.kv.Writes(), s.f.kv.Reads()
 	calls := s.f.storeCalls()
 	for _, n := range s.f.live("") {
@@ -158,26 +160,26 @@
 		}
 	}
 	reverts := w.stop()
-	return conclude(ctx, s, &Result{
+	return buildResult(ctx, s, &Result{
 		StoreWrites: writes, StoreReads: reads, StoreCalls: calls, ConfigReverts: reverts, Settled: settled,
 	})
 }
 
-// strike begins the faults, one soon after another, and heals them in the same order.
-func strike(ctx context.Context, d time.Duration, s *scene, chosen []fault) error {
-	if err := sleep(ctx, time.Duration(faultBegins*float64(d))); err != nil {
+// injectFaults starts the faults one after another, waits, and heals them in the same order.
+func injectFaults(ctx context.Context, d time.Duration, s *scenario, chosen []fault) error {
+	if err := sleep(ctx, time.Duration(faultStart*float64(d))); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, d+healingLimit)
+	ctx, cancel := context.WithTimeout(ctx, d+healTimeout)
 	defer cancel()
-	began := time.Now()
+	startTime := time.Now()
 	for _, ft := range chosen {
 		if err := ft.start(ctx, s); err != nil && ctx.Err() != nil {
 			return err
 		}
 	}
-	rest := time.Duration((faultEnds-faultBegins)*float64(d)) - time.Since(began)
-	if err := sleep(ctx, rest); err != nil {
+	remaining := time.Duration((faultEnd-faultStart)*float64(d)) - time.Since(startTime)
+	if err := sleep(ctx, remaining); err != nil {
 		return err
 	}
 	for _, ft := range chosen {
@@ -200,7 +202,8 @@
 	}
 }
 
-func conclude(ctx context.Context, s *scene, res *Result) (*Result, error) {
+// buildResult audits the run and completes its result.
+func buildResult(ctx context.Context, s *scenario, res *Result) (*Result, error) {
 	s.callers.mu.Lock()
 	calls := s.callers.calls
 	s.callers.mu.Unlock()
@@ -210,17 +213,19 @@
 	}
 	res.Requests = len(calls)
 	res.Answered, res.NotRun, res.MayHaveRun, res.RefusedBudget = countVerdicts(calls)
-	res.FalseRefusals, _ = s.callers.books.refusals()
+	res.FalseRefusals, _ = s.callers.accounts.refusals()
 	res.Overspend, res.DoubleBilled, res.Unbilled = a.Overspend, a.DoubleBilled, a.Unbilled
 	res.Lost, res.Crossed, res.RanTwice, res.NotRunButRan = a.Lost, a.Crossed, a.RanTwice, a.NotRunButRan
 	res.LateNewWork, res.CutByStop, res.Held, res.Billed = a.LateNewWork, a.CutByStop, a.Held, a.Billed
 	res.Notes = a.Notes
-	res.ConfigP99MS, res.Changes = s.operator.p99()
-	res.Attempts = s.f.amplification(calls)
+	res.ConfigP99MS, res.Changes = s.operator.changeLatencyP99()
+	res.Attempts = s.f.runsPerRequest(calls)
 	return res, nil
 }
 
-func (o *operatorClient) p99() (ms float64, n int) {
+// changeLatencyP99 returns the 99th percentile of the time until a change is in force everywhere, and the number of
+// changes measured.
+func (o *operatorClient) changeLatencyP99() (ms float64, n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.latency) == 0 {
@@ -231,14 +236,14 @@
 	return float64(at.Microseconds()) / 1000, len(o.latency)
 }
 
-// amplification is the runs at endpoints for each call that ran.
-func (f *fleet) amplification(calls []*call) float64 {
+// runsPerRequest returns the number of engine runs per chat call that may have run.
+func (f *fleet) runsPerRequest(calls []*call) float64 {
 	runs, ran := 0, 0
 	for _, e := range f.engines {
 		runs += len(e.engine.Log())
 	}
 	for _, c := range calls {
-		if (c.kind == chatStream || c.kind == chatWhole) && c.everRan() {
+		if (c.kind == chatStream || c.kind == chatNonStreaming) && c.mayHaveRun() {
 			ran++
 		}
 	}
@@ -248,6 +253,7 @@
 	return float64(runs) / float64(ran)
 }
 
+// storeCalls sums up the instances' calls to the store by duty.
 func (f *fleet) storeCalls() map[external.Duty]external.Calls {
 	out := make(map[external.Duty]external.Calls)
 	for _, n := range f.all() {
@@ -262,7 +268,7 @@
 	return out
 }
 
-// versionWatch looks at the version in force in every instance, again and again: it must never fall.
+// versionWatch polls the configuration version in force in every instance. It counts decreases, which must never happen.
 type versionWatch struct {
 	quit, done chan struct{}
 	reverts    int
@@ -284,7 +290,7 @@
 			select {
 			case <-w.quit:
 				return
-			case <-time.After(watchEvery):
+			case <-time.After(watchInterval):
 			}
 		}
 	}()
@@ -297,7 +303,7 @@
 	return w.reverts
 }
 
-func write(cfg Config, r *Result) error {
+func writeResult(cfg Config, r *Result) error {
 	if cfg.JSON {
 		b, err := json.Marshal(r)
 		if err != nil {
@@ -310,9 +316,9 @@
 }
 
 func (r *Result) text(w io.Writer) error {
-	verdictLine := "every promise was kept"
-	if !r.Kept() {
-		verdictLine = "A PROMISE WAS BROKEN"
+	summary := "every promise was kept"
+	if !r.GuaranteesHeld() {
+		summary = "A PROMISE WAS BROKEN"
 	}
 	_, err := fmt.Fprintf(w, `%d requests: %d answered whole, %d not run, %d may have run, %d refused for their budget
 billed %d tokens; held %d; %d false refusals; %.2f runs a request
@@ -323,7 +329,7 @@
 %s
 `, r.Requests, r.Answered, r.NotRun, r.MayHaveRun, r.RefusedBudget, r.Billed, r.Held, r.FalseRefusals, r.Attempts,
 		r.Changes, r.ConfigP99MS, r.StoreWrites, r.StoreReads, r.Overspend, r.DoubleBilled, r.Unbilled, r.Lost, r.Crossed,
-		r.RanTwice, r.NotRunButRan, r.ConfigReverts, r.LateNewWork, r.CutByStop, verdictLine)
+		r.RanTwice, r.NotRunButRan, r.ConfigReverts, r.LateNewWork, r.CutByStop, summary)
 	for _, n := range r.Notes {
 		_, _ = fmt.Fprintln(w, "note:", n)
 	}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -30,9 +30,9 @@
 // requestDigest identifies the request by its content, whatever its ID.
 func (j *job) requestDigest() quarantine.Digest {
 	if j.plain != nil {
-		return quarantine.Of(j.customer, j.plain.method, j.pool, j.plain.path, j.plain.body)
+		return quarantine.DigestOf(j.customer, j.plain.method, j.pool, j.plain.path, j.plain.body)
 	}
-	return quarantine.Of(j.customer, http.MethodPost, j.pool, wire.PathCompletions, j.body)
+	return quarantine.DigestOf(j.customer, http.MethodPost, j.pool, wire.PathCompletions, j.body)
 }
 
 // admitSuspect rejects a request in quarantine, under which several endpoints crashed. After two crashes in a row it
@@ -107,7 +107,7 @@
 // checkAvailability rejects a request immediately if no endpoint of its pool accepts it now. A pool that is merely full
 // does not count: the request waits at the gate.
 func (j *job) checkAvailability() error {
-	if o := j.g.targets.Opens(j.pool); !o.Open && !o.Full {
+	if o := j.g.targets.Availability(j.pool); !o.Open && !o.Full {
 		return j.noEndpoint(o)
 	}
 	return nil
@@ -115,8 +115,8 @@
 
 func (j *job) noEndpoint(o pool.Availability) error {
 	detail, after := "no endpoint of pool "+j.pool+" can take the request", retryAfterNoEndpoint
-	if o.Rest > 0 {
-		detail, after = "all endpoints of pool "+j.pool+" that take work have asked for rest", o.Rest
+	if o.Backoff > 0 {
+		detail, after = "all endpoints of pool "+j.pool+" that take work have asked for rest", o.Backoff
 	}
 	return verdict.New(verdict.NotRun, verdict.CodeNoEndpoint, detail, verdict.WithRetryAfter(after))
 }
--- a/internal/pool/limits_test.go
+++ b/internal/pool/limits_test.go
@@ -32,11 +32,11 @@
 
 func TestLimitNotice(t *testing.T) {
 	two := Notice{Limit: limit.PerSecond(2)}
-	Convey("An endpoint that names a limit in a response", t, func() {
+	Convey("An endpoint that announces a limit in a response", t, func() {
 		p := newNoticePool()
 		lease := p.lease()
 		p.clock.pass(time.Second)
-		lease.ObserveNotice(two, Answer{Request: "r", Status: 200})
+		lease.ObserveNotice(two, ResponseInfo{Request: "r", Status: 200})
 		lease.Done(EndGood)
 
 		Convey("gets that rate from a single instance even as the only endpoint, and is reported once", func() {
@@ -59,8 +59,8 @@
 		})
 		Convey("shows why it gets nothing, and which rate callers may expect", func() {
 			So(p.Statuses()[0].Exclusion, ShouldEqual, ExcludedLimited)
-			o := p.Availability(Query{Service: "s"})
-			So(o, ShouldResemble, Availability{Limited: true, Rate: 2})
+			availability := p.Availability(Query{Service: "s"})
+			So(availability, ShouldResemble, Availability{Limited: true, Rate: 2})
 		})
 		Convey("is not charged for requests that did not reach it", func() {
 			p.clock.pass(time.Second)
@@ -73,10 +73,10 @@
 				p.clock.pass(time.Second)
 			}
 		})
-		Convey("is subject to a rest as well: neither bound cancels the other", func() {
+		Convey("is subject to a back-off as well: neither bound cancels the other", func() {
 			p.clock.pass(time.Second)
 			rejected := p.lease()
-			rejected.ObserveNotice(Notice{Rest: 3 * time.Second, Limit: two.Limit}, Answer{})
+			rejected.ObserveNotice(Notice{Backoff: 3 * time.Second, Limit: two.Limit}, ResponseInfo{})
 			rejected.Done(EndBusy)
 			So(p.countTaken(2900*time.Millisecond), ShouldEqual, 0)
 			So(p.countTaken(10*time.Second), ShouldBeBetween, 15, 21)
@@ -94,15 +94,15 @@
 			p.Put(p.record(8000, false))
 			So(p.countTaken(time.Second), ShouldEqual, 100)
 		})
-		Convey("keeps its limit after a response to a request that was sent before the limit was named", func() {
-			lease.ObserveNotice(Notice{}, Answer{})
+		Convey("keeps its limit after a response to a request that was sent before the limit was announced", func() {
+			lease.ObserveNotice(Notice{}, ResponseInfo{})
 			So(p.takes(), ShouldBeFalse)
 		})
-		Convey("has no limit any more once a later response names none, which is reported", func() {
+		Convey("has no limit any more once a later response announces none, which is reported", func() {
 			p.clock.pass(time.Second)
 			later := p.lease()
 			p.clock.pass(time.Second)
-			later.ObserveNotice(Notice{}, Answer{})
+			later.ObserveNotice(Notice{}, ResponseInfo{})
 			later.Done(EndGood)
 			So(p.countTaken(time.Second), ShouldEqual, 100)
 			So(p.ended, ShouldResemble, []NoticeEnd{NoticeLifted})
@@ -132,11 +132,11 @@
 			})
 		})
 	})
-	Convey("A request that was picked before its endpoint named a limit is sent only within that limit", t, func() {
+	Convey("A request that was picked before its endpoint announced a limit is sent only within that limit", t, func() {
 		p := newNoticePool()
 		first, second := p.lease(), p.lease()
 		p.clock.pass(time.Second)
-		first.ObserveNotice(two, Answer{})
+		first.ObserveNotice(two, ResponseInfo{})
 		So(second.StillValid(), ShouldBeFalse)
 		p.clock.pass(time.Second)
 		So(second.StillValid(), ShouldBeTrue)
@@ -152,7 +152,7 @@
 		for range 100 {
 			lease := p.Pick(Query{Service: "s", Affinity: "a"})
 			So(lease, ShouldNotBeNil)
-			lease.ObserveNotice(Notice{Limit: limit.PerSecond(0)}, Answer{})
+			lease.ObserveNotice(Notice{Limit: limit.PerSecond(0)}, ResponseInfo{})
 			lease.Done(EndGood)
 			if lease.Endpoint().ID == "f" {
 				So(lease.Exclusion(), ShouldBeIn, ExcludedLimited, NotExcluded)
--- a/internal/pool/notice_test.go
+++ b/internal/pool/notice_test.go
@@ -56,12 +56,12 @@
 		lease := p.lease()
 		So(p.Len(), ShouldEqual, 1)
 		p.clock.pass(time.Second)
-		lease.ObserveNotice(leaving, Answer{Request: "r", Status: 200})
+		lease.ObserveNotice(leaving, ResponseInfo{Request: "r", Status: 200})
 		lease.Done(EndGood)
 		So(p.takes(), ShouldBeFalse)
 		So(p.Len(), ShouldEqual, 0)
 		So(lease.ProcessState(), ShouldEqual, ProcessLeaving)
-		So(p.notices, ShouldResemble, []NoticeTaken{{Endpoint: p.record(0, false), Notice: leaving, Answer: Answer{Request: "r", Status: 200}, Age: time.Second}})
+		So(p.notices, ShouldResemble, []NoticeTaken{{Endpoint: p.record(0, false), Notice: leaving, Response: ResponseInfo{Request: "r", Status: 200}, Age: time.Second}})
 
 		Convey("also if its record reports it ready again: alone, in a list, removed and added again, or with a start not reported before", func() {
 			for _, update := range []func(){
@@ -81,7 +81,7 @@
 		})
 
 		Convey("announces it again without another report", func() {
-			lease.ObserveNotice(leaving, Answer{})
+			lease.ObserveNotice(leaving, ResponseInfo{})
 			So(len(p.notices), ShouldEqual, 1)
 		})
 
@@ -108,7 +108,7 @@
 			p.Put(p.record(900, false))
 			So(p.takes(), ShouldBeTrue)
 			So(p.ended, ShouldResemble, []NoticeEnd{NoticeRestarted})
-			lease.ObserveNotice(leaving, Answer{})
+			lease.ObserveNotice(leaving, ResponseInfo{})
 			So(p.takes(), ShouldBeTrue)
 		})
 
@@ -132,7 +132,7 @@
 			again := p.lease()
 			So(p.ended, ShouldResemble, []NoticeEnd{NoticeExpired})
 			So(p.takes(), ShouldBeFalse)
-			again.ObserveNotice(leaving, Answer{})
+			again.ObserveNotice(leaving, ResponseInfo{})
 			again.Done(EndGood)
 			So(p.takes(), ShouldBeFalse)
 			So(len(p.notices), ShouldEqual, 2)
@@ -146,10 +146,10 @@
 		So(p.takes(), ShouldBeFalse)
 	})
 
-	Convey("A request that is not sent yet is invalid once its endpoint leaves, rests, drains, restarts, is removed or is evacuated", t, func() {
+	Convey("A request that is not sent yet is invalid once its endpoint leaves, asks for a back-off, drains, restarts, is removed or is evacuated", t, func() {
 		for _, end := range []func(*noticePool, *Lease){
-			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Leaving: true}, Answer{}) },
-			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Rest: time.Second}, Answer{}) },
+			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Leaving: true}, ResponseInfo{}) },
+			func(_ *noticePool, l *Lease) { l.ObserveNotice(Notice{Backoff: time.Second}, ResponseInfo{}) },
 			func(p *noticePool, _ *Lease) { p.Put(p.record(7, true)) },
 			func(p *noticePool, _ *Lease) { p.Put(p.record(8, false)) },
 			func(p *noticePool, _ *Lease) { p.Remove("e") },
@@ -169,7 +169,7 @@
 	Convey("An instance reports which endpoints have announced to it that they leave", t, func() {
 		p, other := newNoticePool(), newNoticePool()
 		So(p.Leaving(), ShouldBeEmpty)
-		p.lease().ObserveNotice(Notice{Leaving: true}, Answer{})
+		p.lease().ObserveNotice(Notice{Leaving: true}, ResponseInfo{})
 		p.clock.pass(2 * time.Second)
 		reported := p.Leaving()
 		So(reported, ShouldResemble, Leaving{p.byID["e"].key(): 2 * time.Second})
@@ -181,7 +181,7 @@
 			So(p.Leaving(), ShouldBeEmpty)
 		})
 
-		Convey("and others that receive this send nothing there, and do not report it as their own", func() {
+		Convey("and other instances that receive this send nothing there, and do not report it as their own observation", func() {
 			other.ObserveLeaving(reported)
 			So(other.takes(), ShouldBeFalse)
 			So(other.notices[0].FromPeer, ShouldBeTrue)
@@ -194,7 +194,7 @@
 			So(other.takes(), ShouldBeTrue)
 		})
 
-		Convey("also those to which the endpoint is still unknown, or whose record of it is removed and added again", func() {
+		Convey("also instances to which the endpoint is still unknown, or at which its record is removed and added again", func() {
 			other.Remove("e")
 			other.ObserveLeaving(reported)
 			other.Put(other.record(0, false))
@@ -218,23 +218,23 @@
 	})
 }
 
-func TestRestNotice(t *testing.T) {
-	Convey("An endpoint that has asked for rest gets nothing meanwhile, even as the only one", t, func() {
+func TestBackoffNotice(t *testing.T) {
+	Convey("An endpoint that has asked for a back-off gets nothing meanwhile, even as the only one", t, func() {
 		p := newNoticePool()
 		first, second := p.lease(), p.lease()
-		first.ObserveNotice(Notice{Rest: 3 * time.Second}, Answer{Status: 503})
+		first.ObserveNotice(Notice{Backoff: 3 * time.Second}, ResponseInfo{Status: 503})
 		first.Done(EndBusy)
 		p.clock.pass(time.Second)
 		So(p.takes(), ShouldBeFalse)
 		So(p.Len(), ShouldEqual, 1) // it still counts as accepting work
-		So(p.Availability(Query{Service: "s"}), ShouldResemble, Availability{Rest: 2 * time.Second})
+		So(p.Availability(Query{Service: "s"}), ShouldResemble, Availability{Backoff: 2 * time.Second})
 		So(second.ProcessState(), ShouldEqual, ProcessRunning)
 
 		Convey("the longest of the times that it asks for counts, and is reported once", func() {
-			second.ObserveNotice(Notice{Rest: time.Second}, Answer{})
+			second.ObserveNotice(Notice{Backoff: time.Second}, ResponseInfo{})
 			p.clock.pass(1900 * time.Millisecond)
 			So(p.takes(), ShouldBeFalse)
-			second.ObserveNotice(Notice{Rest: time.Second}, Answer{})
+			second.ObserveNotice(Notice{Backoff: time.Second}, ResponseInfo{})
 			p.clock.pass(900 * time.Millisecond)
 			So(p.takes(), ShouldBeFalse)
 			So(len(p.notices), ShouldEqual, 1)
@@ -253,7 +253,7 @@
 			So(p.takes(), ShouldBeTrue)
 		})
 
-		Convey("then it gets one request at a time, one more with each response, and in time as many as before", func() {
+		Convey("then it gets one request at first, one more with each response, and eventually as many as its slots and the requests still open allow", func() {
 			second.Done(EndGood)
 			p.clock.pass(2 * time.Second)
 			open := func() (out []*Lease) {
@@ -278,7 +278,7 @@
 	Convey("Instances that receive the notice at the same time return at different times", t, func() {
 		p := newNoticePool()
 		p.random = func(n int) int { return n - 1 }
-		p.lease().ObserveNotice(Notice{Rest: 10 * time.Second}, Answer{})
+		p.lease().ObserveNotice(Notice{Backoff: 10 * time.Second}, ResponseInfo{})
 		p.clock.pass(10*time.Second + 900*time.Millisecond)
 		So(p.takes(), ShouldBeFalse)
 		p.clock.pass(100 * time.Millisecond)
@@ -290,23 +290,23 @@
 		p.Put(Endpoint{ID: "f", Service: "s", Addr: "10.0.0.2:80", Zone: "a", Slots: 1})
 		for range 2 {
 			lease := p.lease()
-			rest := map[string]time.Duration{"e": 4 * time.Second, "f": time.Second}[lease.Endpoint().ID]
-			lease.ObserveNotice(Notice{Rest: rest}, Answer{})
+			backoff := map[string]time.Duration{"e": 4 * time.Second, "f": time.Second}[lease.Endpoint().ID]
+			lease.ObserveNotice(Notice{Backoff: backoff}, ResponseInfo{})
 		}
-		So(p.Availability(Query{Service: "s"}), ShouldResemble, Availability{Rest: time.Second})
+		So(p.Availability(Query{Service: "s"}), ShouldResemble, Availability{Backoff: time.Second})
 		So(p.Availability(Query{Service: "none"}), ShouldResemble, Availability{})
 	})
 }
 
-// TestNoticesHoldProperty checks that a run that has announced that it leaves, or has asked for rest, gets no request
-// while that applies, in whatever order records arrive, are removed and are repeated.
+// TestNoticesHoldProperty checks that a run that has announced that it leaves, or has asked for a back-off, gets no
+// request while that applies, in whatever order records arrive, are removed and are repeated.
 func TestNoticesHoldProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		clock := &testClock{at: time.Unix(1000, 0)}
 		p := New("a", WithNow(clock.now), WithRandom(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "random") }))
 		newest := 1
 		// record returns a record of the newest run, or a late one of an earlier run. After the newest run's record
-		// is removed, no earlier one follows: the store keeps their order.
+		// is removed, no earlier one follows: the store preserves their order.
 		record := func() Endpoint {
 			first := 1
 			if p.byID["e"] == nil {
@@ -316,7 +316,7 @@
 			newest = max(newest, run)
 			return Endpoint{ID: "e", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 4, StartedAt: int64(run) * 100}
 		}
-		leaving, resting := make(map[int64]time.Time), make(map[int64]time.Time) // until when, by the run's start
+		leaving, backingOff := make(map[int64]time.Time), make(map[int64]time.Time) // until when, by the run's start
 		var open []*Lease
 		t.Repeat(map[string]func(*rapid.T){
 			"record":  func(*rapid.T) { p.Put(record()) },
@@ -333,13 +333,13 @@
 				open = append(open[:i], open[i+1:]...)
 				run := lease.Endpoint().StartedAt
 				if rapid.Bool().Draw(t, "leaving") {
-					lease.ObserveNotice(Notice{Leaving: true}, Answer{})
+					lease.ObserveNotice(Notice{Leaving: true}, ResponseInfo{})
 					leaving[run] = clock.at.Add(leavingTTL)
 				} else {
-					rest := time.Duration(rapid.IntRange(1, 3000).Draw(t, "rest")) * time.Millisecond
-					lease.ObserveNotice(Notice{Rest: rest}, Answer{})
-					if until := clock.at.Add(rest); until.After(resting[run]) {
-						resting[run] = until
+					backoff := time.Duration(rapid.IntRange(1, 3000).Draw(t, "rest")) * time.Millisecond
+					lease.ObserveNotice(Notice{Backoff: backoff}, ResponseInfo{})
+					if until := clock.at.Add(backoff); until.After(backingOff[run]) {
+						backingOff[run] = until
 					}
 				}
 				lease.Done(EndBusy)
@@ -351,8 +351,8 @@
 				}
 				open = append(open, lease)
 				run := lease.Endpoint().StartedAt
-				if clock.at.Before(leaving[run]) || clock.at.Before(resting[run]) {
-					t.Fatalf("run %d leaves until %v, rests until %v, and got a request at %v", run, leaving[run], resting[run], clock.at)
+				if clock.at.Before(leaving[run]) || clock.at.Before(backingOff[run]) {
+					t.Fatalf("run %d leaves until %v, has a back-off until %v, and got a request at %v", run, leaving[run], backingOff[run], clock.at)
 				}
 			},
 		})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -58,11 +58,11 @@
 	client        *upstream.Client
 	pool          *pool.Pool
 	peers         *peers.Directory
-	clock         *fleettime.Clock
-	boot          *boottime.Clock
+	fleetClock    *fleettime.Clock
+	bootClock     *boottime.Clock
 	resumeGuard   resumeGuard
 	load          *load.Exchange
-	share         *quarantine.Replicator
+	replicator    *quarantine.Replicator
 	follow        *follow.Follower
 	escrow        *escrow.Holder
 	core          *relay.Core
@@ -80,22 +80,22 @@
 // New returns a router whose listeners are open. It serves only once Run is called.
 func New(settings *Settings, platform Platform, log zerolog.Logger) (*Router, error) {
 	r := &Router{settings: settings, log: log, kernel: kernel.New(), metrics: newMeters(settings)}
-	if r.boot = platform.Clock; r.boot == nil {
-		r.boot = boottime.New()
+	if r.bootClock = platform.Clock; r.bootClock == nil {
+		r.bootClock = boottime.New()
 	}
 	r.start = newStartRecorder(log, r.metrics.recordStartStep)
 	r.followEpochs(platform.Epochs)
 	platform.Calls.OnCall(r.onStoreCall)
 	platform.Calls.OnBackoff(r.logStoreBackoff)
 	id := settings.Instance.ID + "/" + strings.ToLower(ulid.Make().String())
-	links := mesh.NewRouter()
-	r.newFleet(platform, links, id)
-	r.newEscrow(platform, links, id)
-	r.newFollower(platform, links)
-	r.newSharing(platform, links)
+	meshRouter := mesh.NewRouter()
+	r.newFleet(platform, meshRouter, id)
+	r.newEscrow(platform, meshRouter, id)
+	r.newFollower(platform, meshRouter)
+	r.newSharing(platform, meshRouter)
 	r.newCore(platform)
-	r.resumeGuard = resumeGuard{clock: r.boot, lastContact: r.follow.LastContact}
-	r.boot.OnResume(r.onResume)
+	r.resumeGuard = resumeGuard{clock: r.bootClock, lastContact: r.follow.LastContact}
+	r.bootClock.OnResume(r.onResume)
 	if err := r.listen(platform); err != nil {
 		return nil, err
 	}
@@ -103,9 +103,10 @@
 	return r, r.kernel.Register(r.services()...)
 }
 
-// newFleet creates the components that communicate with endpoints and other instances, and the gauge of the network link.
-func (r *Router) newFleet(platform Platform, links *mesh.Router, id string) {
-	settings, now := r.settings, r.boot.Now
+// newFleet creates the components that communicate with endpoints and other instances, and the monitor of the network
+// link.
+func (r *Router) newFleet(platform Platform, meshRouter *mesh.Router, id string) {
+	settings, now := r.settings, r.bootClock.Now
 	r.pressure = pressure.New(
 		pressure.WithPolicy(settings.pressurePolicy()), pressure.OnChange(r.logPressure), pressure.WithLink(settings.Instance.LinkMbps), pressure.WithNow(now),
 	)
@@ -114,7 +115,7 @@
 		Peer:     mesh.Peer{ID: settings.Instance.ID, Zone: settings.Instance.Zone, Addr: settings.Peers.Listen, Incarnation: id},
 		Capacity: settings.Instance.LinkMbps,
 	}
-	r.peers = peers.New(platform.Store, settings.Store.Prefix, self, links,
+	r.peers = peers.New(platform.Store, settings.Store.Prefix, self, meshRouter,
 		append(settings.peersOptions(), peers.WithNow(now), peers.WithLogger(r.log), peers.WithEpochs(platform.Epochs), peers.WithTraffic(r.metrics.recordMeshSent))...)
 	logNotice, logNoticeEnd := pool.LogNotices(r.log)
 	opts := []pool.Option{
@@ -126,51 +127,51 @@
 		opts = append(opts, pool.WithLeases())
 	}
 	r.pool = pool.New(settings.Instance.Zone, opts...)
-	r.clock = fleettime.New(r.peers, settings.Instance.ID, links, fleettime.WithSteady(r.boot.Elapsed))
+	r.fleetClock = fleettime.New(r.peers, settings.Instance.ID, meshRouter, fleettime.WithSteady(r.bootClock.Elapsed))
 }
 
 // newEscrow creates the holder of customers' budgets.
-func (r *Router) newEscrow(platform Platform, links *mesh.Router, id string) {
+func (r *Router) newEscrow(platform Platform, meshRouter *mesh.Router, id string) {
 	settings := r.settings
 	r.escrow = escrow.New(platform.Store, settings.Store.Prefix+escrowPrefix, settings.Store.pages(), settings.Instance.ID, id,
-		escrow.WithLogger(r.log), escrow.WithNow(r.boot.Now), escrow.OnSettlement(r.metrics.recordFolded), escrow.WithPolicy(settings.escrowPolicy()),
+		escrow.WithLogger(r.log), escrow.WithNow(r.bootClock.Now), escrow.OnSettlement(r.metrics.recordSettlement), escrow.WithPolicy(settings.escrowPolicy()),
 		escrow.WithEpochs(platform.Epochs),
-		escrow.WithFleet(remote.New(r.peers, r.clock, settings.fleetOptions()...)))
-	remote.Serve(links, r.escrow)
+		escrow.WithFleet(remote.New(r.peers, r.fleetClock, settings.fleetOptions()...)))
+	remote.Serve(meshRouter, r.escrow)
 }
 
 // newFollower creates the component that watches the configuration and the endpoints.
-func (r *Router) newFollower(platform Platform, links *mesh.Router) {
-	r.follow = follow.New(feed.NewSource(r.peers, platform.Source, feed.WithNow(r.boot.Now), feed.WithEpochs(platform.Epochs)), r.pool,
-		follow.WithLogger(r.log), follow.WithNow(r.boot.Now), follow.OnRejected(r.metrics.recordRejected),
+func (r *Router) newFollower(platform Platform, meshRouter *mesh.Router) {
+	r.follow = follow.New(feed.NewSource(r.peers, platform.Source, feed.WithNow(r.bootClock.Now), feed.WithEpochs(platform.Epochs)), r.pool,
+		follow.WithLogger(r.log), follow.WithNow(r.bootClock.Now), follow.OnRejected(r.metrics.recordRejected),
 		follow.OnTable(r.updateBudgets), follow.OnTable(r.updateServices),
 		follow.OnEntry(r.observeEntry), follow.OnPolled(r.escrow.StoreAnswered), follow.WithFleetRecords(func() bool { return !r.peers.Large() }))
-	feed.Serve(links, r.follow, platform.Epochs)
+	feed.Serve(meshRouter, r.follow, platform.Epochs)
 }
 
 // newSharing creates the components through which instances exchange the load of endpoints, and quarantined requests.
-func (r *Router) newSharing(platform Platform, links *mesh.Router) {
-	now := r.boot.Now
+func (r *Router) newSharing(platform Platform, meshRouter *mesh.Router) {
+	now := r.bootClock.Now
 	r.suspects = quarantine.New(quarantine.WithNow(now), quarantine.WithProber(r.ownsProbe), quarantine.OnChange(r.onQuarantineChange),
-		quarantine.OnUpdate(func() { r.share.Wake() }))
-	r.share = quarantine.NewReplicator(r.suspects, r.peers, platform.Store, r.settings.Store.Prefix, links,
+		quarantine.OnUpdate(func() { r.replicator.Wake() }))
+	r.replicator = quarantine.NewReplicator(r.suspects, r.peers, platform.Store, r.settings.Store.Prefix, meshRouter,
 		quarantine.WithLogger(r.log), quarantine.WithEpochs(platform.Epochs))
-	r.load = load.New(r.peers, r.pool, links, load.WithPiggyback(r.share), load.WithNow(now), load.OnLimits(r.metrics.recordLimits))
+	r.load = load.New(r.peers, r.pool, meshRouter, load.WithPiggyback(r.replicator), load.WithNow(now), load.OnLimits(r.metrics.recordLimits))
 }
 
 // newCore creates the component that serves requests.
 func (r *Router) newCore(platform Platform) {
 	ratio, slack := r.settings.retryBudget()
-	retries := retry.NewFleetBudget(ratio, slack, r.settings.Retry.Window, r.fleetSize, r.boot.Now)
+	retries := retry.NewFleetBudget(ratio, slack, r.settings.Retry.Window, r.fleetSize, r.bootClock.Now)
 	r.core = relay.New(relay.Deps{
 		Table: r.follow.Table, Pool: r.pool, Budgets: r.escrow, Retries: retries, Client: r.client, Dialect: platform.Dialect,
-	}, append(r.settings.relayOptions(), relay.WithNow(r.boot.Now), relay.OnOutcome(r.logRequest), relay.OnDelayedExit(r.logDelayedExit),
+	}, append(r.settings.relayOptions(), relay.WithNow(r.bootClock.Now), relay.OnOutcome(r.logRequest), relay.OnDelayedExit(r.logDelayedExit),
 		relay.WithQuarantine(r.suspects), relay.WithStateFresh(r.resumeGuard.stateFresh), relay.OnDial(r.recordDial), relay.WithCongested(r.pressure.Congested))...)
 }
 
 // fleetSize returns the number of instances among which fleet-wide limits are divided. Right after its start, an instance
-// may have seen only a few of the holders of budgets, or only a few records of a large fleet. The larger of both numbers
-// keeps its share from being too large.
+// may have discovered only a few holders of budgets, or only a few records of a large fleet. The larger of both numbers
+// is used, so that no instance takes too large a share.
 func (r *Router) fleetSize() int { return max(r.escrow.Holders(), r.peers.Size()) }
 
 // onStoreCall handles the outcome of a call to the store.
@@ -187,7 +188,7 @@
 	r.log.Info().Str("event", "store_rests").Dur("rest", after).Msg("the store has asked for a back-off: calls are paused")
 }
 
-// startWatch returns the service that measures the start of the instance.
+// startWatch returns the service that polls for the steps of the instance's start.
 func (r *Router) startWatch() *startWatcher {
 	return &startWatcher{recorder: r.start, steps: map[Step]func() bool{
 		StepFleet:         r.peers.IsDiscovered,
@@ -200,14 +201,14 @@
 
 // services returns the services of the instance in the order in which they start.
 func (r *Router) services() []kernel.Service {
-	list := []kernel.Service{r.boot, r.peers}
+	list := []kernel.Service{r.bootClock, r.peers}
 	if !r.settings.disabled(FleetTime) {
-		list = append(list, r.clock)
+		list = append(list, r.fleetClock)
 	}
 	if !r.settings.disabled(Loads) {
 		list = append(list, r.load)
 	}
-	list = append(list, r.share, r.follow, r.escrow, r.escrow.Repayments(), &sweeper{client: r.client}, &callLog{counts: r.metrics.calls, sent: r.metrics.sent, role: r.role, log: r.log}, r.startWatch(), r.callers, r.probes)
+	list = append(list, r.replicator, r.follow, r.escrow, r.escrow.Repayments(), &sweeper{client: r.client}, &callLog{counts: r.metrics.calls, sent: r.metrics.sent, role: r.role, log: r.log}, r.startWatch(), r.callers, r.probes)
 	if r.metricsServer != nil {
 		list = append(list, r.metricsServer)
 	}
@@ -249,8 +250,8 @@
 		Msg("prepaid budgets are in force")
 }
 
-// recordDial passes the connection times of endpoints in the same availability zone to the gauge of this instance's link.
-// Connections to other zones may be slow for other reasons.
+// recordDial passes the connection times of endpoints in the same availability zone to the monitor of this instance's
+// link. Connections to other zones may be slow for other reasons.
 func (r *Router) recordDial(zone string, took time.Duration) {
 	if zone == r.settings.Instance.Zone {
 		r.pressure.ObserveDial(took)
@@ -258,16 +259,17 @@
 }
 
 // logPressure logs that the instance starts or stops diverting callers to other instances.
-func (r *Router) logPressure(away bool) {
-	if away {
+func (r *Router) logPressure(diverting bool) {
+	if diverting {
 		r.log.Warn().Str("event", "link_crowded").Msg("the network link is congested: callers are diverted to other instances")
 		return
 	}
 	r.log.Info().Str("event", "link_calm").Msg("the network link is no longer congested: callers are accepted again")
 }
 
-// ready reports whether the instance accepts callers: the configuration, endpoints and escrow are known, the network link
-// is not congested, and all data has been received again after a suspension of the machine.
+// ready reports whether the instance accepts callers. The configuration and endpoints must be known, the escrow must be
+// ready, and the network link must not be congested. After a suspension of the machine, current data must have been
+// received.
 func (r *Router) ready() bool {
 	return !r.pressure.Diverting() && r.resumeGuard.stateFresh() && r.follow.Table() != nil && r.escrow.Ready() && r.pool.Len() > 0
 }
@@ -283,7 +285,7 @@
 	return err
 }
 
-// Phases of a planned stop. Callers still arrive until the platform has noticed that the instance is not ready.
+// Phases of a planned stop. Callers still arrive until the platform has detected that the instance is not ready.
 const (
 	lingerShare      = 0.35                   // share of the time for a stop in which callers still arrive
 	escrowReturnTime = 600 * time.Millisecond // time for returning the escrow, before exitMargin
@@ -318,7 +320,7 @@
 	return r.peers.Leave(ctx)
 }
 
-// Reload logs that the settings file was read again. Its values take effect when the process restarts.
+// Reload logs that the settings file was read again. The new values take effect when the process restarts.
 func (r *Router) Reload(settings *Settings) {
 	r.log.Info().Str("event", "settings_reloaded").Int("retry_slack", settings.Retry.Slack).Dur("stop_within", settings.Stop.Within).
 		Msg("the settings were read again")
