--- a/internal/gateway/attach.go
+++ b/internal/gateway/attach.go
@@ -79,7 +79,7 @@
 
 func (g *Gateway) startKeyed(ctx context.Context, j *job) error {
 	resp, err := g.keys.Begin(ctx, j.customer, j.keyRecord(budget.Place{}, false, 0))
-	if errors.Is(err, once.ErrNoHome) {
+	if errors.Is(err, once.ErrHomeUnreachable) {
 		j.provisional = true
 		g.detach(ctx, j.run)
 		return nil
@@ -162,7 +162,7 @@
 
 // takeOver continues a request whose serving instance is lost, with the same reservation and the same run at the endpoint.
 func (g *Gateway) takeOver(ctx context.Context, j *job, rec once.Record) {
-	current, err := g.keys.Take(ctx, j.customer, rec)
+	current, err := g.keys.TakeOver(ctx, j.customer, rec)
 	if err != nil || current.Owner.IncarnationID() != g.members.Self().IncarnationID() {
 		g.endJoined(j, verdict.New(verdict.MayHaveRun, verdict.CodeConflict, "the request is being taken over elsewhere",
 			verdict.WithRetryAfter(time.Second), verdict.WithCause(err)))
@@ -177,7 +177,7 @@
 }
 
 func (g *Gateway) continueRun(ctx context.Context, j *job, rec once.Record) error {
-	hold, resp, err := g.budgets.TakeOver(ctx, rec.Home, budget.Ask{
+	hold, resp, err := g.budgets.TakeOver(ctx, rec.HolderAddr, budget.ReserveParams{
 		Request: j.id, Budget: j.budget, Customer: j.customer, Tokens: j.tokens, Place: rec.Place, Keyed: true,
 	})
 	if err != nil {
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -379,7 +379,7 @@
 		return
 	}
 	if !j.provisional && j.hold != nil {
-		_, _ = j.g.keys.Note(keyCtx, j.customer, j.keyRecord(j.hold.Place(), true, used))
+		_, _ = j.g.keys.Update(keyCtx, j.customer, j.keyRecord(j.hold.Place(), true, used))
 	}
 }
 
--- a/internal/gateway/reservation.go
+++ b/internal/gateway/reservation.go
@@ -37,7 +37,7 @@
 		return err
 	}
 	if resp.Outcome == budget.Existing && j.formerOwner != "" && resp.Owner == j.formerOwner {
-		return j.takeOverReservation(ctx, resp.At, place)
+		return j.takeOverReservation(ctx, resp.HolderAddr, place)
 	}
 	if resp.Outcome != budget.Granted {
 		return j.conflictError(resp)
@@ -54,7 +54,7 @@
 // reserveWithRetries makes the reservation. An earlier attempt of the same request that was rejected as not run may have
 // left a reservation behind. The holder removes it shortly, so reserveWithRetries retries while it exists.
 func (j *job) reserveWithRetries(ctx context.Context, place budget.Place) (h *budget.Hold, resp budget.ReserveResp, err error) {
-	ask := budget.Ask{
+	ask := budget.ReserveParams{
 		Request: j.id, Budget: j.budget, Customer: j.customer, Tokens: j.tokens, Place: place, Keyed: j.keyed(),
 	}
 	for range staleReservationAttempts {
@@ -84,7 +84,7 @@
 // takeOverReservation makes this job the owner of the former owner's reservation. The former owner never dispatched the
 // request, and can no longer do so.
 func (j *job) takeOverReservation(ctx context.Context, holderAddr string, place budget.Place) error {
-	h, resp, err := j.g.budgets.TakeOver(ctx, holderAddr, budget.Ask{
+	h, resp, err := j.g.budgets.TakeOver(ctx, holderAddr, budget.ReserveParams{
 		Request: j.id, Budget: j.budget, Customer: j.customer, Tokens: j.tokens, Place: place, Keyed: true,
 	})
 	if err != nil {
@@ -104,7 +104,7 @@
 	if err := j.g.hook(ctx, step.Claim); err != nil {
 		return err
 	}
-	if err := j.g.claims.Make(ctx, j.id, place.Run); err != nil {
+	if err := j.g.claims.Acquire(ctx, j.id, place.Run); err != nil {
 		return err
 	}
 	j.claimed, j.claimRun = true, place.Run
@@ -117,7 +117,7 @@
 	if j.provisional {
 		return nil
 	}
-	owner, err := j.g.keys.Note(ctx, j.customer, j.keyRecord(place, false, 0))
+	owner, err := j.g.keys.Update(ctx, j.customer, j.keyRecord(place, false, 0))
 	if err != nil {
 		j.provisional = true
 		return nil //nolint:nilerr // the request is settled only after the home has answered
@@ -134,7 +134,7 @@
 		Request: j.id, Fingerprint: j.fingerprint, Owner: j.g.members.Self(), Place: place, Done: done, Tokens: tokens,
 	}
 	if j.hold != nil {
-		rec.Home = j.hold.Home()
+		rec.HolderAddr = j.hold.HolderAddr()
 	}
 	return rec
 }
