--- a/internal/gateway/attach.go
+++ b/internal/gateway/attach.go
@@ -102,7 +102,7 @@
 // detach runs a keyed job independently of the caller's connection: the caller may disconnect and fetch the response
 // later.
 func (g *Gateway) detach(ctx context.Context, run func(context.Context)) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), maxStreamDuration)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), maxKeyedJobDuration)
 	g.work.run(func() {
 		defer cancel()
 		stop := context.AfterFunc(g.killed, cancel)
--- a/internal/gateway/auth.go
+++ b/internal/gateway/auth.go
@@ -30,7 +30,7 @@
 	return t
 }
 
-// authenticate returns the identity that the bearer key in an Authorization header belongs to.
+// authenticate returns the identity of the bearer key in an Authorization header.
 func (g *Gateway) authenticate(header string) (identity, error) {
 	secret, ok := strings.CutPrefix(header, "Bearer ")
 	if !ok || secret == "" {
--- a/internal/gateway/deferred.go
+++ b/internal/gateway/deferred.go
@@ -7,8 +7,8 @@
 	"github.com/ledgemount/ledgemount/internal/mesh"
 )
 
-// deferred is a request that was served while the key's home, the instance that stores the key's record, did not answer.
-// Its tokens stay reserved until the home reports whether another instance has billed the same request.
+// deferred is a request that was served while the key's registrar, the instance that stores the key's record, did not
+// answer. Its tokens stay reserved until the registrar reports whether another instance has billed the same request.
 type deferred struct {
 	j    *job
 	used int64
@@ -20,7 +20,7 @@
 	g.deferred = append(g.deferred, deferred{j: j, used: used})
 }
 
-// settleDeferred settles the deferred requests whose key's home answers now. The others stay deferred.
+// settleDeferred settles the deferred requests whose key's registrar answers now. The others stay deferred.
 func (g *Gateway) settleDeferred(ctx context.Context) {
 	g.mu.Lock()
 	pending := g.deferred
@@ -63,7 +63,7 @@
 		}
 	}
 	self := g.members.Self().IncarnationID()
-	// This instance itself may have billed another run of the request: an orphaned one, whose escrow it holds.
+	// This instance may itself have billed another run of the request: an orphaned run, whose escrow it holds.
 	billedOther := rec.Done && rec.Tokens > 0 && rec.Place.Run != place.Run
 	if resp.New || (rec.Owner.IncarnationID() == self && !billedOther) {
 		_, _ = g.keys.Update(ctx, d.j.customer, d.j.keyRecord(place, true, d.used))
@@ -74,7 +74,7 @@
 		return false // the owner's run may still end as not run
 	}
 	g.log.Info().Str("event", "duplicate_unbilled").Str("request", d.j.id).Int64("tokens", d.used).
-		Msg("request already billed by another availability zone; this run is not billed")
+		Msg("request is billed for another run; this run is not billed")
 	d.j.hold.Settle(0)
 	return true
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -32,8 +32,8 @@
 const ServiceName = "gateway"
 
 const (
-	maxStreamDuration = 15 * time.Minute
-	tickInterval      = 500 * time.Millisecond
+	maxKeyedJobDuration = 15 * time.Minute
+	tickInterval        = 500 * time.Millisecond
 )
 
 // Feed provides the current configuration.
@@ -50,8 +50,8 @@
 	Verdict    verdict.Verdict
 	Code       verdict.Code // empty: the response is complete
 	Tokens     int64
-	FirstToken time.Duration
-	SlowestGap time.Duration
+	FirstToken time.Duration // from the request's acceptance to the first token, or to the response of a plain service
+	SlowestGap time.Duration // longest interval between two pieces of the response
 	Attempts   int
 }
 
@@ -90,14 +90,14 @@
 	metrics  metrics
 	outcomes func(Outcome)
 	maxBody  int64
-	killed   context.Context //nolint:containedctx // ends every job at once
+	killed   context.Context //nolint:containedctx // ends all keyed jobs at once
 
 	work *tracker // open requests and their background work
 
 	mu       sync.Mutex
 	gates    map[string]*admit.Gate
-	jobs     map[string]*job // keyed requests by id
-	ended    map[string]time.Time
+	jobs     map[string]*job      // keyed requests by ID
+	ended    map[string]time.Time // when keyed requests ended, by ID
 	deferred []deferred
 	auth     *authTable
 }
@@ -123,7 +123,8 @@
 // WithMaxBody limits the size of request bodies, in bytes.
 func WithMaxBody(n int64) Option { return func(g *Gateway) { g.maxBody = n } }
 
-// WithKill sets a context. When it ends, all jobs are cancelled at once.
+// WithKill sets a context. When it ends, all keyed jobs are cancelled at once; the other jobs end with their callers'
+// connections.
 func WithKill(ctx context.Context) Option { return func(g *Gateway) { g.killed = ctx } }
 
 // WithProber replaces the Prober, which detects that an endpoint's process has exited.
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -49,11 +49,11 @@
 	transcript        *transcript
 	hold              *budget.Hold
 	claimed           bool
-	claimRun          string // the run for which the claim was made
-	provisional       bool   // the key's home did not answer: another instance may have the request too
-	formerOwner       string // ID of the incarnation from which an undispatched request was taken over
-	mayHaveRun        bool   // an earlier attempt may have run, so the request cannot end as not run
-	tried             []string
+	claimRun          string   // the run for which the claim was made
+	provisional       bool     // the key's registrar did not answer: another instance may have the request too
+	formerOwner       string   // ID of the incarnation from which an undispatched request was taken over
+	mayHaveRun        bool     // an earlier attempt may have run, so the request cannot end as not run
+	tried             []string // IDs of the endpoints of all attempts so far
 	attempts          int
 	admittedAsSuspect bool // admitted although requests with its digest are suspected of crashing endpoints
 	dispatched        bool // the request may have reached an endpoint
@@ -359,8 +359,8 @@
 	return j.transcript.tokens()
 }
 
-// updateKey reports the outcome of a keyed request to the key's home. If the request has not run, updateKey releases the
-// claim and drops the key's record.
+// updateKey reports the outcome of a keyed request to the key's registrar. If the request has not run, updateKey releases
+// the claim and drops the key's record.
 func (j *job) updateKey(ctx context.Context, err error, used int64) {
 	if !j.keyed() {
 		return
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -17,7 +17,7 @@
 type Prober interface {
 	// Refused reports whether a new connection to an address is refused now.
 	Refused(ctx context.Context, addr string) bool
-	// RefusedSoon reports whether one is refused now or shortly afterwards.
+	// RefusedSoon reports whether a new connection is refused now or shortly afterwards.
 	RefusedSoon(ctx context.Context, addr string) bool
 }
 
@@ -27,7 +27,7 @@
 	retryAfterNoEndpoint = time.Second            // no endpoint accepts work
 )
 
-// requestDigest identifies the request by its content, whatever its ID.
+// requestDigest returns the digest of the request's customer and content, which does not depend on the request's ID.
 func (j *job) requestDigest() quarantine.Digest {
 	if j.plain != nil {
 		return quarantine.DigestOf(j.customer, j.plain.method, j.pool, j.plain.path, j.plain.body)
@@ -35,8 +35,8 @@
 	return quarantine.DigestOf(j.customer, http.MethodPost, j.pool, wire.PathCompletions, j.body)
 }
 
-// admitSuspect rejects a request in quarantine, under which several endpoints crashed. After two crashes in a row it
-// admits one run of the request at a time.
+// admitSuspect rejects a request that is quarantined because several endpoints crashed while they ran it. After two
+// crashes in a row it admits one run of the request at a time.
 func (j *job) admitSuspect() error {
 	if !j.g.suspects.Suspects(j.customer) {
 		return nil
@@ -63,12 +63,13 @@
 	}
 }
 
-// noRetry reports whether only the caller may retry the request, because two endpoints in a row crashed under it.
+// noRetry reports whether only the caller may retry the request, because two endpoints in a row crashed while they ran it.
 func (j *job) noRetry() bool {
 	return j.g.suspects.Suspects(j.customer) && j.g.suspects.NoRetry(j.requestDigest())
 }
 
-// detectCrash records a crash if the endpoint's process exited during an attempt that was interrupted.
+// detectCrash records a crash if the endpoint's process exited during an attempt that was interrupted. An endpoint
+// that is leaving (it drains, announced its exit or was removed) has not crashed.
 func (j *job) detectCrash(ctx context.Context, t targets.Target, started time.Time, err error) {
 	if code := verdict.From(err).Code(); code != verdict.CodeTruncated && code != verdict.CodeEndpointFailed {
 		return
--- a/internal/gateway/reservation.go
+++ b/internal/gateway/reservation.go
@@ -54,11 +54,11 @@
 // reserveWithRetries makes the reservation. An earlier attempt of the same request that was rejected as not run may have
 // left a reservation behind. The holder removes it shortly, so reserveWithRetries retries while it exists.
 func (j *job) reserveWithRetries(ctx context.Context, place budget.Place) (h *budget.Hold, resp budget.ReserveResp, err error) {
-	ask := budget.ReserveParams{
+	params := budget.ReserveParams{
 		Request: j.id, Budget: j.budget, Customer: j.customer, Tokens: j.tokens, Place: place, Keyed: j.keyed(),
 	}
 	for range staleReservationAttempts {
-		h, resp, err = j.g.budgets.Reserve(ctx, ask)
+		h, resp, err = j.g.budgets.Reserve(ctx, params)
 		if err != nil || resp.Outcome != budget.Existing || j.formerOwner != "" || j.provisional {
 			return h, resp, err
 		}
@@ -72,7 +72,7 @@
 }
 
 // conflictError returns the error for a request whose budget another instance has reserved or settled. If the reservation
-// is still open and the key's home knew of no other owner, this request has not run.
+// is still open and the key's registrar has no other owner on record, this request has not run.
 func (j *job) conflictError(resp budget.ReserveResp) error {
 	v := verdict.MayHaveRun
 	if resp.Outcome == budget.Existing && !j.provisional {
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// recordPlace reports the place to the key's home. It fails if this instance is no longer the owner, which must not
-// dispatch the request.
+// recordPlace reports the place to the key's registrar. It fails if this instance is no longer the owner of the request,
+// because only the owner may dispatch it.
 func (j *job) recordPlace(ctx context.Context, place budget.Place) error {
 	if j.provisional {
 		return nil
@@ -120,7 +120,7 @@
 	owner, err := j.g.keys.Update(ctx, j.customer, j.keyRecord(place, false, 0))
 	if err != nil {
 		j.provisional = true
-		return nil //nolint:nilerr // the request is settled only after the home has answered
+		return nil //nolint:nilerr // the request is settled only after the registrar has answered
 	}
 	if !owner {
 		return verdict.New(verdict.MayHaveRun, verdict.CodeConflict, "another instance has taken this request over",
--- a/internal/gateway/transcript.go
+++ b/internal/gateway/transcript.go
@@ -17,7 +17,7 @@
 	usage    chat.Usage
 	ended    bool
 	err      error
-	followed bool // a streaming caller reads along: pieces cannot be discarded any more
+	followed bool // a streaming caller receives the pieces as they arrive, so they cannot be discarded any more
 	changed  chan struct{}
 }
 
@@ -53,7 +53,7 @@
 	t.notify()
 }
 
-// reset discards the pieces, unless a caller has received some of them. It reports whether it did.
+// reset discards the pieces, unless a caller may have received some of them. It reports whether it has discarded them.
 func (t *transcript) reset() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,7 +64,7 @@
 	return true
 }
 
-// delivered reports whether a caller has received a part of the response.
+// delivered reports whether a caller may have received a part of the response.
 func (t *transcript) delivered() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
