--- a/internal/chat/chat.go
+++ b/internal/chat/chat.go
@@ -14,7 +14,7 @@
 // Headers that instances and endpoints exchange in addition to the chat-completions API. An endpoint may set HeaderLeaving
 // and HeaderLimit in any response.
 const (
-	HeaderRequestID = "X-Request-Id"         // ID of the request; endpoints return it
+	HeaderRequestID = "X-Request-Id"         // ID of the request, or of its run in calls to endpoints, which return it
 	HeaderAttempt   = "X-Request-Attempt"    // decimal number of the attempt; endpoints return it
 	HeaderPriority  = "X-Request-Priority"   // smaller is more urgent
 	HeaderFence     = "X-Endpoint-Fence"     // fencing token; the endpoint refuses smaller ones
--- a/internal/compat/compat_test.go
+++ b/internal/compat/compat_test.go
@@ -42,8 +42,8 @@
 	return b
 }
 
-// TestUnknownFieldsSurviveWriteBack guards against data loss when an older instance reads a page, changes it and writes it
-// back. Fields that a later build had written used to be lost: tokens that had been lent would have become free again.
+// TestUnknownFieldsSurviveWriteBack guards against the loss of a later build's fields when an older instance reads a page,
+// changes it and writes it back. If the field of lent tokens is lost, these tokens count as available again.
 func TestUnknownFieldsSurviveWriteBack(t *testing.T) {
 	Convey("A build that writes a value back retains the fields that it does not know", t, func() {
 		raw := mustEncode(laterPage{Format: 3, Accounts: map[string]*laterAccount{
@@ -117,7 +117,7 @@
 		want, _ := mode.Marshal(written)
 		got, _ := mode.Marshal(back)
 		if string(want) != string(got) {
-			t.Fatalf("%x came back as %x", want, got)
+			t.Fatalf("%x was written back as %x", want, got)
 		}
 	})
 }
--- a/internal/compat/formattest/formattest.go
+++ b/internal/compat/formattest/formattest.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// compare returns the faults in the encodings of a value. If the encoding has changed and -formats.add is set, it adds a
-// file instead of reporting that.
+// compare returns the faults in the encodings of a value. With -formats.add it adds a file for an encoding that has
+// changed, instead of returning a fault, unless this generation has a file already.
 func compare[T any](name string, c Codec[T], generation int) (faults []string, err error) {
 	files, err := readFiles(name, generation)
 	if err != nil {
@@ -98,14 +98,14 @@
 func checkRoundTrip[T any](c Codec[T], raw []byte) error {
 	v, err := c.Decode(raw)
 	if err != nil {
-		return fmt.Errorf("it cannot be read: %w", err)
+		return fmt.Errorf("decoding: %w", err)
 	}
 	back, err := c.Encode(v)
 	if err != nil {
 		return err
 	}
 	if !bytes.Equal(raw, back) {
-		return fmt.Errorf("%x comes back as %x", raw, back)
+		return fmt.Errorf("after decoding, %x is encoded as %x", raw, back)
 	}
 	return nil
 }
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -237,7 +237,7 @@
 	Field   string       `json:"field,omitempty"`
 }
 
-// writeError writes the error response for a request that has no response of an endpoint.
+// writeError writes the error response to a request for which there is no response from an endpoint.
 func writeError(w http.ResponseWriter, err error) {
 	e := verdict.From(err)
 	h := w.Header()
--- a/internal/endpoint/engine.go
+++ b/internal/endpoint/engine.go
@@ -46,9 +46,9 @@
 }
 
 // NoticeFunc receives the notice in the header of an endpoint's response, and the status code. It may be nil.
-type NoticeFunc func(w pool.Notice, status int)
+type NoticeFunc func(notice pool.Notice, status int)
 
-// notify passes on the notice in a response header, unless the response belongs to another request.
+// notify calls f with the notice in a response header, unless the response belongs to another request.
 func (f NoticeFunc) notify(resp *http.Response, run string) {
 	if id := resp.Header.Get(chat.HeaderRequestID); f != nil && (id == "" || id == run) {
 		f(answer.Notice(resp.StatusCode, resp.Header, answer.Headers{Leaving: chat.HeaderLeaving, Limit: chat.HeaderLimit}), resp.StatusCode)
--- a/internal/endpoint/plain.go
+++ b/internal/endpoint/plain.go
@@ -61,8 +61,8 @@
 	return readResponse(resp)
 }
 
-// singleUseBody returns a body that net/http cannot send twice. Otherwise net/http retries a request with an
-// Idempotency-Key by itself when its connection breaks, even if the service has run it already.
+// singleUseBody returns a body that net/http cannot send twice. With another body, net/http itself retries a request with
+// an Idempotency-Key when the connection breaks, even if the service has already run the request.
 func singleUseBody(b []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
 
 func readResponse(resp *http.Response) (*Response, error) {
--- a/internal/endpoint/stream.go
+++ b/internal/endpoint/stream.go
@@ -70,8 +70,8 @@
 	return verdict.New(verdict.Ran, verdict.CodeTruncated, detail)
 }
 
-// verify checks a piece. It returns false for pieces that are dropped: those of other requests and attempts, and those
-// that were received before.
+// verify checks a piece. It returns false for pieces that are dropped: those of other requests or attempts, and those
+// that were received before. A gap in the offsets is an error.
 func (s *Stream) verify(c *chat.Chunk) (Piece, bool, error) {
 	run, attempt, ok := wire.SplitResponseID(c.ID)
 	if !ok || run != s.run || attempt != s.attempt {
--- a/internal/endpoint/wire/wire.go
+++ b/internal/endpoint/wire/wire.go
@@ -12,12 +12,12 @@
 // Paths that a model engine serves.
 const (
 	PathCompletions = "/v1/chat/completions"
-	PathStreams     = "/v1/streams/" // + request id: GET resumes (?offset=tokens), DELETE cancels
+	PathStreams     = "/v1/streams/" // + run ID: GET resumes (?offset=tokens), DELETE cancels
 	PathLoad        = "/load"
 	PathOrders      = "/orders"
 )
 
-// Load is the state that an engine reports. It may lag behind.
+// Load is the state that an engine reports. It may be out of date.
 type Load struct {
 	Running  int    `json:"running"`
 	Capacity int    `json:"capacity"`
@@ -27,8 +27,8 @@
 	Fence    int64  `json:"fence"`
 }
 
-// Order tells an engine to load a version or to change its role. Engines that check fencing tokens refuse an order whose
-// token is smaller than an earlier one.
+// Order is the request to an engine to load a version or to change its role. Engines that check fencing tokens refuse an
+// order whose token is smaller than an earlier one.
 type Order struct {
 	Fence   int64  `json:"fence"`
 	Version string `json:"version,omitempty"`
--- a/internal/mesh/meshtest/net.go
+++ b/internal/mesh/meshtest/net.go
@@ -43,7 +43,7 @@
 	return &caller{net: n, self: p}
 }
 
-// SetDown stops a peer from receiving and making calls, or lets it do so again.
+// SetDown sets whether a peer is down. A peer that is down neither receives nor makes calls.
 func (n *Net) SetDown(addr string, down bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -117,7 +117,7 @@
 			return nil, eris.Wrapf(mesh.ErrNoReply, "%s to %s", kind, addr)
 		}
 		return res.out, res.err
-	case <-ctx.Done(): // the peer does not reply
+	case <-ctx.Done(): // the peer has not replied in time
 		return nil, eris.Wrapf(mesh.ErrNoReply, "%s to %s", kind, addr)
 	}
 }
--- a/internal/mesh/transport.go
+++ b/internal/mesh/transport.go
@@ -33,7 +33,7 @@
 	closeNormally  = quic.ApplicationErrorCode(0)
 )
 
-// PeerFilter reports whether calls from a peer are accepted. Tests cut links with it.
+// PeerFilter reports whether calls from a peer are accepted. Tests use it to cut links.
 type PeerFilter func(peer Peer) bool
 
 type request struct {
@@ -224,7 +224,8 @@
 func (t *Transport) logRefused(conn *quic.Conn, err error) {
 	var te *quic.TransportError
 	if errors.As(err, &te) && te.ErrorCode.IsCryptoError() {
-		t.log.Warn().Str("event", "peer_refused").Str("addr", conn.RemoteAddr().String()).Err(err).Msg("peer refused")
+		t.log.Warn().Str("event", "peer_refused").Str("addr", conn.RemoteAddr().String()).Err(err).
+			Msg("connection closed after a TLS error, such as an invalid certificate")
 	}
 }
 
@@ -373,8 +374,8 @@
 	close(pc.ready)
 }
 
-// Forget closes the connection to an address, so that the next call dials anew. A connection whose link was cut for long
-// takes long to recover.
+// Forget closes the connection to an address, so that the next call dials anew. After a long outage of the link, this is
+// faster than waiting until the connection recovers.
 func (t *Transport) Forget(addr string) {
 	t.mu.Lock()
 	var conn *quic.Conn
