--- a/internal/compat/formattest/formattest.go
+++ b/internal/compat/formattest/formattest.go
@@ -1,7 +1,7 @@
 // Package formattest compares the encodings of messages and stored values with the bytes that earlier builds wrote.
 //
-// For each encoding that a value ever had, there is a file testdata/formats/NAME.N.hex next to the test. It contains what
-// builds from generation N on write (compat.Generation). Files are added and never changed.
+// For each encoding that a value ever had, there is a file testdata/formats/NAME.N.hex next to the test. It contains the
+// bytes that builds write from generation N on (compat.Generation). Files are added and never changed.
 //
 // A test fails if the encoding of a value differs from its last file. It also fails if decoding and encoding the contents
 // of any file does not reproduce them: then a field of an earlier build is lost, or decoded as another field.
--- a/internal/endpoint/plain.go
+++ b/internal/endpoint/plain.go
@@ -31,7 +31,8 @@
 	Body        []byte `cbor:"3,keyasint"`
 }
 
-// Invoke calls a plain service. A response that belongs to another request is dropped; the call may have run then.
+// Invoke calls a plain service. A response that belongs to another request is dropped; the call then counts as one
+// that may have run.
 func (d *Driver) Invoke(ctx context.Context, c PlainCall) (*Response, error) {
 	req, err := http.NewRequestWithContext(ctx, c.Method, c.URL, singleUseBody(c.Body))
 	if err != nil {
--- a/internal/gateway/attach.go
+++ b/internal/gateway/attach.go
@@ -33,7 +33,7 @@
 	responseUnavailable = "the answer is no longer available; the request ran and was billed"
 )
 
-// serveAttach sends a transcript to another instance while it grows.
+// serveAttach sends the response to a request to another instance, piece by piece as it arrives.
 func (g *Gateway) serveAttach(ctx context.Context, _ mesh.Peer, req AttachReq, send func(AttachItem) error) error {
 	j, ok := g.findJob(req.Request)
 	if !ok {
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// start starts a job. If this or another instance already serves the same keyed request, the caller joins that one.
+// start starts a job. If this or another instance already serves the same keyed request, the caller receives the response
+// to that request.
 func (g *Gateway) start(ctx context.Context, j *job) (*job, error) {
 	if !j.keyed() {
 		g.work.run(func() { j.run(ctx) })
--- a/internal/gateway/reservation.go
+++ b/internal/gateway/reservation.go
@@ -10,8 +10,8 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// prepareRun reserves the budget, claims the request if it must not run twice, and records where it will run. It returns
-// the place that the budget's holder has recorded.
+// prepareRun reserves the request's tokens in its budget, claims the request if it must not run twice, and records where
+// it will run. It returns the place that the budget's holder has recorded.
 func (j *job) prepareRun(ctx context.Context, place budget.Place) (budget.Place, error) {
 	if err := j.reserve(ctx, place); err != nil {
 		return place, err
@@ -71,8 +71,8 @@
 	return h, resp, err
 }
 
-// conflictError returns the error for a request whose budget another instance has reserved or settled. If the reservation
-// is still open and the key's registrar has no other owner on record, this request has not run.
+// conflictError returns the error for a request whose reservation another instance holds or has settled. If the
+// reservation is still open and the key's registrar has no other owner on record, this request has not run.
 func (j *job) conflictError(resp budget.ReserveResp) error {
 	v := verdict.MayHaveRun
 	if resp.Outcome == budget.Existing && !j.provisional {
