--- a/internal/budget/client.go
+++ b/internal/budget/client.go
@@ -70,8 +70,8 @@
 	failingSince time.Time // when calls to the holder began to fail; zero while they succeed
 }
 
-// Client is the serving side of reservations. It keeps a second copy of all reservations and charges that are not in the
-// store yet.
+// Client is the serving side of reservations. It keeps a second copy of all reservations and charges that are not in
+// the store yet.
 type Client struct {
 	members Members
 	caller  mesh.Caller
@@ -313,7 +313,8 @@
 	return nil
 }
 
-// Move notifies the holder that the request will run at another place. It must succeed before the request is sent there.
+// Move notifies the holder that the request will run at another place. It must succeed before the request is sent
+// there.
 func (h *Hold) Move(ctx context.Context, p Place) error {
 	addr := h.HolderAddr()
 	req := UpdateReq{Request: h.request, Budget: h.budget, Place: p}
--- a/internal/budget/client_sync.go
+++ b/internal/budget/client_sync.go
@@ -81,9 +81,9 @@
 	return out
 }
 
-// holdersToSync returns the holders that receive a SyncReq about a hold. Several instances may try to take over the same
-// holder, and one of them succeeds; until one confirms the take-over, all of them receive the request. Once a settlement
-// is delivered, only the hold's holder receives it. The caller holds the client's lock.
+// holdersToSync returns the holders that receive a SyncReq about a hold. Several instances may try to take over the
+// same holder, and one of them succeeds; until one confirms the take-over, all of them receive the request. Once a
+// settlement is delivered, only the hold's holder receives it. The caller holds the client's lock.
 func (h *Hold) holdersToSync() []holderAt {
 	switch {
 	case h.unconfirmed:
--- a/internal/budget/sizing.go
+++ b/internal/budget/sizing.go
@@ -5,7 +5,7 @@
 // Demand is the input of a SizePolicy. Amounts are tokens.
 type Demand struct {
 	TypicalSize int64   // size of the larger recent reservations
-	Need        int64   // what the waiting reservations lack
+	Need        int64   // what the reservation that waits for the increase lacks; 0: none waits
 	Rate        float64 // tokens per second recently spent through this holder
 	Available   int64   // unspent and unreserved tokens of the holder
 	Free        int64   // what the row can still grant
--- a/internal/escrow/fleet.go
+++ b/internal/escrow/fleet.go
@@ -54,7 +54,7 @@
 	RetryAfter  time.Duration // the earliest time at which a holder that refused may have enough; 0: unknown
 }
 
-// ErrNotDelivered reports that no leader has received a submission.
+// ErrNotDelivered reports that no leader has accepted a submission, so none of its rows will be written.
 var ErrNotDelivered = errors.New("no leader has received the rows")
 
 // errShortReceipt reports that a leader's receipt does not cover all submitted rows.
--- a/internal/escrow/page.go
+++ b/internal/escrow/page.go
@@ -18,8 +18,7 @@
 	"github.com/ledgemount/ledgemount/internal/compat"
 )
 
-// Row is one holder's part of an account. Amounts are in tokens. All but Demand and Rate are counted from the holder's
-// start.
+// Row is one holder's part of an account. Amounts are in tokens. Granted and Spent are counted from the holder's start.
 type Row struct {
 	Granted int64 `cbor:"1,keyasint,omitempty"` // upper limit of what the holder spends
 	Spent   int64 `cbor:"2,keyasint,omitempty"` // spent or reserved at the holder's last report
@@ -159,7 +158,7 @@
 // Settlement is the outcome of settling an earlier holder's grants, in tokens.
 type Settlement struct {
 	Holder   string
-	AgeKnown bool          // the clocks give the time between its last report and now
+	AgeKnown bool          // the clocks give Age
 	Age      time.Duration // from that report to the start of the successor
 	Spent    int64         // as last reported
 	Granted  int64
@@ -172,7 +171,7 @@
 // SettlePredecessors settles the rows of a node's earlier holders. These had ended when the successor's process
 // started; start is the report of that moment. If the clocks give the time between a holder's last report and start,
 // the holder can have spent at most its Ceiling. Otherwise, and if its rows are stale, everything granted to it counts
-// as spent. Rows whose age start.FleetTime will soon give more exactly stay.
+// as spent. Rows stay if start.FleetTime will soon give their age more exactly.
 func (p *Page) SettlePredecessors(successor string, start Report) []Settlement {
 	var predecessors []string
 	for id, r := range p.Holders {
--- a/internal/escrow/remote/remote.go
+++ b/internal/escrow/remote/remote.go
@@ -77,8 +77,8 @@
 // ZoneSize implements escrow.Fleet.
 func (f *Fleet) ZoneSize() int { return f.dir.ZoneSize() }
 
-// Submit implements escrow.Fleet. It tries the next leader only if the previous one has certainly not received the
-// rows.
+// Submit implements escrow.Fleet. It tries the next leader only if the previous one could not be reached or has
+// rejected the rows, so that it will certainly not write them.
 func (f *Fleet) Submit(ctx context.Context, s escrow.Submission) (escrow.Receipt, error) {
 	leaders := f.dir.Leaders()
 	if s.Relayed {
--- a/internal/escrow/sizing.go
+++ b/internal/escrow/sizing.go
@@ -100,7 +100,7 @@
 	Demand   int64 `cbor:"2,keyasint,omitempty"` // to hold unspent
 	Burst    int64 `cbor:"3,keyasint,omitempty"`
 	Rate     int64 `cbor:"4,keyasint,omitempty"`
-	Urgent   int64 `cbor:"5,keyasint,omitempty"` // the least unspent amount that a waiting request needs; 0: none waits
+	Urgent   int64 `cbor:"5,keyasint,omitempty"` // unspent amount that the waiting requests need; 0: none waits
 	MinGrant int64 `cbor:"6,keyasint,omitempty"` // the holder already relies on a grant of this much
 }
 
--- a/internal/escrow/submit.go
+++ b/internal/escrow/submit.go
@@ -155,7 +155,7 @@
 	return h.epochs.Observe(r.Epoch, 0) == nil && r.Epoch == epoch
 }
 
-// rollBackPart removes the rows of a part that no leader has received. The caller holds mu.
+// rollBackPart removes the rows of a part that no leader has accepted. The caller holds mu.
 func (h *Holder) rollBackPart(part Part) {
 	p := h.pages[part.Page]
 	left := false
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,4 +1,5 @@
-// Package follow keeps this instance's view of the configuration and the endpoints up to date from the platform's store.
+// Package follow keeps this instance's view of the configuration and the endpoints up to date from the platform's
+// store.
 //
 // It polls for changes at short intervals with a timeout on each call. It does not use a long-lived watch, because a
 // watch that was opened before a network partition may stay silent after it. Endpoints rewrite their records all the
@@ -155,7 +156,7 @@
 // Table returns the configuration in force; nil before the first one.
 func (f *Follower) Table() *route.Table { return f.table.Load() }
 
-// Age returns the time since the store last answered.
+// Age returns the time since the last successful call, to the store or to another instance that follows it.
 func (f *Follower) Age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/limit/allocator.go
+++ b/internal/limit/allocator.go
@@ -123,7 +123,8 @@
 }
 
 // Aggregate returns the claims to send to another instance on behalf of all claimants. It offers all their shares to
-// that instance, unless this one has granted leases from them, or a previous offer to a different instance still counts.
+// that instance, unless this one has granted leases from them, or a previous offer to a different instance still
+// counts.
 func (a *Allocator) Aggregate(to string, now time.Time) Claims {
 	a.lastAggregate = now
 	if now.Before(a.grantedUntil) || (to != a.upstream && now.Before(a.offeredUntil)) {
--- a/internal/limit/allocator_test.go
+++ b/internal/limit/allocator_test.go
@@ -202,8 +202,8 @@
 	SoMsg(name, float64(len(s.sent)), ShouldBeGreaterThanOrEqualTo, math.Floor(0.8*rate*length.Seconds()))
 }
 
-// The rates that are granted at any time never exceed the limit, whatever the order of partitions, lost messages,
-// crashes and restarts.
+// TestDivisionUnderFaults checks that the rates that are granted at any time never exceed the limit, whatever the order
+// of partitions, lost messages, crashes and restarts.
 func TestDivisionUnderFaults(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -247,8 +247,9 @@
 	}
 }
 
-// Instances that join are known to the others some seconds later. Until then the sum of all shares exceeds the limit,
-// which the tolerance allows for. Connected instances still grant no more than the limit.
+// TestAllocatorJoiningInstances covers instances that join and are known to the others some seconds later. Until then
+// the sum of all shares exceeds the limit, which the tolerance allows for. Connected instances still grant no more than
+// the limit.
 func TestAllocatorJoiningInstances(t *testing.T) {
 	Convey("A fleet that grows from 6 to 30 instances at once stays within the limit", t, func() {
 		r := PerSecond(4)
--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -82,15 +82,14 @@
 // Return restores a request that was counted but not sent.
 func (b *Bucket) Return() { b.level++ }
 
-// unusedAfter is how long an available request may stay unused by the sessions of the endpoint before a request of
-// any other session takes its place.
+// unusedAfter is how long a permitted request may stay unused by requests whose affinity prefers the endpoint, before
+// any other request takes its place.
 const unusedAfter = 500 * time.Millisecond
 
-// Underused reports whether the instance should send any of its requests to the endpoint, because one has been
-// available for some time and no session of the endpoint has used it. This concerns partial leases only: the sessions
-// of the few instances that hold one have fewer requests for the endpoint than those of all instances. Without this,
-// one endpoint of hundreds would receive almost no requests, and no instance would discover that it accepts more
-// again.
+// Underused reports whether the instance should send any of its requests to the endpoint, because it has been permitted
+// to send one for some time and has had none whose affinity prefers the endpoint. This concerns partial leases only:
+// the few instances that hold one have fewer such requests than all instances together. Without this, one endpoint of
+// hundreds would receive almost no requests, and no instance would discover that it accepts more again.
 //
 // evenShare is the fraction of all requests for the service that the endpoint would receive if they were distributed
 // evenly. The instances together send such requests at no higher rate than that, so that a high limit attracts none.
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -91,7 +91,8 @@
 	})
 }
 
-// Reports of other instances arrive twice, late and in any order; all instances reach the same state.
+// TestMerge checks that all instances reach the same state, although reports of other instances arrive twice, late and
+// in any order.
 func TestMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		moment := func(t *rapid.T) time.Time { return time.Unix(int64(rapid.IntRange(0, 20).Draw(t, "s")), 0) }
--- a/internal/load/limits_test.go
+++ b/internal/load/limits_test.go
@@ -120,8 +120,8 @@
 	return out
 }
 
-// The requests of all instances together stay within the limit of an endpoint. Its shares are claimed and granted with
-// the load exchange.
+// TestLimits checks that the requests of all instances together stay within the limit of an endpoint, whose shares are
+// claimed and granted with the load exchange.
 func TestLimits(t *testing.T) {
 	for _, instances := range []int{3, 6, 30, 300} {
 		for _, c := range []struct {
--- a/internal/pool/cascade_test.go
+++ b/internal/pool/cascade_test.go
@@ -194,8 +194,8 @@
 }
 
 // TestBackoffCascade covers an endpoint that asks for a back-off. It leaves its work to four others, which already run
-// at 90% of their capacity and ask for a back-off in turn. Without a window, all instances return at the same moment and
-// send at once all requests whose affinity prefers the endpoint, so that it asks for a back-off again.
+// at 90% of their capacity and ask for a back-off in turn. Without a window, all instances return at the same moment
+// and send at once all requests whose affinity prefers the endpoint, so that it asks for a back-off again.
 func TestBackoffCascade(t *testing.T) {
 	Convey("Five endpoints at 90% of their capacity, one of which asks for a back-off, serve more requests with a window than without", t, func() {
 		const seeds = 8
--- a/internal/pool/chooser.go
+++ b/internal/pool/chooser.go
@@ -11,7 +11,7 @@
 	Zone       int     // requests in progress through the zone's other instances, as last reported
 	Limit      int     // requests that it runs at once
 	FirstToken float64 // recent time to the first token, taken as that at low load, in seconds; 0 if unknown
-	PerToken   float64 // recent time between tokens, in seconds; 0 if unknown
+	PerToken   float64 // recent longest time between two tokens of a response, in seconds; 0 if unknown
 	Cached     float64 // share of the prompt that it probably has cached, 0 to 1
 }
 
--- a/internal/pool/connections_test.go
+++ b/internal/pool/connections_test.go
@@ -65,7 +65,7 @@
 		clock.pass(2 * PeerLoadsTTL)
 		So(p.Availability(Query{Service: "s"}).Open, ShouldBeFalse)
 	})
-	Convey("Connections to endpoints of a service without a number are not bounded", t, func() {
+	Convey("Connections to endpoints are not bounded if no number is set for their service", t, func() {
 		p := New("a", WithOwners(fleetMember{size: 300}))
 		p.SetConnections(map[string]int{"s": 0})
 		p.Put(Endpoint{ID: "e-1", Service: "s", Addr: "10.0.0.1:80", Zone: "a", Slots: 8})
--- a/internal/pool/load.go
+++ b/internal/pool/load.go
@@ -35,8 +35,8 @@
 	return Load{Open: x.Open + y.Open, Interference: x.Interference + y.Interference, Ended: x.Ended + y.Ended, Failed: x.Failed + y.Failed, Silent: x.Silent + y.Silent}
 }
 
-// silent reports whether an endpoint no longer responds to any instance: to most of the requests that wait there, and
-// to more than one of them, since the path of a single instance may be at fault.
+// silent reports whether an endpoint no longer responds: at least half of the requests that all instances have open
+// there, and at least two, wait in vain. A single one is not enough, since the path of its instance may be at fault.
 func (x Load) silent() bool { return x.Silent >= minSilent && silentFraction*x.Silent >= x.Open }
 
 // failureShare is the share of requests that failed; 0 while too few have ended to judge.
@@ -54,7 +54,7 @@
 const PeerLoadsTTL = 1500 * time.Millisecond
 
 const (
-	flowDecay        = 10 * time.Second // time constant with which these rates decay: sessions return within seconds
+	flowDecay        = 10 * time.Second // time constant of a flow's decay: requests of one affinity recur within seconds
 	certainStallGaps = 2                // reading a prompt for so many allowed gaps certainly stalls streams
 	minFlow          = 0.001            // rates below this are negligible
 	minEnded         = 4                // requests that must have ended recently before their failures count
--- a/internal/pool/notice.go
+++ b/internal/pool/notice.go
@@ -153,9 +153,9 @@
 	}
 }
 
-// extendBackoff sets until when an endpoint accepts nothing. It returns true if no back-off was in progress. The longest
-// time counts: several requests may be under way when an endpoint asks for a back-off, and the last response to them may
-// announce the shortest time.
+// extendBackoff sets until when an endpoint accepts nothing. It returns true if no back-off was in progress. The
+// longest time counts: several requests may be under way when an endpoint asks for a back-off, and the last response to
+// them may announce the shortest time.
 func (x *announced) extendBackoff(now, until time.Time) (started bool) {
 	started = !before(now, x.backoffUntil)
 	if until.After(x.backoffUntil) {
--- a/internal/pool/pace.go
+++ b/internal/pool/pace.go
@@ -10,7 +10,8 @@
 	slowSamples   = 5   // responses from which an endpoint may count as slow
 )
 
-// pace is an endpoint's recent time to the first token and between tokens, in seconds; 0: unknown.
+// pace is an endpoint's recent time to the first token, and longest time between two tokens of a response, in seconds;
+// 0: unknown.
 type pace struct {
 	first, token float64
 	samples      int
--- a/internal/pool/return_test.go
+++ b/internal/pool/return_test.go
@@ -8,10 +8,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// TestStaggeredReturn guards against all instances returning to an endpoint at once. The endpoint asks all of them for a
-// back-off at about the same time. They used to return within a tenth of the back-off with a request each: 300 at once
-// at an endpoint that works on 32. So they return in steps, in an order that all instances compute, twice as many in
-// each step.
+// TestStaggeredReturn guards against all instances returning to an endpoint at once. The endpoint asks all of them for
+// a back-off at about the same time. They used to return within a tenth of the back-off with a request each: 300 at
+// once at an endpoint that works on 32. So they return in steps, in an order that all instances compute, twice as many
+// in each step.
 func TestStaggeredReturn(t *testing.T) {
 	const slots, backoff = 32, time.Second
 	for _, instances := range []int{6, 30, 300} {
--- a/internal/pool/window.go
+++ b/internal/pool/window.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// window bounds this instance's open requests at an endpoint that has asked for a back-off, like a congestion window. It
-// starts at one request and grows by one with each response, up to a share of the requests that were open when the
+// window bounds this instance's open requests at an endpoint that has asked for a back-off, like a congestion window.
+// It starts at one request and grows by one with each response, up to a share of the requests that were open when the
 // endpoint asked for the back-off. Beyond that it grows slowly.
 //
 // It prevents a cascade: while one endpoint gets no work, the others get more than they can sustain and ask for a
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -170,7 +170,8 @@
 	})
 }
 
-// Trackers that have received the same reports agree, even if reports arrive late, twice or out of order.
+// TestMergeInAnyOrder checks that trackers that have received the same reports agree, even if reports arrive late,
+// twice or out of order.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const members = 3
--- a/internal/relay/core.go
+++ b/internal/relay/core.go
@@ -64,8 +64,8 @@
 // OnOutcome sets the function that is called with the outcome of each request.
 func OnOutcome(f func(Outcome)) Option { return func(c *Core) { c.onOutcome = f } }
 
-// OnDelayedExit sets the function that is called if the exit of an endpoint's process is detected only after the outcome
-// of the interrupted request was reported.
+// OnDelayedExit sets the function that is called if the exit of an endpoint's process is detected only after the
+// outcome of the interrupted request was reported.
 func OnDelayedExit(f func(DelayedExit)) Option { return func(c *Core) { c.onDelayedExit = f } }
 
 // WithQuarantine sets the tracker of requests that may crash endpoints. By default, each Core has a separate one.
@@ -77,8 +77,8 @@
 	return func(c *Core) { c.onDial = f }
 }
 
-// WithCongested sets the function that reports whether this instance's network link is so congested that other instances
-// should serve its requests.
+// WithCongested sets the function that reports whether this instance's network link is so congested that other
+// instances should serve its requests.
 func WithCongested(f func() bool) Option { return func(c *Core) { c.congested = f } }
 
 // WithStateFresh sets the function that reports whether the known configuration and endpoints may be used. After a
@@ -89,7 +89,7 @@
 // another endpoint. The effective time is longer for long prompts, and for routes that allow long pauses.
 func WithStallTimeout(d time.Duration) Option { return func(c *Core) { c.stallTimeout = d } }
 
-// WithoutAffinity sends requests to the least loaded endpoint, regardless of common prompt prefixes.
+// WithoutAffinity picks endpoints regardless of common prompt prefixes.
 func WithoutAffinity() Option { return func(c *Core) { c.noAffinity = true } }
 
 const (
--- a/internal/relay/deadlines.go
+++ b/internal/relay/deadlines.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// deadlineTracker holds the requests in progress that have a deadline. Timers do not advance while the machine is suspended,
-// so after a suspension it cancels the requests whose deadlines have passed. Its zero value is empty and ready to use.
+// deadlineTracker holds the requests in progress that have a deadline. Timers do not advance while the machine is
+// suspended, so after a suspension it cancels the requests whose deadlines have passed. Its zero value is empty and
+// ready to use.
 type deadlineTracker struct {
 	mu   sync.Mutex
 	jobs map[*job]context.CancelFunc
--- a/internal/relay/deadlines_test.go
+++ b/internal/relay/deadlines_test.go
@@ -10,7 +10,8 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// Timers of requests do not advance while the machine is suspended, so CancelExpired must enforce the deadlines.
+// TestCancelExpired checks that CancelExpired enforces deadlines, since the timers of requests do not advance while the
+// machine is suspended.
 func TestCancelExpired(t *testing.T) {
 	Convey("Requests whose deadlines passed while the machine was suspended are cancelled", t, func() {
 		now := time.Unix(1000, 0)
--- a/internal/relay/dispatch.go
+++ b/internal/relay/dispatch.go
@@ -99,8 +99,8 @@
 }
 
 // noEndpoint returns the error for a request that no endpoint accepts. If the endpoints have asked for a back-off, the
-// caller may retry a random delay after the first of them is available again. Without the random delay, all callers that
-// were rejected in the meantime would retry at the same moment.
+// caller may retry a random delay after the first of them is available again. Without the random delay, all callers
+// that were rejected in the meantime would retry at the same moment.
 func (j *job) noEndpoint() error {
 	backoff := j.availability.Backoff
 	switch {
@@ -329,7 +329,8 @@
 	return j.relayUnbuffered(res, body), nil
 }
 
-// relayUnbuffered forwards a response that is too long to be buffered. first holds the bytes that have been read already.
+// relayUnbuffered forwards a response that is too long to be buffered. first holds the bytes that have been read
+// already.
 func (j *job) relayUnbuffered(res *upstream.Response, first []byte) result {
 	j.sendHeader(res.Status, res.Header, res.Length)
 	if j.out.Write(first) != nil {
--- a/internal/relay/exits.go
+++ b/internal/relay/exits.go
@@ -21,9 +21,9 @@
 	return exited.(bool) //nolint:forcetypeassert // the function above returns nothing else
 }
 
-// endpointExited reports whether the endpoint of an interrupted attempt has exited. The exit of an endpoint that is known
-// to be leaving does not count. If a first probe does not detect an exit, further probes run in the background, and
-// onDelayed is called if one of them detects it.
+// endpointExited reports whether the endpoint of an interrupted attempt has exited. The exit of an endpoint that is
+// known to be leaving does not count. If a first probe does not detect an exit, further probes run in the background,
+// and onDelayed is called if one of them detects it.
 func (j *job) endpointExited(lease *pool.Lease, onDelayed func()) bool {
 	switch lease.ProcessState() {
 	case pool.ProcessLeaving:
@@ -88,8 +88,8 @@
 	}
 }
 
-// quarantinedMeanwhile reports whether a request was quarantined after it was admitted, while it waited for its budget or
-// for a second attempt.
+// quarantinedMeanwhile reports whether a request was quarantined after it was admitted, while it waited for its budget
+// or for a second attempt.
 func (j *job) quarantinedMeanwhile() bool {
 	return j.core.suspects.Suspects(j.outcome.Customer) && j.core.suspects.Quarantined(j.digest())
 }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -38,8 +38,8 @@
 	LastEventID string // last event that the caller has received; empty: none
 }
 
-// AffinityKey returns the ID of the last part of the prompt that other requests share. Requests with the same key are sent
-// to the same endpoint, which then has the shared parts in its prompt cache.
+// AffinityKey returns the ID of the last part of the prompt that other requests share. Requests with the same key are
+// sent to the same endpoint, which then has the shared parts in its prompt cache.
 func (r *Request) AffinityKey() string {
 	switch n := len(r.Parts); n {
 	case 0:
@@ -51,7 +51,8 @@
 	}
 }
 
-// SharedTokens returns the number of tokens in the parts of the prompt that other requests share: all but the last part.
+// SharedTokens returns the number of tokens in the parts of the prompt that other requests share: all but the last
+// part.
 func (r *Request) SharedTokens() int64 {
 	var n int64
 	for i := range len(r.Parts) - 1 {
@@ -116,8 +117,8 @@
 	MaxPause  time.Duration // longest pause between two events of a stream
 	Late      Lateness      // compared with the route's latency targets
 	Total     time.Duration
-	// Digest identifies the request by its content, regardless of its ID. It is empty unless an attempt was interrupted or the
-	// request was quarantined.
+	// Digest identifies the request by its content, regardless of its ID. It is empty unless an attempt was interrupted
+	// or the request was quarantined.
 	Digest string
 }
 
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// readEvent appends the next event of a stream to event, including the empty line that terminates it. If it returns io.EOF
-// without any bytes, the stream has ended. If it returns an error with bytes, the event was truncated.
+// readEvent appends the next event of a stream to event, including the empty line that terminates it. If it returns
+// io.EOF without any bytes, the stream has ended. If it returns an error with bytes, the event was truncated.
 func readEvent(r *bufio.Reader, event []byte) ([]byte, error) {
 	for {
 		line, err := r.ReadSlice('\n')
