--- a/internal/bench/budget.go
+++ b/internal/bench/budget.go
@@ -24,7 +24,7 @@
 	ReserveAllocs float64 `json:"reserve_settle_allocs"`
 	RowBytes      float64 `json:"row_bytes"`
 	LargestPage   int     `json:"largest_page_bytes"`
-	StartMS       float64 `json:"first_draw_of_all_ms"` // one holder draws from every budget once
+	StartMS       float64 `json:"first_draw_of_all_ms"` // time of one request on every budget
 	IdleMemory    Slope   `json:"idle_memory"`
 	BusyMemory    Slope   `json:"busy_memory"`
 }
@@ -74,8 +74,8 @@
 
 type memoryUse struct{ idle, busy float64 }
 
-// measureMemory draws from every budget once, then opens a reservation on each. It also measures the times; those of the
-// last call remain in res.
+// measureMemory makes one request on every budget, then opens a reservation on each. It also measures times; res contains
+// those of the last call.
 func measureMemory(ctx context.Context, n int, res *BudgetResult) (memoryUse, error) {
 	h, store, row, err := newHolder(ctx, n)
 	if err != nil {
@@ -139,18 +139,18 @@
 func measureReserve(ctx context.Context, h *budget.Holder, n int, res *BudgetResult) error {
 	rng := rand.New(rand.NewPCG(1, 1)) //nolint:gosec // a benchmark
 	ids := make([]string, reserveRounds)
-	at := make([]int, reserveRounds)
+	budgets := make([]int, reserveRounds)
 	for i := range ids {
-		ids[i], at[i] = fmt.Sprintf("r-%d", i), rng.IntN(n)
+		ids[i], budgets[i] = fmt.Sprintf("r-%d", i), rng.IntN(n)
 	}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	start := time.Now()
 	for i, id := range ids {
-		if err := reserve(ctx, h, id, at[i]); err != nil {
+		if err := reserve(ctx, h, id, budgets[i]); err != nil {
 			return err
 		}
-		if err := settle(ctx, h, id, at[i]); err != nil {
+		if err := settle(ctx, h, id, budgets[i]); err != nil {
 			return err
 		}
 	}
