--- a/internal/budget/holder.go
+++ b/internal/budget/holder.go
@@ -17,7 +17,7 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
-// HolderName is the holder's name in the kernel.
+// HolderName is the holder's name in the kernel, whose errors contain it. "home" there means the holder.
 const HolderName = "budget.home"
 
 // Members is the part of the membership view that the package uses.
@@ -69,6 +69,12 @@
 type BilledFunc func(c ledger.Charge)
 
 // Holder is the part of an instance that owns escrow and serves reservations of its zone.
+//
+// A holder is dead if it is fenced, if it is an earlier holder of the observing process, or if its instance is not
+// alive and its journal has not changed for DeadTimeout. It is fenced if its journal contains a successor; it ends its
+// incarnation when it detects this. To reclaim or take over a dead holder means to fence its journal, to collect the
+// reports of its clients, and to move its grants to the successor. "Lost" does not refer to a holder, but to the
+// serving instance of a reservation or to the response to a write.
 type Holder struct {
 	store    external.Store
 	members  Members
--- a/internal/escrow/page.go
+++ b/internal/escrow/page.go
@@ -5,6 +5,10 @@
 // holders and the settled amounts together never exceed the prepaid amount, so no combination of faults overspends a
 // budget. A grant becomes spendable in steps, counted from the holder's last report. This bounds what a holder that
 // ends soon after a report can have spent.
+//
+// The instances of package router use it: each has a Holder, from which its own requests reserve tokens. Package budget
+// is the counterpart for the chat edge. It has its own Holder, Page, Row, Report and View with other meanings,
+// and neither package uses the other. Here, a Row is one holder's part of a customer's account.
 package escrow
 
 import (
--- a/internal/external/meter.go
+++ b/internal/external/meter.go
@@ -9,7 +9,8 @@
 // Duty is the purpose of a store call. Calls are counted by it.
 type Duty string
 
-// The purposes of store calls.
+// The purposes of store calls. Reports and metrics contain the values. A draw raises a holder's grant; in package
+// escrow, it is any read or write of a page.
 const (
 	DutyConfig  Duty = "config"
 	DutyPlan    Duty = "plan"
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,4 +1,7 @@
 // Package gateway serves callers: it authenticates, admits, reserves, dispatches, streams and settles requests.
+//
+// It is the chat edge of the instances of package instance. Package relay is the counterpart for the instances of
+// package router, with its own types.
 package gateway
 
 import (
--- a/internal/load/digest.go
+++ b/internal/load/digest.go
@@ -22,7 +22,7 @@
 	_        struct{} `cbor:",toarray"`
 	Endpoint uint32   // as in pool.Loads
 	Open     int
-	Harm     int // this and the next two as in pool.Load, in thousandths per second
+	Harm     int // pool.Load.Interference; this and the next two in thousandths per second
 	Ended    int
 	Failed   int
 	Silent   int // requests, as in pool.Load
--- a/internal/load/limits.go
+++ b/internal/load/limits.go
@@ -38,8 +38,8 @@
 	PerSecond int64
 	ForMs     int64
 	Holders   int
-	Fleet     int64 // in thousandths of a request per second
-	Few       bool
+	Fleet     int64 // limit.Grant.FleetDemand
+	Few       bool  // limit.Grant.Partial
 }
 
 // packLimits encodes limits. If there are too many, it keeps the latest announcements.
--- a/internal/pool/load.go
+++ b/internal/pool/load.go
@@ -11,7 +11,7 @@
 type Load struct {
 	Open int // requests that are open
 	// Interference is how many times a second a prompt that is sent there stalls the streams beside it for too long; see
-	// stallProbability.
+	// stallProbability. The load exchange calls it harm.
 	Interference float64
 	Ended        float64 // requests a second that succeeded or failed
 	Failed       float64 // those that failed
--- a/internal/pool/notice.go
+++ b/internal/pool/notice.go
@@ -9,7 +9,8 @@
 	"github.com/ledgemount/ledgemount/internal/limit"
 )
 
-// Notice is what an endpoint announces about itself in the header of a response.
+// Notice is what an endpoint announces about itself in the header of a response. Logs and metrics call a notice a word,
+// and a back-off a rest: log readers match these names.
 type Notice struct {
 	Leaving bool          // it accepts no new work and is about to end
 	Moved   bool          // another endpoint has its address
--- a/internal/pool/warm.go
+++ b/internal/pool/warm.go
@@ -7,6 +7,7 @@
 )
 
 // Exclusion is the reason why an endpoint that would have been picked for its affinity gets no work now, for logs.
+// Logs and reports name the field "kept_off".
 type Exclusion string
 
 // The reasons.
--- a/internal/quarantine/log.go
+++ b/internal/quarantine/log.go
@@ -2,7 +2,8 @@
 
 import "github.com/rs/zerolog"
 
-// Events of the log lines about quarantined requests.
+// Events of the log lines about quarantined requests. The lines call a crash an end: its event is "endpoint_ended", and
+// the field "ends" lists the crashes of a request. The field "told" states that another instance reported the change.
 const (
 	EventQuarantined = "request_quarantined"
 	EventReleased    = "request_released"
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -8,6 +8,8 @@
 )
 
 // Crash is one run of a request during which the process of its endpoint exited unexpectedly.
+// An exit is unexpected if the instance does not know, when the run is interrupted, that the endpoint is leaving. Other
+// exits are planned and are not recorded.
 type Crash struct {
 	Run      string // identifies one run of the endpoint's process
 	Began    time.Time
--- a/internal/relay/exits.go
+++ b/internal/relay/exits.go
@@ -11,6 +11,10 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
+// An exit is the end of an endpoint's process as this instance observes it: the endpoint's address refuses connections,
+// or another process has started under its ID. The exit of an endpoint that was not known to be leaving is a crash, and
+// only such exits are reported here and recorded as a quarantine.Crash.
+
 // exitProber determines whether an endpoint's process has exited. Requests that are interrupted at the same endpoint at
 // the same time share one probe.
 type exitProber struct{ inFlight singleflight.Group }
--- a/internal/relay/request.go
+++ b/internal/relay/request.go
@@ -1,6 +1,8 @@
 // Package relay forwards requests from callers to endpoints, and responses back to callers. It determines the customer
 // that is billed, admits or rejects a request, picks endpoints, retries, and reports the outcome to the caller. It is
 // independent of the protocol: a Dialect translates requests and responses.
+//
+// The instances of package router use it. Package gateway is the counterpart for the chat edge, with its own types.
 package relay
 
 import (
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -130,7 +130,9 @@
 	e.Msg("a request has ended")
 }
 
-// attemptList writes the attempts of a request into a log line.
+// attemptList writes the attempts of a request into a log line. The field "end" is the result of the attempt. "ended"
+// states that the endpoint's process has exited, and "kept_off" is the reason why the first endpoint by affinity
+// was excluded.
 type attemptList []relay.AttemptOutcome
 
 // MarshalZerologArray implements zerolog.LogArrayMarshaler.
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -20,7 +20,7 @@
 	LastToken    Step = "last-token"
 	Settle       Step = "settle"
 	Flush        Step = "flush"
-	Draw         Step = "draw"
+	Draw         Step = "draw" // a holder raises its grant on a budget
 	Return       Step = "return"
 	Reclaim      Step = "reclaim"
 	Plan         Step = "plan"
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -1,5 +1,6 @@
 // Package targets tracks the endpoints that the current configuration declares, and picks endpoints for requests of the
-// chat edge.
+// chat edge. It keeps them in a pool.Pool, which picks among them. Package follow is the counterpart for the
+// instances of package router: it fills their pool from the records that endpoints write to the store.
 package targets
 
 import (
