--- a/internal/compat/formattest/formattest.go
+++ b/internal/compat/formattest/formattest.go
@@ -1,7 +1,7 @@
 // Package formattest compares the encodings of messages and stored values with the bytes that earlier builds wrote.
 //
-// For each encoding that a value ever had, there is a file testdata/formats/NAME.N.hex next to the test. It contains what
-// builds from generation N on write (compat.Generation). Files are added and never changed.
+// For each encoding that a value ever had, there is a file testdata/formats/NAME.N.hex next to the test. It contains the
+// bytes that builds write from generation N on (compat.Generation). Files are added and never changed.
 //
 // A test fails if the encoding of a value differs from its last file. It also fails if decoding and encoding the contents
 // of any file does not reproduce them: then a field of an earlier build is lost, or decoded as another field.
@@ -62,8 +62,8 @@
 	}
 }
 
-// compare returns the faults in the encodings of a value. If the encoding has changed and -formats.add is set, it adds a
-// file instead of reporting that.
+// compare returns the faults in the encodings of a value. With -formats.add it adds a file for an encoding that has
+// changed, instead of returning a fault, unless this generation has a file already.
 func compare[T any](name string, c Codec[T], generation int) (faults []string, err error) {
 	files, err := readFiles(name, generation)
 	if err != nil {
@@ -98,14 +98,14 @@
 func checkRoundTrip[T any](c Codec[T], raw []byte) error {
 	v, err := c.Decode(raw)
 	if err != nil {
-		return fmt.Errorf("it cannot be read: %w", err)
+		return fmt.Errorf("decoding: %w", err)
 	}
 	back, err := c.Encode(v)
 	if err != nil {
 		return err
 	}
 	if !bytes.Equal(raw, back) {
-		return fmt.Errorf("%x comes back as %x", raw, back)
+		return fmt.Errorf("after decoding, %x is encoded as %x", raw, back)
 	}
 	return nil
 }
--- a/internal/endpoint/plain.go
+++ b/internal/endpoint/plain.go
@@ -31,7 +31,8 @@
 	Body        []byte `cbor:"3,keyasint"`
 }
 
-// Invoke calls a plain service. A response that belongs to another request is dropped; the call may have run then.
+// Invoke calls a plain service. A response that belongs to another request is dropped; the call then counts as one
+// that may have run.
 func (d *Driver) Invoke(ctx context.Context, c PlainCall) (*Response, error) {
 	req, err := http.NewRequestWithContext(ctx, c.Method, c.URL, singleUseBody(c.Body))
 	if err != nil {
@@ -61,8 +62,8 @@
 	return readResponse(resp)
 }
 
-// singleUseBody returns a body that net/http cannot send twice. Otherwise net/http retries a request with an
-// Idempotency-Key by itself when its connection breaks, even if the service has run it already.
+// singleUseBody returns a body that net/http cannot send twice. With another body, net/http itself retries a request with
+// an Idempotency-Key when the connection breaks, even if the service has already run the request.
 func singleUseBody(b []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
 
 func readResponse(resp *http.Response) (*Response, error) {
--- a/internal/escrow/page.go
+++ b/internal/escrow/page.go
@@ -5,6 +5,10 @@
 // holders and the settled amounts together never exceed the prepaid amount, so no combination of faults overspends a
 // budget. A grant becomes spendable in steps, counted from the holder's last report. This bounds what a holder that
 // ends soon after a report can have spent.
+//
+// The instances of package router use it: each has a Holder, from which its own requests reserve tokens. Package budget
+// is the counterpart for the chat edge. It has its own Holder, Page, Row, Report and View with other meanings,
+// and neither package uses the other. Here, a Row is one holder's part of a customer's account.
 package escrow
 
 import (
@@ -18,8 +22,7 @@
 	"github.com/ledgemount/ledgemount/internal/compat"
 )
 
-// Row is one holder's part of an account. Amounts are in tokens. All but Demand and Rate are counted from the holder's
-// start.
+// Row is one holder's part of an account. Amounts are in tokens. Granted and Spent are counted from the holder's start.
 type Row struct {
 	Granted int64 `cbor:"1,keyasint,omitempty"` // upper limit of what the holder spends
 	Spent   int64 `cbor:"2,keyasint,omitempty"` // spent or reserved at the holder's last report
@@ -159,7 +162,7 @@
 // Settlement is the outcome of settling an earlier holder's grants, in tokens.
 type Settlement struct {
 	Holder   string
-	AgeKnown bool          // the clocks give the time between its last report and now
+	AgeKnown bool          // the clocks give Age
 	Age      time.Duration // from that report to the start of the successor
 	Spent    int64         // as last reported
 	Granted  int64
@@ -172,7 +175,7 @@
 // SettlePredecessors settles the rows of a node's earlier holders. These had ended when the successor's process
 // started; start is the report of that moment. If the clocks give the time between a holder's last report and start,
 // the holder can have spent at most its Ceiling. Otherwise, and if its rows are stale, everything granted to it counts
-// as spent. Rows whose age start.FleetTime will soon give more exactly stay.
+// as spent. Rows stay if start.FleetTime will soon give their age more exactly.
 func (p *Page) SettlePredecessors(successor string, start Report) []Settlement {
 	var predecessors []string
 	for id, r := range p.Holders {
--- a/internal/pool/notice.go
+++ b/internal/pool/notice.go
@@ -9,7 +9,8 @@
 	"github.com/ledgemount/ledgemount/internal/limit"
 )
 
-// Notice is what an endpoint announces about itself in the header of a response.
+// Notice is what an endpoint announces about itself in the header of a response. Logs and metrics call a notice a word,
+// and a back-off a rest: log readers match these names.
 type Notice struct {
 	Leaving bool          // it accepts no new work and is about to end
 	Moved   bool          // another endpoint has its address
@@ -153,9 +154,9 @@
 	}
 }
 
-// extendBackoff sets until when an endpoint accepts nothing. It returns true if no back-off was in progress. The longest
-// time counts: several requests may be under way when an endpoint asks for a back-off, and the last response to them may
-// announce the shortest time.
+// extendBackoff sets until when an endpoint accepts nothing. It returns true if no back-off was in progress. The
+// longest time counts: several requests may be under way when an endpoint asks for a back-off, and the last response to
+// them may announce the shortest time.
 func (x *announced) extendBackoff(now, until time.Time) (started bool) {
 	started = !before(now, x.backoffUntil)
 	if until.After(x.backoffUntil) {
--- a/internal/relay/exits.go
+++ b/internal/relay/exits.go
@@ -11,6 +11,10 @@
 	"github.com/ledgemount/ledgemount/internal/verdict"
 )
 
+// An exit is the end of an endpoint's process as this instance observes it: the endpoint's address refuses connections,
+// or another process has started under its ID. The exit of an endpoint that was not known to be leaving is a crash, and
+// only such exits are reported here and recorded as a quarantine.Crash.
+
 // exitProber determines whether an endpoint's process has exited. Requests that are interrupted at the same endpoint at
 // the same time share one probe.
 type exitProber struct{ inFlight singleflight.Group }
@@ -21,9 +25,9 @@
 	return exited.(bool) //nolint:forcetypeassert // the function above returns nothing else
 }
 
-// endpointExited reports whether the endpoint of an interrupted attempt has exited. The exit of an endpoint that is known
-// to be leaving does not count. If a first probe does not detect an exit, further probes run in the background, and
-// onDelayed is called if one of them detects it.
+// endpointExited reports whether the endpoint of an interrupted attempt has exited. The exit of an endpoint that is
+// known to be leaving does not count. If a first probe does not detect an exit, further probes run in the background,
+// and onDelayed is called if one of them detects it.
 func (j *job) endpointExited(lease *pool.Lease, onDelayed func()) bool {
 	switch lease.ProcessState() {
 	case pool.ProcessLeaving:
@@ -88,8 +92,8 @@
 	}
 }
 
-// quarantinedMeanwhile reports whether a request was quarantined after it was admitted, while it waited for its budget or
-// for a second attempt.
+// quarantinedMeanwhile reports whether a request was quarantined after it was admitted, while it waited for its budget
+// or for a second attempt.
 func (j *job) quarantinedMeanwhile() bool {
 	return j.core.suspects.Suspects(j.outcome.Customer) && j.core.suspects.Quarantined(j.digest())
 }
