--- a/internal/demo/faults.go
+++ b/internal/demo/faults.go
@@ -31,7 +31,8 @@
 	from, to time.Time
 }
 
-// fault is a failure that start injects and heal ends.
+// fault is a failure that start injects and heal ends. Its length, the time between them, is a share of the demo's
+// duration: from faultStart to faultEnd.
 type fault struct {
 	start func(ctx context.Context, s *scenario) error
 	heal  func(ctx context.Context, s *scenario) error
--- a/internal/relay/retryschedule.go
+++ b/internal/relay/retryschedule.go
@@ -13,8 +13,8 @@
 }
 
 const (
-	maxRetryDelay = 10 * time.Second
-	minRate       = 0.1 // requests per second, used if this instance may currently send none
+	maxRetryDelay = 10 * time.Second // callers do not wait for longer
+	minRate       = 0.1              // requests per second, used if this instance may currently send none
 )
 
 // next returns the delay until the next caller's slot, if there are perSecond slots per second.
